--- a/packages/heatherarch-claims/claim_fold.ts
+++ b/packages/heatherarch-claims/claim_fold.ts
@@ -46,7 +46,7 @@
   readonly disabledGuards?: ReadonlySet<ClaimGuard>;
 }
 
-const SEEN_LIMIT = 500;
+const MAX_SEEN_IDS = 500;
 const SNAPSHOT_PART_KEYS = 500;
 
 /** Keys of one shard, up to one offset. */
@@ -54,10 +54,10 @@
   readonly #options: ClaimFoldOptions;
   readonly #off: ReadonlySet<ClaimGuard>;
   #keys = new Map<string, KeyState>();
-  #seen = new Set<string>();
+  #seenIds = new Set<string>();
   #offset = -1;
   #logTimeMs = 0;
-  #nextSweepMs = 0;
+  #nextExpiryMs = 0;
 
   constructor(options: ClaimFoldOptions) {
     this.#options = options;
@@ -90,16 +90,16 @@
     const verdicts = new Map<string, ClaimVerdict>();
     const parsed = parseClaimRecord(record.data);
     if (parsed?.type !== "batch") return verdicts;
-    if (this.#noteId(parsed.id)) return verdicts;
+    if (this.#isRepeatedId(parsed.id)) return verdicts;
     for (const entry of parsed.entries) this.#applyEntry(entry, verdicts);
-    this.#sweep();
+    this.#expireKeys();
     return verdicts;
   }
 
   /** Verdict on a claim that was applied before the snapshot that was loaded; undefined for none. */
   findVerdict(entry: ClaimRequest): ClaimVerdict | undefined {
     const known = this.#keys.get(entry.key);
-    return known === undefined ? undefined : judgeKnown(known, entry);
+    return known === undefined ? undefined : decideRepeatedClaim(known, entry);
   }
 
   /** Builds the records of a snapshot of the present state. */
@@ -120,7 +120,7 @@
         part * SNAPSHOT_PART_KEYS,
         (part + 1) * SNAPSHOT_PART_KEYS,
       ),
-      seen: part === 0 ? [...this.#seen] : [],
+      seen: part === 0 ? [...this.#seenIds] : [],
     }));
   }
 
@@ -130,14 +130,14 @@
    * that its verdicts are seen.
    */
   loadSnapshot(records: readonly TimedRecord[]): boolean {
-    const best = findSnapshot(records);
+    const best = findNewestSnapshot(records);
     if (best === undefined || best[0].coversOffset <= this.#offset) {
       return false;
     }
     this.#keys = new Map(
       best.flatMap((part) => part.keys).map((key) => [key.key, key]),
     );
-    this.#seen = new Set(best.flatMap((part) => part.seen));
+    this.#seenIds = new Set(best.flatMap((part) => part.seen));
     this.#offset = best[0].coversOffset;
     this.#logTimeMs = best[0].logTimeMs;
     return true;
@@ -164,7 +164,7 @@
     if (outside && !this.#off.has("refuseExpired")) return { kind: "expired" };
     const known = this.#keys.get(entry.key);
     if (known !== undefined && !this.#off.has("firstClaimWins")) {
-      return judgeKnown(known, entry);
+      return decideRepeatedClaim(known, entry);
     }
     const { claimId, key, madeAtMs, fingerprint, vm } = entry;
     const claimedAtMs = this.#logTimeMs;
@@ -180,21 +180,21 @@
   }
 
   /** Notes a record's id; true where it has been applied before. */
-  #noteId(id: string): boolean {
-    if (this.#seen.has(id)) return !this.#off.has("dropRepeatedId");
-    this.#seen.add(id);
-    if (this.#seen.size > SEEN_LIMIT) {
-      const oldest = this.#seen.values().next().value as string;
-      this.#seen.delete(oldest);
+  #isRepeatedId(id: string): boolean {
+    if (this.#seenIds.has(id)) return !this.#off.has("dropRepeatedId");
+    this.#seenIds.add(id);
+    if (this.#seenIds.size > MAX_SEEN_IDS) {
+      const oldest = this.#seenIds.values().next().value as string;
+      this.#seenIds.delete(oldest);
     }
     return false;
   }
 
   /** Forgets keys that the window has passed; the fold refuses them by their own time. */
-  #sweep(): void {
-    if (this.#logTimeMs < this.#nextSweepMs) return;
+  #expireKeys(): void {
+    if (this.#logTimeMs < this.#nextExpiryMs) return;
     const { keyWindowMs } = this.#options;
-    this.#nextSweepMs = this.#logTimeMs + keyWindowMs / 20;
+    this.#nextExpiryMs = this.#logTimeMs + keyWindowMs / 20;
     for (const [key, state] of this.#keys) {
       if (this.#logTimeMs - state.madeAtMs >= keyWindowMs) {
         this.#keys.delete(key);
@@ -204,7 +204,10 @@
 }
 
 /** Verdict on a claim of a key that is claimed. */
-function judgeKnown(known: KeyState, entry: ClaimRequest): ClaimVerdict {
+function decideRepeatedClaim(
+  known: KeyState,
+  entry: ClaimRequest,
+): ClaimVerdict {
   if (known.claimId === entry.claimId) return { kind: "granted" };
   if (known.fingerprint !== entry.fingerprint) return { kind: "reused" };
   return { kind: "taken", holder: known };
@@ -212,7 +215,7 @@
 
 type SnapshotRecord = Extract<ClaimRecord, { type: "snapshot" }>;
 
-function findSnapshot(
+function findNewestSnapshot(
   records: readonly TimedRecord[],
 ): SnapshotRecord[] | undefined {
   const first = records[0]?.offset ?? 0;
--- a/packages/heatherarch-claims/claim_key.ts
+++ b/packages/heatherarch-claims/claim_key.ts
@@ -45,6 +45,6 @@
 }
 
 /** Name of the stream of a shard. */
-export function buildClaimStream(shard: number): string {
+export function buildClaimStreamName(shard: number): string {
   return `claims.${shard}`;
 }
--- a/packages/heatherarch-claims/claim_shard.ts
+++ b/packages/heatherarch-claims/claim_shard.ts
@@ -17,7 +17,7 @@
   type ClaimFoldOptions,
   type ClaimVerdict,
 } from "./claim_fold.ts";
-import { buildClaimStream } from "./claim_key.ts";
+import { buildClaimStreamName } from "./claim_key.ts";
 import {
   type ClaimEntry,
   type ClaimRequest,
@@ -61,23 +61,23 @@
   readonly #stream: string;
   readonly #fold: ClaimFold;
   #queue: QueuedEntry[] = [];
-  #committing = false;
-  #appends = 0;
-  #entries = 0;
-  #sinceSnapshot = 0;
+  #isCommitting = false;
+  #appendCount = 0;
+  #entryCount = 0;
+  #recordsSinceSnapshot = 0;
   #verdicts = new Map<string, ClaimVerdict>();
-  #awaited = new Set<string>();
+  #awaitedClaimIds = new Set<string>();
 
   constructor(options: ClaimShardOptions) {
     this.#options = options;
-    this.#stream = buildClaimStream(options.shard);
+    this.#stream = buildClaimStreamName(options.shard);
     this.#fold = new ClaimFold(options);
   }
 
   readCounters(): ClaimShardCounters {
     return {
-      appends: this.#appends,
-      entries: this.#entries,
+      appends: this.#appendCount,
+      entries: this.#entryCount,
       keys: this.#fold.size,
       offset: this.#fold.offset,
     };
@@ -111,18 +111,18 @@
   #enqueue(entry: ClaimEntry): Promise<ClaimVerdict | undefined> {
     return new Promise((resolve, reject) => {
       this.#queue.push({ entry, resolve, reject });
-      if (!this.#committing) void this.#commitLoop();
+      if (!this.#isCommitting) void this.#commitLoop();
     });
   }
 
   async #commitLoop(): Promise<void> {
-    this.#committing = true;
+    this.#isCommitting = true;
     if (this.#options.batchMs > 0) await sleep(this.#options.batchMs);
     while (this.#queue.length > 0) {
       const batch = this.#queue.splice(0, this.#options.maxBatch);
       await this.#commit(batch);
     }
-    this.#committing = false;
+    this.#isCommitting = false;
   }
 
   async #commit(batch: readonly QueuedEntry[]): Promise<void> {
@@ -132,7 +132,9 @@
       id: createId("batch"),
       entries: batch.map((queued) => queued.entry),
     };
-    this.#awaited = new Set(batch.map((queued) => queued.entry.claimId));
+    this.#awaitedClaimIds = new Set(
+      batch.map((queued) => queued.entry.claimId),
+    );
     this.#verdicts.clear();
     try {
       const offset = await appendOnce(this.#options.log, this.#stream, record, {
@@ -140,8 +142,8 @@
         timeoutMs: this.#options.timeoutMs,
         readMonotonicMs: () => this.#options.clock.readMonotonicMs(),
       });
-      this.#appends++;
-      this.#entries += batch.length;
+      this.#appendCount++;
+      this.#entryCount += batch.length;
       await this.#catchUp(offset);
       for (const queued of batch) {
         queued.resolve(this.#verdicts.get(queued.entry.claimId));
@@ -166,9 +168,9 @@
         continue;
       }
       for (const record of verdict.records) {
-        this.#sinceSnapshot++;
+        this.#recordsSinceSnapshot++;
         for (const [id, own] of this.#fold.apply(record)) {
-          if (this.#awaited.has(id)) this.#verdicts.set(id, own);
+          if (this.#awaitedClaimIds.has(id)) this.#verdicts.set(id, own);
         }
       }
       if (
@@ -191,8 +193,8 @@
   }
 
   async #writeSnapshotWhenDue(): Promise<void> {
-    if (this.#sinceSnapshot < this.#options.snapshotEveryRecords) return;
-    this.#sinceSnapshot = 0;
+    if (this.#recordsSinceSnapshot < this.#options.snapshotEveryRecords) return;
+    this.#recordsSinceSnapshot = 0;
     try {
       for (const part of this.#fold.buildSnapshot(() => createId("snap"))) {
         await this.#options.log.append(this.#stream, part);
--- a/packages/heatherarch-daemon/control_task.ts
+++ b/packages/heatherarch-daemon/control_task.ts
@@ -6,11 +6,11 @@
  */
 import { type Clock, createId, pickRendezvous, sleep } from "heatherarch-core";
 import {
-  buildControlStream,
+  buildControlStreamName,
   CONTROL_FORMAT,
   type ControlRecord,
   type ControlState,
-  LeaseMachine,
+  LeaseStateMachine,
   loadControlSnapshot,
 } from "heatherarch-lease";
 import {
@@ -49,7 +49,7 @@
 
 /** The control stream of one availability zone, as one VM sees it. */
 export class ControlTask {
-  readonly machine: LeaseMachine;
+  readonly machine: LeaseStateMachine;
   readonly #options: ControlTaskOptions;
   readonly #stream: string;
   #readSentAtMs = -Infinity;
@@ -61,8 +61,8 @@
 
   constructor(options: ControlTaskOptions) {
     this.#options = options;
-    this.#stream = buildControlStream(options.availabilityZone);
-    this.machine = new LeaseMachine({
+    this.#stream = buildControlStreamName(options.availabilityZone);
+    this.machine = new LeaseStateMachine({
       vm: options.vmId,
       incarnation: options.incarnation,
       durationMs: options.settings.durationMs,
--- a/packages/heatherarch-daemon/entry_vm.ts
+++ b/packages/heatherarch-daemon/entry_vm.ts
@@ -242,7 +242,7 @@
       }),
       readDemand: () => demand.read(clock.readMonotonicMs()),
       listCrashes: (cursor) =>
-        parts.quarantine.listNotes(cursor, clock.readMonotonicMs()),
+        parts.quarantine.listReports(cursor, clock.readMonotonicMs()),
     });
   }
 
@@ -318,7 +318,7 @@
     for (const row of heartbeat.reports ?? []) table.noteReport(row, from.id);
     table.refreshReports(from.id);
     if (heartbeat.crashes !== undefined) {
-      quarantine.notePeer(heartbeat.crashes, clock.readMonotonicMs());
+      quarantine.mergePeerReports(heartbeat.crashes, clock.readMonotonicMs());
     }
     zones.noteHeartbeat(heartbeat, from);
     if (heartbeat.changing !== undefined) {
--- a/packages/heatherarch-daemon/heartbeat_builder.ts
+++ b/packages/heatherarch-daemon/heartbeat_builder.ts
@@ -12,7 +12,7 @@
   ReportRow,
 } from "heatherarch-mesh";
 import { pickRendezvous } from "heatherarch-core";
-import type { CrashNotes } from "heatherarch-quarantine";
+import type { CrashReportPage } from "heatherarch-quarantine";
 import type { Demand } from "heatherarch-policy";
 import type { Target } from "heatherarch-settings";
 import type { TargetTable } from "./target_table.ts";
@@ -34,7 +34,7 @@
   };
   readonly readDemand: () => Demand;
   /** What is known of requests that end targets, from a cursor on. */
-  readonly listCrashes: (cursor: number | undefined) => CrashNotes;
+  readonly listCrashes: (cursor: number | undefined) => CrashReportPage;
 }
 
 interface LinkProgress {
@@ -102,7 +102,9 @@
 
   /** Each VM passes on what is new to it, so that it reaches all over any links. */
   #buildCrashes(progress: LinkProgress): Partial<Heartbeat> {
-    const { notes, cursor } = this.#options.listCrashes(progress.crashCursor);
+    const { reports: notes, cursor } = this.#options.listCrashes(
+      progress.crashCursor,
+    );
     progress.crashCursor = cursor;
     if (notes.length === 0) return {};
     return { crashes: notes.map((note): CrashMessage => [...note]) };
--- a/packages/heatherarch-daemon/order_executor.ts
+++ b/packages/heatherarch-daemon/order_executor.ts
@@ -14,7 +14,7 @@
 import {
   CONTROL_FORMAT,
   describeOrder,
-  type LeaseMachine,
+  type LeaseStateMachine,
   type OpenIntent,
   type OrderResult,
 } from "heatherarch-lease";
@@ -39,7 +39,7 @@
 /** What an order is given under. */
 export type OrderAuthority =
   & Pick<ControlTask, "appendAndRead" | "hasAuthority" | "state">
-  & { readonly machine: Pick<LeaseMachine, "fencing"> };
+  & { readonly machine: Pick<LeaseStateMachine, "fencing"> };
 
 /** Options of {@linkcode OrderExecutor}. */
 export interface OrderExecutorOptions {
@@ -243,7 +243,7 @@
     if (answer !== "") return await this.#conclude(intent, "failed", answer);
     await this.#awaitOutcome(target, intent);
     if (order.kind !== "setRole") return;
-    this.#planner?.noteChange?.(
+    this.#planner?.recordChange?.(
       this.#options.clock.readMonotonicMs() - announcedAtMs,
     );
   }
--- a/packages/heatherarch-daemon/parts.ts
+++ b/packages/heatherarch-daemon/parts.ts
@@ -13,7 +13,7 @@
 import type { LogPort, VmListPort } from "heatherarch-log";
 import { type LinkIdentity, type Membership, MeshNode } from "heatherarch-mesh";
 import {
-  LossInquiry,
+  CrashDetector,
   RequestQuarantine,
   TargetProbe,
 } from "heatherarch-quarantine";
@@ -140,13 +140,13 @@
 /** Builds the watch over requests, with a line in the log for each end of a target. */
 export function buildRequestWatch(parts: Parts): QuarantineWatch {
   const { quarantine, clock, table, logger } = parts;
-  const losses = new LossInquiry({
+  const losses = new CrashDetector({
     targetProbe: new TargetProbe(),
     quarantine,
     clock,
     isInService: (life) => table.isInService(getTargetId(life)),
     onLoss: (loss, probe) => logger.info("exchange lost", { ...loss, probe }),
-    onEnded: (life, evidence, requests) => {
+    onCrash: (life, evidence, requests) => {
       watch.noteEnded(life);
       logger.warn("target ended", { target: life, evidence, requests });
     },
@@ -156,7 +156,7 @@
     logger.warn(`request ${kind === "held" ? "quarantined" : "cleared"}`, {
       request,
       source: isOwn ? "own" : "peer",
-      endedTargets: quarantine.findHeld(request, clock.readMonotonicMs())
+      endedTargets: quarantine.findQuarantined(request, clock.readMonotonicMs())
         ?.lives,
     })
   );
--- a/packages/heatherarch-daemon/target_table.ts
+++ b/packages/heatherarch-daemon/target_table.ts
@@ -302,12 +302,12 @@
       sameZone,
       role: report?.role ?? target.role,
       load: this.#options.tracker.estimate(target.id, report),
-      gapMs: this.#options.tracker.readGapMs(
+      tokenGapMs: this.#options.tracker.readTokenGapMs(
         target.id,
         this.#options.clock.readMonotonicMs(),
       ),
       maxConcurrent: target.maxConcurrent,
-      distanceMs: sameZone ? 0 : OTHER_ZONE_MS,
+      roundTripMs: sameZone ? 0 : OTHER_ZONE_MS,
     };
   }
 
--- a/packages/heatherarch-daemon/tests/unit/order_executor_test.ts
+++ b/packages/heatherarch-daemon/tests/unit/order_executor_test.ts
@@ -9,7 +9,7 @@
   applyControlRecord,
   CONTROL_FORMAT,
   type ControlRecord,
-  EMPTY_CONTROL,
+  EMPTY_CONTROL_STATE,
 } from "heatherarch-lease";
 import type { Fleet, ProcessSettings, Target } from "heatherarch-settings";
 import type { OrderAnswer } from "heatherarch-targets";
@@ -45,7 +45,7 @@
 
 /** A VM that loses its lease while it reads an engine, and claims it again before the answer. */
 class LapsingLease {
-  state = EMPTY_CONTROL;
+  state = EMPTY_CONTROL_STATE;
   /** Fencing numbers of the orders that an engine got. */
   readonly orders: number[] = [];
   readonly results: unknown[] = [];
--- a/packages/heatherarch-forward/fleet/fleet_news.ts
+++ b/packages/heatherarch-forward/fleet/fleet_news.ts
@@ -46,7 +46,7 @@
   registerListener(listener: () => void): () => void {
     const { quarantine, directory } = this.#options;
     const undos = [
-      quarantine.registerNewsListener(listener),
+      quarantine.registerReportListener(listener),
       directory.registerLeavingListener(listener),
     ];
     return () => {
@@ -68,7 +68,7 @@
   take({ crashes, leavingTargets }: Heartbeat, waitedMs: number): void {
     const { quarantine, directory, clock, log } = this.#options;
     if (crashes !== undefined) {
-      quarantine.notePeer(crashes, clock.readMonotonicMs() - waitedMs);
+      quarantine.mergePeerReports(crashes, clock.readMonotonicMs() - waitedMs);
     }
     for (const { target } of leavingTargets ?? []) {
       if (!directory.markLeaving(target)) continue;
@@ -79,7 +79,7 @@
   #buildCrashes(cursors: LinkCursors): NewsParts {
     const { quarantine, clock } = this.#options;
     if (quarantine.isEmpty) return {};
-    const { notes, cursor } = quarantine.listNotes(
+    const { reports: notes, cursor } = quarantine.listReports(
       cursors.crashes,
       clock.readMonotonicMs(),
     );
--- a/packages/heatherarch-forward/forward_vm.ts
+++ b/packages/heatherarch-forward/forward_vm.ts
@@ -239,7 +239,7 @@
     const { quarantine, clock } = this.#parts;
     quarantine.registerChangeListener(({ kind, request, isOwn }) => {
       const source = isOwn ? "own" : "peer";
-      const held = quarantine.findHeld(request, clock.readMonotonicMs());
+      const held = quarantine.findQuarantined(request, clock.readMonotonicMs());
       if (kind === "cleared") {
         this.#log.write("info", "quarantineLifted", { request, source });
       } else if (held !== undefined) {
@@ -320,7 +320,7 @@
     if (quarantine.isEmpty) return;
     const nowMs = this.#clock.readMonotonicMs();
     quarantine.expire(nowMs);
-    metrics.requestsQuarantined.set(quarantine.listHeld(nowMs).length);
+    metrics.requestsQuarantined.set(quarantine.listQuarantined(nowMs).length);
   }
 
   async #listenStatus(
--- a/packages/heatherarch-forward/life/call_run.ts
+++ b/packages/heatherarch-forward/life/call_run.ts
@@ -137,7 +137,7 @@
   /** Refuses the call if its request may not be sent; returns whether it goes on. */
   admit(): boolean {
     const admission = this.#guard.admit();
-    if (admission.kind === "quarantined") this.#refuseHeld(admission.held);
+    if (admission.kind === "quarantined") this.#refuseHeld(admission.entry);
     if (admission.kind === "onTrial") {
       this.refuse("overloaded", "another copy of the request is on trial", {
         retryAfterMs: TRIAL_RETRY_AFTER_MS,
--- a/packages/heatherarch-forward/life/request_guard.ts
+++ b/packages/heatherarch-forward/life/request_guard.ts
@@ -65,7 +65,7 @@
   findHeld(): QuarantinedRequest | undefined {
     const { quarantine, clock } = this.#options.serving;
     if (quarantine.isEmpty) return undefined;
-    return quarantine.findHeld(this.request, clock.readMonotonicMs());
+    return quarantine.findQuarantined(this.request, clock.readMonotonicMs());
   }
 
   /**
@@ -89,11 +89,11 @@
     void exchange.ended.then((end) => {
       if (end === "ended") return;
       if (end.isConnectionRefused) {
-        losses.noteEnded(target.id, "refusedConnection");
+        losses.recordCrash(target.id, "refusedConnection");
       }
       if (end.fault !== "lost") return;
       this.#hasLost = true;
-      this.#inquiries.push(losses.take({
+      this.#inquiries.push(losses.investigateLoss({
         call: id,
         request: this.request,
         account: host,
@@ -114,7 +114,7 @@
   #clear(): void {
     const { quarantine, clock, log } = this.#options.serving;
     const crashes = quarantine.countCrashes(this.request);
-    if (!quarantine.noteSuccess(this.request, clock.readMonotonicMs())) return;
+    if (!quarantine.markSuccess(this.request, clock.readMonotonicMs())) return;
     log.write("info", "requestCleared", {
       call: this.#options.call.id,
       request: this.request,
--- a/packages/heatherarch-forward/life/try_judge.ts
+++ b/packages/heatherarch-forward/life/try_judge.ts
@@ -167,7 +167,7 @@
   if (end.kind === "notRun" && end.refusal === "otherIncarnation") {
     directory.markReplaced(target.id);
     health.forget(target.id);
-    losses.noteEnded(target.id, "replaced");
+    losses.recordCrash(target.id, "replaced");
   }
   if (end.kind === "notRun" && end.refusal === "otherRole") {
     health.rest(target.id, nowMs + OTHER_ROLE_REST_MS);
--- a/packages/heatherarch-forward/serving.ts
+++ b/packages/heatherarch-forward/serving.ts
@@ -8,7 +8,7 @@
 import type { ConfigView } from "./beliefs/config_view.ts";
 import type { EngineSpread } from "./decisions/engine_spread.ts";
 import type { EventLog } from "./event_log.ts";
-import type { LossInquiry } from "heatherarch-quarantine";
+import type { CrashDetector } from "heatherarch-quarantine";
 import type { ForwardMetrics } from "./metrics.ts";
 import type { CallCodec } from "./ports.ts";
 import type { PromptIndex } from "./beliefs/prompt_index.ts";
@@ -36,7 +36,7 @@
   readonly ledger: WorkLedger;
   readonly connections: TargetConnections;
   readonly listGuard: ListGuard;
-  readonly losses: LossInquiry;
+  readonly losses: CrashDetector;
   readonly quarantine: RequestQuarantine;
   readonly allowance: RetryAllowance;
   readonly placer: PromptPlacer;
--- a/packages/heatherarch-forward/tasks/quarantine_keeper.ts
+++ b/packages/heatherarch-forward/tasks/quarantine_keeper.ts
@@ -6,7 +6,7 @@
  */
 import { type Clock, sleep } from "heatherarch-core";
 import type {
-  CrashNote,
+  CrashReport,
   QuarantineChange,
   RequestQuarantine,
 } from "heatherarch-quarantine";
@@ -61,22 +61,22 @@
       const notes = entries.flatMap(({ key, value }) =>
         value === undefined ? [] : this.#buildNotes(key, value)
       );
-      quarantine.notePeer(notes, clock.readMonotonicMs());
+      quarantine.mergePeerReports(notes, clock.readMonotonicMs());
     });
   }
 
   #buildNotes(
     request: string,
     { account, lives, atUnixMs }: QuarantineRecord,
-  ): CrashNote[] {
+  ): CrashReport[] {
     const ageMs = Math.max(0, this.#options.clock.readWallMs() - atUnixMs);
-    return lives.map((life): CrashNote => [request, account, life, 1, ageMs]);
+    return lives.map((life): CrashReport => [request, account, life, 1, ageMs]);
   }
 
   async #write({ kind, request }: QuarantineChange): Promise<void> {
     const { topic, quarantine, clock } = this.#options;
     const nowMs = clock.readMonotonicMs();
-    const held = quarantine.findHeld(request, nowMs);
+    const held = quarantine.findQuarantined(request, nowMs);
     // Cleared in the meantime; that change removes the record.
     if (kind === "held" && held === undefined) return;
     const record = held === undefined ? undefined : {
--- a/packages/heatherarch-forward/tasks/role_keeper.ts
+++ b/packages/heatherarch-forward/tasks/role_keeper.ts
@@ -15,8 +15,8 @@
 } from "heatherarch-core";
 import {
   type ControlRecord,
-  EMPTY_CONTROL,
-  LeaseMachine,
+  EMPTY_CONTROL_STATE,
+  LeaseStateMachine,
 } from "heatherarch-lease";
 import { judgeSlice, type LogPort } from "heatherarch-log";
 import type { ConfigView } from "../beliefs/config_view.ts";
@@ -81,7 +81,7 @@
 const HTTP_FENCED = 412;
 
 interface Campaign {
-  readonly machine: LeaseMachine;
+  readonly machine: LeaseStateMachine;
   readAtMs: number;
   idleSinceMs: number;
 }
@@ -91,7 +91,7 @@
   readonly #options: RoleKeeperOptions;
   /** Engines whose change has been ordered, with the role and the end of the wait for it. */
   readonly #pending = new Map<string, { role: TargetRole; untilMs: number }>();
-  #state = EMPTY_CONTROL;
+  #state = EMPTY_CONTROL_STATE;
   #campaign: Campaign | undefined;
   #wantedSinceMs = Infinity;
   #engineCount = -1;
@@ -213,7 +213,7 @@
   #begin(): Campaign {
     const { vmId, incarnation, leaseMs } = this.#options;
     this.#clockPartMs = this.#readClockPart();
-    const machine = new LeaseMachine({
+    const machine = new LeaseStateMachine({
       vm: vmId,
       // A claim of an earlier campaign is another's claim, whose silence is waited for.
       incarnation: `${incarnation}.${this.#campaigns++}`,
@@ -242,7 +242,7 @@
       if (verdict.kind === "gap") {
         // What expired is older than any lease; the claims that follow tell the rest.
         machine.loadState(
-          { ...EMPTY_CONTROL, offset: verdict.first - 1 },
+          { ...EMPTY_CONTROL_STATE, offset: verdict.first - 1 },
           this.#nowMs,
         );
         continue;
--- a/packages/heatherarch-forward/tasks/status_server.ts
+++ b/packages/heatherarch-forward/tasks/status_server.ts
@@ -80,7 +80,7 @@
     const request = context.path.slice(QUARANTINE_PATH.length + 1);
     if (context.method === "GET" && request === "") {
       const unixMs = clock.readWallMs() - nowMs;
-      const held = quarantine.listHeld(nowMs);
+      const held = quarantine.listQuarantined(nowMs);
       context.body = { quarantined: held.map((one) => describe(one, unixMs)) };
     } else if (context.method === "DELETE" && request !== "") {
       context.status = quarantine.clear(request, nowMs) ? 204 : 404;
--- a/packages/heatherarch-forward/tasks/store_reading.ts
+++ b/packages/heatherarch-forward/tasks/store_reading.ts
@@ -18,7 +18,7 @@
 import type { TargetDirectory } from "../beliefs/target_directory.ts";
 import type { TargetHealth } from "../beliefs/target_health.ts";
 import type { TargetRests } from "../beliefs/target_rests.ts";
-import type { LossInquiry } from "heatherarch-quarantine";
+import type { CrashDetector } from "heatherarch-quarantine";
 import { TopicFollower } from "./topic_follower.ts";
 
 /** Options of {@linkcode StoreReading}. */
@@ -38,7 +38,7 @@
   readonly configs: ConfigView;
   readonly directory: TargetDirectory;
   readonly connections: TargetConnections;
-  readonly losses: LossInquiry;
+  readonly losses: CrashDetector;
   readonly prompts: PromptIndex;
   readonly health: TargetHealth;
   readonly rests: TargetRests;
@@ -236,7 +236,7 @@
   ): void {
     const { directory, losses, metrics } = this.#options;
     for (const { key, value } of entries) {
-      if (value !== undefined) losses.noteListed(value.id, value.address);
+      if (value !== undefined) losses.recordListing(value.id, value.address);
       if (value?.leaving) this.#logLeaving("targetLeaving", value.id, source);
       if (value === undefined && directory.isMissing(key)) {
         metrics.targetsKept.inc();
--- a/packages/heatherarch-forward/vm_beliefs.ts
+++ b/packages/heatherarch-forward/vm_beliefs.ts
@@ -30,7 +30,7 @@
 import { ForwardMetrics } from "./metrics.ts";
 import type { CallCodec } from "./ports.ts";
 import type { Serving } from "./serving.ts";
-import { LossInquiry } from "heatherarch-quarantine";
+import { CrashDetector } from "heatherarch-quarantine";
 
 /** Options of {@linkcode buildServing}. */
 export interface BuildServingOptions {
@@ -136,8 +136,8 @@
     "quarantine" | "directory" | "clock" | "log" | "metrics"
   >,
   targetProbe: Pick<TargetProbe, "probe"> = new TargetProbe(),
-): LossInquiry {
-  return new LossInquiry({
+): CrashDetector {
+  return new CrashDetector({
     targetProbe,
     quarantine,
     clock,
@@ -153,7 +153,7 @@
         reason,
         probe,
       }),
-    onEnded: (target, evidence, requests) => {
+    onCrash: (target, evidence, requests) => {
       metrics.targetsEnded.inc();
       log.write("warn", "targetEnded", { target, evidence, requests });
     },
--- a/packages/heatherarch-gateway/gateway.ts
+++ b/packages/heatherarch-gateway/gateway.ts
@@ -124,7 +124,7 @@
 
   /** Forgets idle accounts. */
   sweep(): void {
-    this.#limits.sweep(this.#host.clock.readMonotonicMs());
+    this.#limits.removeIdleAccounts(this.#host.clock.readMonotonicMs());
   }
 
   async #handle(ctx: Koa.Context): Promise<void> {
@@ -228,7 +228,7 @@
     const promptTokens = estimateTokens(request.prompt);
     const maxTokens = checkTokens(request, promptTokens, profile);
     const deadlineAtMs = startedAtMs + this.#readDeadlineMs(ctx, profile);
-    this.#host.demand.note(promptTokens, maxTokens, startedAtMs);
+    this.#host.demand.recordRequest(promptTokens, maxTokens, startedAtMs);
     const release = this.#acquire(account, startedAtMs);
     const watched = this.#admit(ctx, account, bytes, requestId, release);
     await answerGeneration(ctx, {
@@ -353,7 +353,7 @@
       nowMs,
     );
     const release = unwrap(acquired);
-    this.#host.retries.noteRequest();
+    this.#host.retries.recordRequest();
     return release;
   }
 
--- a/packages/heatherarch-gateway/generation.ts
+++ b/packages/heatherarch-gateway/generation.ts
@@ -176,7 +176,7 @@
     const router = this.#host.getRouter(profile.routing);
     const nowMs = this.#host.clock.readMonotonicMs();
     const lookup = profile.priority === "lookup";
-    if (lookup) this.#host.lookups.note(service, nowMs);
+    if (lookup) this.#host.lookups.recordLookup(service, nowMs);
     return router.planRoute({
       promptTokens: promptTokens + this.#delivered.length,
       outputTokens: maxTokens - this.#delivered.length,
@@ -184,7 +184,7 @@
       kvTransferMinTokens: profile.kvTransferMinTokens,
       remainingMs: this.#options.deadlineAtMs - nowMs,
       tokenGapMs: profile.tokenGapMs,
-      spreadKey: this.#options.requestId,
+      tieBreakKey: this.#options.requestId,
       reserveShare: lookup ? 0 : this.#host.lookups.readShare(service, nowMs),
     }, fresh.length > 0 ? fresh : all);
   }
@@ -197,7 +197,7 @@
       const work = this.#host.tracker.begin(decode.id, 0, nowMs);
       this.#handover = { target: decode, work };
     }
-    this.#beginLeg(plan.first, {
+    this.#beginLeg(plan.primary, {
       firstTokenMs: plan.firstTokenMs,
       handsOver: decode !== undefined,
     });
@@ -256,7 +256,7 @@
     if (this.#isAbandoned(leg)) return;
     const nowMs = this.#host.clock.readMonotonicMs();
     if (leg.received === 0) this.#noteFirstOfLeg(leg, nowMs);
-    else leg.work.noteGap((nowMs - leg.lastAtMs) / texts.length, nowMs);
+    else leg.work.recordTokenGap((nowMs - leg.lastAtMs) / texts.length, nowMs);
     leg.received += texts.length;
     leg.lastAtMs = nowMs;
     assertInvariant(
@@ -276,7 +276,7 @@
   }
 
   #noteFirstOfLeg(leg: Leg, nowMs: number): void {
-    leg.work.notePrefilled(nowMs);
+    leg.work.recordFirstToken(nowMs);
     if (leg.call.kvImport !== undefined || leg.resumed) return;
     const observedMs = nowMs - leg.startedAtMs;
     this.#host.model.observeFirstToken(
@@ -312,7 +312,7 @@
       this.#cachedTokens = end.cachedTokens;
       const router = this.#host.getRouter(this.#options.profile.routing);
       if (router instanceof AdaptiveRouter && end.promptTokens > 0) {
-        router.observeHit(end.cachedTokens / end.promptTokens);
+        router.observeCacheHit(end.cachedTokens / end.promptTokens);
       }
     }
   }
--- a/packages/heatherarch-gateway/request_watch.ts
+++ b/packages/heatherarch-gateway/request_watch.ts
@@ -5,8 +5,8 @@
  */
 import { type Clock, createId, ServeError } from "heatherarch-core";
 import {
+  type CrashDetector,
   hashRequest,
-  type LossInquiry,
   type RequestContent,
   type RequestQuarantine,
 } from "heatherarch-quarantine";
@@ -31,7 +31,7 @@
 /** Options of {@linkcode QuarantineWatch}. */
 export interface QuarantineWatchOptions {
   readonly quarantine: RequestQuarantine;
-  readonly losses: LossInquiry;
+  readonly losses: CrashDetector;
   readonly clock: Clock;
 }
 
@@ -55,7 +55,7 @@
     if (admission.kind === "quarantined") {
       const message =
         "the request is quarantined: it crashed the targets that ran it";
-      const retryAfterMs = admission.held.untilMs - nowMs;
+      const retryAfterMs = admission.entry.untilMs - nowMs;
       throw new ServeError("quarantined", message, { retryAfterMs });
     }
     if (admission.kind === "onTrial") {
@@ -69,7 +69,7 @@
     return {
       noteLost: (target, reason) => {
         hasLost = true;
-        void losses.take({
+        void losses.investigateLoss({
           call: requestId,
           request,
           account: content.host,
@@ -81,7 +81,7 @@
       mayRepeat: () => !hasLost || !quarantine.isLastTrial(request),
       end: (isWhole) => {
         if (admission.kind === "trial") admission.end();
-        if (isWhole) quarantine.noteSuccess(request, clock.readMonotonicMs());
+        if (isWhole) quarantine.markSuccess(request, clock.readMonotonicMs());
       },
     };
   }
--- a/packages/heatherarch-lab/bench/machine_costs.ts
+++ b/packages/heatherarch-lab/bench/machine_costs.ts
@@ -4,7 +4,7 @@
  * @module
  */
 import { ClaimFold, CLAIMS_FORMAT } from "heatherarch-claims";
-import { LeaseMachine } from "heatherarch-lease";
+import { LeaseStateMachine } from "heatherarch-lease";
 import {
   applyConfigRecord,
   CONFIG_FORMAT,
@@ -179,7 +179,7 @@
       pendingPrefillTokens: (i * 97) % 3000,
     },
     maxConcurrent: 64,
-    distanceMs: 0,
+    roundTripMs: 0,
   }));
   const microseconds = measureStep(2000, (index) => {
     router.planRoute({
@@ -190,7 +190,7 @@
       reserveShare: 0.1,
       remainingMs: 20_000,
       tokenGapMs: 37,
-      spreadKey: `r${index}`,
+      tieBreakKey: `r${index}`,
     }, candidates);
   });
   return {
@@ -230,7 +230,7 @@
 
 function measureLease(): MachineCost {
   let ids = 0;
-  const machine = new LeaseMachine({
+  const machine = new LeaseStateMachine({
     vm: "vm",
     incarnation: "r",
     durationMs: 4000,
--- a/packages/heatherarch-lab/proofs/fake_host.ts
+++ b/packages/heatherarch-lab/proofs/fake_host.ts
@@ -141,7 +141,7 @@
     tracker: new LoadTracker({ reportLagMs: 0 }),
     model,
     demand: new DemandMeter(1000),
-    retries: new RetryBudget({ share: 1, reserve: 100 }),
+    retries: new RetryBudget({ share: 1, capacity: 100 }),
     lookups: new LookupReserve({ share: settings.requests.lookupReserveShare }),
     claims: {
       claim: options.answerClaim ??
@@ -176,7 +176,7 @@
     role: "mixed",
     load: { running: 0, waiting: 0, pendingPrefillTokens: 0 },
     maxConcurrent: 64,
-    distanceMs: 0,
+    roundTripMs: 0,
   };
 }
 
--- a/packages/heatherarch-lab/proofs/lease_proof.ts
+++ b/packages/heatherarch-lab/proofs/lease_proof.ts
@@ -9,7 +9,7 @@
   LEASE_GUARDS,
   type LeaseAction,
   type LeaseGuard,
-  LeaseMachine,
+  LeaseStateMachine,
 } from "heatherarch-lease";
 import { buildGuardSet, type Proof, requirePromise } from "./proof.ts";
 
@@ -36,7 +36,7 @@
 
 interface Process {
   readonly incarnation: string;
-  machine: LeaseMachine;
+  machine: LeaseStateMachine;
   readSentAtMs: number;
 }
 
@@ -86,7 +86,7 @@
 
   #createProcess(index: number): Process {
     const incarnation = `run${this.#incarnations++}`;
-    const machine = new LeaseMachine({
+    const machine = new LeaseStateMachine({
       vm: `vm${index}`,
       incarnation,
       durationMs: DURATION_MS,
--- a/packages/heatherarch-lab/proofs/quarantine_proof.ts
+++ b/packages/heatherarch-lab/proofs/quarantine_proof.ts
@@ -6,7 +6,7 @@
  */
 import fc from "fast-check";
 import {
-  type CrashNote,
+  type CrashReport,
   QUARANTINE_GUARDS,
   type QuarantineGuard,
   RequestQuarantine,
@@ -59,7 +59,7 @@
 
 interface Message {
   readonly to: number;
-  readonly notes: readonly CrashNote[];
+  readonly notes: readonly CrashReport[];
   readonly sentStep: number;
   readonly step: number;
 }
@@ -165,7 +165,7 @@
     this.#runs = this.#runs.filter((run) => run.place !== place);
     for (const { vm, request, endTrial } of lost) {
       endTrial();
-      this.#vms[vm].noteCrash(request, ACCOUNT, life, this.#nowMs);
+      this.#vms[vm].recordCrash(request, ACCOUNT, life, this.#nowMs);
       if (request === POPULAR) this.#isPopularSound = false;
       requirePromise(
         request === POISON || !this.#succeeded.has(vm) ||
@@ -189,7 +189,7 @@
   #succeed(run: Run): void {
     this.#runs = this.#runs.filter((other) => other !== run);
     run.endTrial();
-    this.#vms[run.vm].noteSuccess(run.request, this.#nowMs);
+    this.#vms[run.vm].markSuccess(run.request, this.#nowMs);
     requirePromise(
       this.#vms[run.vm].countCrashes(run.request) === 0,
       "a success clears",
@@ -208,7 +208,7 @@
     const due = this.#messages.filter(({ step }) => step <= this.#step);
     this.#messages = this.#messages.filter(({ step }) => step > this.#step);
     for (const { to, notes, sentStep } of due) {
-      this.#vms[to].notePeer(notes, sentStep * STEP_MS);
+      this.#vms[to].mergePeerReports(notes, sentStep * STEP_MS);
     }
   }
 
@@ -223,17 +223,17 @@
       this.#cursors.delete(link);
       return;
     }
-    const told = this.#vms[from].listNotes(
+    const told = this.#vms[from].listReports(
       this.#cursors.get(link),
       this.#nowMs,
     );
     this.#cursors.set(link, told.cursor);
-    if (told.notes.length === 0) return;
+    if (told.reports.length === 0) return;
     const { delays } = this.#schedule;
     const delay = delays[this.#delays++ % delays.length];
     const sentStep = this.#step;
     const step = sentStep + delay;
-    this.#messages.push({ to, notes: told.notes, sentStep, step });
+    this.#messages.push({ to, notes: told.reports, sentStep, step });
   }
 
   /** All links work, until nothing is on its way. */
@@ -254,7 +254,8 @@
         `${request}: ${counts}`,
       );
     }
-    const isHeld = this.#vms[0].findHeld(POPULAR, this.#nowMs) !== undefined;
+    const isHeld =
+      this.#vms[0].findQuarantined(POPULAR, this.#nowMs) !== undefined;
     requirePromise(
       !this.#isPopularSound || !isHeld,
       "a request of which a run goes well is not held back",
--- a/packages/heatherarch-lease/control_fold.ts
+++ b/packages/heatherarch-lease/control_fold.ts
@@ -55,7 +55,7 @@
 }
 
 /** The state before the first record. */
-export const EMPTY_CONTROL: ControlState = Object.freeze({
+export const EMPTY_CONTROL_STATE: ControlState = Object.freeze({
   offset: -1,
   claim: null,
   open: {},
@@ -64,10 +64,12 @@
   seen: [],
 });
 
-const RECENT_LIMIT = 50;
-const SEEN_LIMIT = 200;
+const MAX_RECENT_INTENTS = 50;
+const MAX_SEEN_IDS = 200;
 
-type Draft = { -readonly [Key in keyof ControlState]: ControlState[Key] };
+type MutableControlState = {
+  -readonly [Key in keyof ControlState]: ControlState[Key];
+};
 
 /** Applies the record that follows `state`. */
 export function applyControlRecord(
@@ -79,17 +81,17 @@
     "control-contiguous",
     `offset ${record.offset} after ${state.offset}`,
   );
-  const draft: Draft = { ...state, offset: record.offset };
+  const draft: MutableControlState = { ...state, offset: record.offset };
   const parsed = parseControlRecord(record.data);
   if (parsed === undefined || parsed.type === "snapshot") return draft;
   if (state.seen.includes(parsed.id)) return draft;
-  draft.seen = [...state.seen, parsed.id].slice(-SEEN_LIMIT);
+  draft.seen = [...state.seen, parsed.id].slice(-MAX_SEEN_IDS);
   applyParsed(draft, parsed, record.offset);
   return draft;
 }
 
 function applyParsed(
-  draft: Draft,
+  draft: MutableControlState,
   record: Exclude<ControlRecord, { type: "snapshot" }>,
   offset: number,
 ): void {
@@ -134,7 +136,7 @@
 }
 
 function applyIntent(
-  draft: Draft,
+  draft: MutableControlState,
   record: Extract<ControlRecord, { type: "intent" }>,
   offset: number,
 ): void {
@@ -151,7 +153,7 @@
 }
 
 function applyOutcome(
-  draft: Draft,
+  draft: MutableControlState,
   record: Extract<ControlRecord, { type: "outcome" }>,
 ): void {
   const intent = Object.values(draft.open).find((open) =>
@@ -165,7 +167,7 @@
     result: record.result,
     detail: record.detail,
   };
-  draft.recent = [...draft.recent, closed].slice(-RECENT_LIMIT);
+  draft.recent = [...draft.recent, closed].slice(-MAX_RECENT_INTENTS);
   if (record.result === "done" && intent.order.kind === "setRole") {
     draft.roleChanges++;
   }
--- a/packages/heatherarch-lease/control_records.ts
+++ b/packages/heatherarch-lease/control_records.ts
@@ -10,7 +10,7 @@
 export const CONTROL_FORMAT = 1;
 
 /** Name of the control stream of an availability zone. */
-export function buildControlStream(availabilityZone: string): string {
+export function buildControlStreamName(availabilityZone: string): string {
   return `control.${availabilityZone}`;
 }
 
--- a/packages/heatherarch-lease/lease_machine.ts
+++ b/packages/heatherarch-lease/lease_state_machine.ts
@@ -8,12 +8,12 @@
 import {
   applyControlRecord,
   type ControlState,
-  EMPTY_CONTROL,
+  EMPTY_CONTROL_STATE,
   type OffsetRecord,
 } from "./control_fold.ts";
 import { CONTROL_FORMAT, type ControlRecord } from "./control_records.ts";
 
-/** Options of {@linkcode LeaseMachine}. All times are milliseconds. */
+/** Options of {@linkcode LeaseStateMachine}. All times are milliseconds. */
 export interface LeaseOptions {
   readonly vm: string;
   readonly incarnation: string;
@@ -45,32 +45,32 @@
   readonly record: ControlRecord;
 }
 
-interface SentRecord {
+interface SentAppend {
   readonly id: string;
   readonly sentAtMs: number;
 }
 
 /** Appends that are not confirmed after this many lease times are forgotten. */
-const SENT_RETENTION_LEASES = 4;
+const SENT_RETENTION_LEASE_TIMES = 4;
 
 /** The lease as one VM sees it. */
-export class LeaseMachine {
+export class LeaseStateMachine {
   readonly #options: LeaseOptions;
-  readonly #off: ReadonlySet<LeaseGuard>;
-  #state: ControlState = EMPTY_CONTROL;
-  #sent: SentRecord[] = [];
+  readonly #disabledGuards: ReadonlySet<LeaseGuard>;
+  #state: ControlState = EMPTY_CONTROL_STATE;
+  #sentAppends: SentAppend[] = [];
   /** Monotonic time at which the present claim's last sign was read. */
-  #signReadAtMs = -Infinity;
+  #holderSeenAtMs = -Infinity;
   /** Own authority lasts until then; -Infinity without one. */
-  #confirmedUntilMs = -Infinity;
-  #mayActFromMs = Infinity;
-  #lastRenewSentMs = -Infinity;
+  #authorityUntilMs = -Infinity;
+  #authorityFromMs = Infinity;
+  #lastRenewalSentMs = -Infinity;
   #lastClaimSentMs = -Infinity;
-  #wanted = true;
+  #wantsLease = true;
 
   constructor(options: LeaseOptions) {
     this.#options = options;
-    this.#off = options.disabledGuards ?? new Set();
+    this.#disabledGuards = options.disabledGuards ?? new Set();
   }
 
   get state(): ControlState {
@@ -92,19 +92,21 @@
 
   /** Monotonic time until which the lease surely lasts. */
   get authorityUntilMs(): number {
-    return this.#confirmedUntilMs;
+    return this.#authorityUntilMs;
   }
 
   /** Whether an order may be given at `nowMs`. To be asked in the turn that writes it. */
   hasAuthority(nowMs: number): boolean {
-    if (!this.isHolder && !this.#off.has("displacedEndsAuthority")) {
+    if (!this.isHolder && !this.#disabledGuards.has("displacedEndsAuthority")) {
       return false;
     }
-    if (nowMs < this.#mayActFromMs && !this.#off.has("leaseWait")) return false;
-    if (this.#off.has("leaseExpiry")) {
-      return this.#confirmedUntilMs !== -Infinity;
+    if (
+      nowMs < this.#authorityFromMs && !this.#disabledGuards.has("leaseWait")
+    ) return false;
+    if (this.#disabledGuards.has("leaseExpiry")) {
+      return this.#authorityUntilMs !== -Infinity;
     }
-    return nowMs < this.#confirmedUntilMs;
+    return nowMs < this.#authorityUntilMs;
   }
 
   /** Replaces the state by one from a snapshot; never goes back. */
@@ -112,8 +114,8 @@
     if (state.offset <= this.#state.offset) return;
     const wasHolder = this.isHolder;
     this.#state = state;
-    this.#signReadAtMs = nowMs;
-    if (wasHolder && !this.isHolder) this.#loseAuthority();
+    this.#holderSeenAtMs = nowMs;
+    if (wasHolder && !this.isHolder) this.#revokeAuthority();
   }
 
   /** Takes in the next record of the stream, read at `nowMs`. */
@@ -122,12 +124,12 @@
     this.#state = applyControlRecord(this.#state, record);
     const { claim } = this.#state;
     if (claim === null || claim === before) return;
-    this.#signReadAtMs = nowMs;
+    this.#holderSeenAtMs = nowMs;
     const vacant = before === null || before.released;
     if (claim.claimOffset !== before?.claimOffset) {
-      this.#takeNewClaim(record, nowMs, vacant);
-    } else if (this.isHolder) this.#confirm(record);
-    if (claim.released) this.#loseAuthority();
+      this.#handleNewClaim(record, nowMs, vacant);
+    } else if (this.isHolder) this.#extendAuthority(record);
+    if (claim.released) this.#revokeAuthority();
   }
 
   /**
@@ -135,17 +137,17 @@
    * last read that reached the end of the stream was *sent*.
    */
   tick(nowMs: number, logReadAtMs: number): LeaseAction[] {
-    this.#forgetOldSends(nowMs);
-    if (!this.#wanted) return [];
+    this.#dropOldSends(nowMs);
+    if (!this.#wantsLease) return [];
     if (this.isHolder) return this.#buildRenewal(nowMs);
     return this.#buildClaim(nowMs, logReadAtMs);
   }
 
   /** Gives the lease up for good, as a graceful shutdown does. */
   resign(): LeaseAction[] {
-    this.#wanted = false;
+    this.#wantsLease = false;
     const wasHolder = this.isHolder;
-    this.#loseAuthority();
+    this.#revokeAuthority();
     if (!wasHolder) return [];
     return [this.#buildAppend({
       type: "release",
@@ -156,12 +158,12 @@
   }
 
   #buildRenewal(nowMs: number): LeaseAction[] {
-    if (nowMs - this.#lastRenewSentMs < this.#options.renewMs) return [];
-    this.#lastRenewSentMs = nowMs;
+    if (nowMs - this.#lastRenewalSentMs < this.#options.renewMs) return [];
+    this.#lastRenewalSentMs = nowMs;
     const id = this.#options.createId();
-    this.#sent.push({ id, sentAtMs: nowMs });
-    if (this.#off.has("renewalMustBeRead")) {
-      this.#confirmedUntilMs = nowMs + this.#options.durationMs;
+    this.#sentAppends.push({ id, sentAtMs: nowMs });
+    if (this.#disabledGuards.has("renewalMustBeRead")) {
+      this.#authorityUntilMs = nowMs + this.#options.durationMs;
     }
     return [this.#buildAppend({
       type: "renew",
@@ -177,11 +179,11 @@
     const vacant = claim === null || claim.released;
     // The silence must have been observed: the reading has to be recent.
     if (nowMs - logReadAtMs > durationMs / 2) return [];
-    if (!vacant && logReadAtMs - this.#signReadAtMs < durationMs) return [];
+    if (!vacant && logReadAtMs - this.#holderSeenAtMs < durationMs) return [];
     if (nowMs - this.#lastClaimSentMs < durationMs / 2) return [];
     this.#lastClaimSentMs = nowMs;
     const id = createId();
-    this.#sent.push({ id, sentAtMs: nowMs });
+    this.#sentAppends.push({ id, sentAtMs: nowMs });
     return [this.#buildAppend({
       type: "claim",
       format: CONTROL_FORMAT,
@@ -189,7 +191,7 @@
       vm,
       incarnation,
       replaces: claim?.claimOffset ?? -1,
-      seenRenewal: this.#off.has("claimNamesPredecessor")
+      seenRenewal: this.#disabledGuards.has("claimNamesPredecessor")
         ? Number.MAX_SAFE_INTEGER
         : claim?.lastSignOffset ?? -1,
     })];
@@ -200,34 +202,36 @@
   }
 
   /** A claim has taken effect: ours or another's. */
-  #takeNewClaim(record: OffsetRecord, nowMs: number, vacant: boolean): void {
-    if (!this.isHolder) return this.#loseAuthority();
+  #handleNewClaim(record: OffsetRecord, nowMs: number, vacant: boolean): void {
+    if (!this.isHolder) return this.#revokeAuthority();
     const { durationMs, driftMs } = this.#options;
-    this.#mayActFromMs = vacant ? nowMs : nowMs + durationMs + driftMs;
-    this.#confirm(record);
+    this.#authorityFromMs = vacant ? nowMs : nowMs + durationMs + driftMs;
+    this.#extendAuthority(record);
   }
 
-  #confirm(record: OffsetRecord): void {
+  #extendAuthority(record: OffsetRecord): void {
     const id = (record.data as { id?: string } | null)?.id;
-    const sent = this.#sent.find((entry) => entry.id === id);
+    const sent = this.#sentAppends.find((entry) => entry.id === id);
     if (sent === undefined) return;
-    const fromMs = this.#off.has("countFromSend")
-      ? this.#signReadAtMs
+    const fromMs = this.#disabledGuards.has("countFromSend")
+      ? this.#holderSeenAtMs
       : sent.sentAtMs;
-    this.#confirmedUntilMs = Math.max(
-      this.#confirmedUntilMs,
+    this.#authorityUntilMs = Math.max(
+      this.#authorityUntilMs,
       fromMs + this.#options.durationMs,
     );
   }
 
-  #loseAuthority(): void {
-    if (this.#off.has("displacedEndsAuthority")) return;
-    this.#confirmedUntilMs = -Infinity;
-    this.#mayActFromMs = Infinity;
+  #revokeAuthority(): void {
+    if (this.#disabledGuards.has("displacedEndsAuthority")) return;
+    this.#authorityUntilMs = -Infinity;
+    this.#authorityFromMs = Infinity;
   }
 
-  #forgetOldSends(nowMs: number): void {
-    const limit = nowMs - this.#options.durationMs * SENT_RETENTION_LEASES;
-    this.#sent = this.#sent.filter((entry) => entry.sentAtMs >= limit);
+  #dropOldSends(nowMs: number): void {
+    const limit = nowMs - this.#options.durationMs * SENT_RETENTION_LEASE_TIMES;
+    this.#sentAppends = this.#sentAppends.filter((entry) =>
+      entry.sentAtMs >= limit
+    );
   }
 }
--- a/packages/heatherarch-lease/mod.ts
+++ b/packages/heatherarch-lease/mod.ts
@@ -5,4 +5,4 @@
  */
 export * from "./control_fold.ts";
 export * from "./control_records.ts";
-export * from "./lease_machine.ts";
+export * from "./lease_state_machine.ts";
--- a/packages/heatherarch-policy/account_limits.ts
+++ b/packages/heatherarch-policy/account_limits.ts
@@ -14,9 +14,9 @@
 }
 
 /** Share of `maxInFlight` above which fair shares apply. */
-const FAIR_SHARE_FROM = 0.8;
+const FAIR_SHARE_THRESHOLD = 0.8;
 /** An account unused for this long is forgotten, milliseconds. */
-const FORGET_MS = 300_000;
+const IDLE_EXPIRY_MS = 300_000;
 
 interface AccountRecord {
   tokens: number;
@@ -61,19 +61,19 @@
     record.refilledAtMs = nowMs;
     if (record.tokens < 1) {
       const retryAfterMs = Math.ceil((1 - record.tokens) * 1000 / rate);
-      return refuse(
+      return reject(
         `account ${account.name} is over its request rate`,
         retryAfterMs,
       );
     }
     if (record.inFlight >= Math.max(1, account.maxConcurrent / vmCount)) {
-      return refuse(
+      return reject(
         `account ${account.name} has too many requests in progress`,
         500,
       );
     }
-    if (!this.#hasFairShare(record)) {
-      return refuse(
+    if (!this.#isWithinFairShare(record)) {
+      return reject(
         `account ${account.name} is over its share of a full VM`,
         1000,
       );
@@ -91,18 +91,20 @@
   }
 
   /** Forgets accounts that have been idle for long. */
-  sweep(nowMs: number): void {
+  removeIdleAccounts(nowMs: number): void {
     for (const [name, record] of this.#accounts) {
-      if (record.inFlight === 0 && nowMs - record.refilledAtMs > FORGET_MS) {
+      if (
+        record.inFlight === 0 && nowMs - record.refilledAtMs > IDLE_EXPIRY_MS
+      ) {
         this.#accounts.delete(name);
       }
     }
   }
 
-  #hasFairShare(record: AccountRecord): boolean {
+  #isWithinFairShare(record: AccountRecord): boolean {
     const { maxInFlight } = this.#options;
     if (this.#inFlight >= maxInFlight) return false;
-    if (this.#inFlight < maxInFlight * FAIR_SHARE_FROM) return true;
+    if (this.#inFlight < maxInFlight * FAIR_SHARE_THRESHOLD) return true;
     let weights = record.inFlight === 0 ? record.weight : 0;
     for (const other of this.#accounts.values()) {
       if (other.inFlight > 0) weights += other.weight;
@@ -127,7 +129,7 @@
   }
 }
 
-function refuse(
+function reject(
   message: string,
   retryAfterMs: number,
 ): Result<() => void, ServeError> {
--- a/packages/heatherarch-policy/admission.ts
+++ b/packages/heatherarch-policy/admission.ts
@@ -21,21 +21,21 @@
 }
 
 /** Predictions err; a request is refused only where it would miss its deadline clearly. */
-export const DEFAULT_ADMISSION: AdmissionOptions = { slack: 1 };
+export const DEFAULT_ADMISSION_OPTIONS: AdmissionOptions = { slack: 1 };
 
-const LONGEST_RETRY_AFTER_MS = 30_000;
+const MAX_RETRY_AFTER_MS = 30_000;
 
 /** Checks a planned request against its deadline. */
 export function checkAdmission(
   request: AdmissionRequest,
   plan: RoutePlan,
-  options: AdmissionOptions = DEFAULT_ADMISSION,
+  options: AdmissionOptions = DEFAULT_ADMISSION_OPTIONS,
 ): Result<RoutePlan, ServeError> {
   const neededMs = plan.firstTokenMs +
-    Math.max(0, request.outputTokens - 1) * plan.gapMs;
+    Math.max(0, request.outputTokens - 1) * plan.tokenGapMs;
   if (neededMs <= request.remainingMs * options.slack) return Ok(plan);
   const shortMs = neededMs - request.remainingMs;
-  const retryAfterMs = Math.min(LONGEST_RETRY_AFTER_MS, Math.max(200, shortMs));
+  const retryAfterMs = Math.min(MAX_RETRY_AFTER_MS, Math.max(200, shortMs));
   const message = `about ${Math.round(neededMs)} ms are needed, ` +
     `${Math.round(request.remainingMs)} ms are left`;
   return Err(
--- a/packages/heatherarch-policy/candidate.ts
+++ b/packages/heatherarch-policy/candidate.ts
@@ -19,10 +19,10 @@
   readonly role: EngineRole;
   readonly load: TargetLoad;
   /** Gap between tokens that this VM sees there; undefined without a fresh one. */
-  readonly gapMs?: number;
+  readonly tokenGapMs?: number;
   readonly maxConcurrent: number;
   /** Time to reach it and back, milliseconds, as far as the zone tells. */
-  readonly distanceMs: number;
+  readonly roundTripMs: number;
 }
 
 /** What is to be routed. */
@@ -39,7 +39,7 @@
   /** Gap between tokens that the profile allows, milliseconds. */
   readonly tokenGapMs: number;
   /** Spreads equally good choices; the id of the request. */
-  readonly spreadKey: string;
+  readonly tieBreakKey: string;
   /** Only targets that keep this share of their places free may take it. */
   readonly reserveShare: number;
 }
@@ -47,11 +47,11 @@
 /** Where a request goes. */
 export interface RoutePlan {
   /** Engine that prefills, and generates where `decode` is absent. */
-  readonly first: Candidate;
+  readonly primary: Candidate;
   /** Engine that takes the KV cache over and generates. */
   readonly decode?: Candidate;
   /** Predicted time to the first token, milliseconds. */
   readonly firstTokenMs: number;
   /** Predicted gap between tokens, milliseconds. */
-  readonly gapMs: number;
+  readonly tokenGapMs: number;
 }
--- a/packages/heatherarch-policy/demand_meter.ts
+++ b/packages/heatherarch-policy/demand_meter.ts
@@ -33,23 +33,27 @@
   decode: number;
 }
 
-const BUCKETS = 10;
+const BUCKET_COUNT = 10;
 
 /** A meter over `windowMs`. */
 export class DemandMeter {
   readonly #windowMs: number;
   readonly #bucketMs: number;
   readonly #buckets: Bucket[] = [];
-  #firstMs: number | undefined;
+  #firstRequestMs: number | undefined;
 
   constructor(windowMs: number) {
     this.#windowMs = windowMs;
-    this.#bucketMs = windowMs / BUCKETS;
+    this.#bucketMs = windowMs / BUCKET_COUNT;
   }
 
   /** Notes a request that arrived. */
-  note(prefillTokens: number, decodeTokens: number, nowMs: number): void {
-    this.#firstMs ??= nowMs;
+  recordRequest(
+    prefillTokens: number,
+    decodeTokens: number,
+    nowMs: number,
+  ): void {
+    this.#firstRequestMs ??= nowMs;
     let bucket = this.#buckets.at(-1);
     if (bucket === undefined || nowMs - bucket.startMs >= this.#bucketMs) {
       bucket = { startMs: nowMs, prefill: 0, decode: 0 };
@@ -67,10 +71,10 @@
     ) {
       this.#buckets.shift();
     }
-    if (this.#firstMs === undefined) return NO_DEMAND;
+    if (this.#firstRequestMs === undefined) return NO_DEMAND;
     const spanMs = Math.min(
       this.#windowMs,
-      Math.max(this.#bucketMs, nowMs - this.#firstMs),
+      Math.max(this.#bucketMs, nowMs - this.#firstRequestMs),
     );
     let prefill = 0;
     let decode = 0;
--- a/packages/heatherarch-policy/engine_model.ts
+++ b/packages/heatherarch-policy/engine_model.ts
@@ -24,13 +24,13 @@
 };
 
 /** Prompt tokens that an engine of a role takes into one step. */
-const CHUNK_TOKENS: Record<EngineRole, number> = {
+const PREFILL_CHUNK_TOKENS: Record<EngineRole, number> = {
   prefill: 4096,
   decode: 64,
   mixed: 256,
 };
 /** Sequences that an engine of a role runs at once. */
-const BATCH_LIMIT: Record<EngineRole, number> = {
+const MAX_BATCH_SIZE: Record<EngineRole, number> = {
   prefill: 16,
   decode: 64,
   mixed: 40,
@@ -43,7 +43,7 @@
 export class EngineModel {
   #speeds: EngineSpeedEstimate;
   /** Observed time to the first token over the predicted one, by role. */
-  readonly #firstTokenFactor: Record<EngineRole, number> = {
+  readonly #firstTokenCorrection: Record<EngineRole, number> = {
     prefill: 1,
     decode: 1,
     mixed: 1,
@@ -72,29 +72,29 @@
     const prefillMs = tokens * 1000 / this.#predictPrefillRate(role, load);
     const stepMs = this.#predictStepMs(role, load);
     const queueMs = this.#predictQueueMs(role, load);
-    return (stepMs + prefillMs + queueMs) * this.#firstTokenFactor[role];
+    return (stepMs + prefillMs + queueMs) * this.#firstTokenCorrection[role];
   }
 
   /** Gap between tokens with one more sequence on the engine. */
-  predictGapMs(role: EngineRole, load: TargetLoad): number {
+  predictTokenGapMs(role: EngineRole, load: TargetLoad): number {
     return this.#predictStepMs(role, load);
   }
 
   /** Steps that a prompt takes on an engine of a role. */
   countChunks(role: EngineRole, promptTokens: number): number {
-    return Math.ceil(promptTokens / CHUNK_TOKENS[role]);
+    return Math.ceil(promptTokens / PREFILL_CHUNK_TOKENS[role]);
   }
 
   /** Prompt tokens a second that one engine of a role prefills when it does nothing else. */
   predictPrefillCapacity(role: EngineRole): number {
-    const chunk = CHUNK_TOKENS[role];
+    const chunk = PREFILL_CHUNK_TOKENS[role];
     const chunkMs = chunk * 1000 / this.#speeds.prefillTokensPerSecond;
     return chunk * 1000 / (this.#speeds.stepMs + chunkMs);
   }
 
   /** Tokens a second that one engine of a role generates with a full batch. */
   predictDecodeCapacity(role: EngineRole): number {
-    const batch = BATCH_LIMIT[role];
+    const batch = MAX_BATCH_SIZE[role];
     return batch * 1000 /
       (this.#speeds.stepMs + batch * this.#speeds.decodeMsPerSequence);
   }
@@ -110,7 +110,7 @@
       MAX_CORRECTION,
       Math.max(1 / MAX_CORRECTION, observedMs / predictedMs),
     );
-    const factors = this.#firstTokenFactor;
+    const factors = this.#firstTokenCorrection;
     const next = factors[role] * ratio ** LEARNING_RATE;
     factors[role] = Math.min(
       MAX_CORRECTION,
@@ -121,8 +121,11 @@
   #predictStepMs(role: EngineRole, load: TargetLoad): number {
     const { stepMs, decodeMsPerSequence, prefillTokensPerSecond } =
       this.#speeds;
-    const sequences = Math.min(BATCH_LIMIT[role], load.running + 1);
-    const chunk = Math.min(CHUNK_TOKENS[role], load.pendingPrefillTokens);
+    const sequences = Math.min(MAX_BATCH_SIZE[role], load.running + 1);
+    const chunk = Math.min(
+      PREFILL_CHUNK_TOKENS[role],
+      load.pendingPrefillTokens,
+    );
     return stepMs + sequences * decodeMsPerSequence +
       chunk * 1000 / prefillTokensPerSecond;
   }
@@ -130,8 +133,8 @@
   #predictPrefillRate(role: EngineRole, load: TargetLoad): number {
     const { stepMs, decodeMsPerSequence, prefillTokensPerSecond } =
       this.#speeds;
-    const chunk = CHUNK_TOKENS[role];
-    const decodeMs = Math.min(BATCH_LIMIT[role], load.running) *
+    const chunk = PREFILL_CHUNK_TOKENS[role];
+    const decodeMs = Math.min(MAX_BATCH_SIZE[role], load.running) *
       decodeMsPerSequence;
     const chunkMs = chunk * 1000 / prefillTokensPerSecond;
     return chunk * 1000 / (stepMs + decodeMs + chunkMs);
@@ -139,11 +142,11 @@
 
   /** Wait for a place in a full batch. */
   #predictQueueMs(role: EngineRole, load: TargetLoad): number {
-    const ahead = load.running + load.waiting + 1 - BATCH_LIMIT[role];
+    const ahead = load.running + load.waiting + 1 - MAX_BATCH_SIZE[role];
     if (ahead <= 0) return 0;
     const sequenceMs = this.#predictStepMs(role, load) *
       MEAN_OUTPUT_TOKENS[role];
-    return ahead * sequenceMs / BATCH_LIMIT[role];
+    return ahead * sequenceMs / MAX_BATCH_SIZE[role];
   }
 }
 
--- a/packages/heatherarch-policy/load_tracker.ts
+++ b/packages/heatherarch-policy/load_tracker.ts
@@ -12,7 +12,7 @@
   readonly atMs: number;
 }
 
-interface Change {
+interface LoadChange {
   readonly atMs: number;
   readonly sequences: number;
   readonly prefillTokens: number;
@@ -21,17 +21,17 @@
 interface TargetRecord {
   outstanding: number;
   /** Running mean of the gaps between tokens of this VM's streams, milliseconds. */
-  gapMs: number;
-  gapAtMs: number;
-  changes: Change[];
+  tokenGapMs: number;
+  tokenGapAtMs: number;
+  changes: LoadChange[];
 }
 
 /** Work that has been started and may be ended once. */
 export interface TrackedWork {
   /** The first token has arrived: the prompt is no longer pending. */
-  notePrefilled(nowMs: number): void;
+  recordFirstToken(nowMs: number): void;
   /** Tokens arrived `gapMs` after the ones before them. */
-  noteGap(gapMs: number, nowMs: number): void;
+  recordTokenGap(gapMs: number, nowMs: number): void;
   end(nowMs: number): void;
 }
 
@@ -41,10 +41,10 @@
   readonly reportLagMs: number;
 }
 
-const KEEP_MS = 10_000;
+const CHANGE_RETENTION_MS = 10_000;
 /** How long an observed gap counts. */
-const GAP_KEPT_MS = 1000;
-const GAP_RATE = 0.02;
+const TOKEN_GAP_MAX_AGE_MS = 1000;
+const TOKEN_GAP_SMOOTHING = 0.02;
 
 /** This VM's own work, by target. */
 export class LoadTracker {
@@ -59,21 +59,29 @@
   begin(target: string, prefillTokens: number, nowMs: number): TrackedWork {
     const record = this.#getRecord(target);
     record.outstanding++;
-    this.#add(record, { atMs: nowMs, sequences: 1, prefillTokens });
+    this.#addChange(record, { atMs: nowMs, sequences: 1, prefillTokens });
     let pending = prefillTokens;
     let open = true;
     return {
-      notePrefilled: (atMs) => {
+      recordFirstToken: (atMs) => {
         if (pending === 0) return;
-        this.#add(record, { atMs, sequences: 0, prefillTokens: -pending });
+        this.#addChange(record, {
+          atMs,
+          sequences: 0,
+          prefillTokens: -pending,
+        });
         pending = 0;
       },
-      noteGap: (gapMs, atMs) => noteGap(record, gapMs, atMs),
+      recordTokenGap: (gapMs, atMs) => updateTokenGap(record, gapMs, atMs),
       end: (atMs) => {
         if (!open) return;
         open = false;
         record.outstanding--;
-        this.#add(record, { atMs, sequences: -1, prefillTokens: -pending });
+        this.#addChange(record, {
+          atMs,
+          sequences: -1,
+          prefillTokens: -pending,
+        });
       },
     };
   }
@@ -84,12 +92,14 @@
   }
 
   /** Mean gap between tokens that this VM sees at a target; undefined without a fresh one. */
-  readGapMs(target: string, nowMs: number): number | undefined {
+  readTokenGapMs(target: string, nowMs: number): number | undefined {
     const record = this.#targets.get(target);
-    if (record === undefined || nowMs - record.gapAtMs > GAP_KEPT_MS) {
+    if (
+      record === undefined || nowMs - record.tokenGapAtMs > TOKEN_GAP_MAX_AGE_MS
+    ) {
       return undefined;
     }
-    return record.gapMs;
+    return record.tokenGapMs;
   }
 
   /** Best estimate of a target's load now. */
@@ -114,11 +124,11 @@
     };
   }
 
-  #add(record: TargetRecord, change: Change): void {
+  #addChange(record: TargetRecord, change: LoadChange): void {
     const { changes } = record;
     changes.push(change);
     if (changes.length % 64 !== 0) return;
-    const limit = change.atMs - KEEP_MS;
+    const limit = change.atMs - CHANGE_RETENTION_MS;
     const kept = changes.findIndex((entry) => entry.atMs >= limit);
     if (kept > 0) changes.splice(0, kept);
   }
@@ -126,17 +136,26 @@
   #getRecord(target: string): TargetRecord {
     let record = this.#targets.get(target);
     if (record === undefined) {
-      record = { outstanding: 0, gapMs: 0, gapAtMs: -Infinity, changes: [] };
+      record = {
+        outstanding: 0,
+        tokenGapMs: 0,
+        tokenGapAtMs: -Infinity,
+        changes: [],
+      };
       this.#targets.set(target, record);
     }
     return record;
   }
 }
 
-function noteGap(record: TargetRecord, gapMs: number, nowMs: number): void {
-  const fresh = nowMs - record.gapAtMs > GAP_KEPT_MS;
-  record.gapMs = fresh
+function updateTokenGap(
+  record: TargetRecord,
+  gapMs: number,
+  nowMs: number,
+): void {
+  const fresh = nowMs - record.tokenGapAtMs > TOKEN_GAP_MAX_AGE_MS;
+  record.tokenGapMs = fresh
     ? gapMs
-    : record.gapMs + (gapMs - record.gapMs) * GAP_RATE;
-  record.gapAtMs = nowMs;
+    : record.tokenGapMs + (gapMs - record.tokenGapMs) * TOKEN_GAP_SMOOTHING;
+  record.tokenGapAtMs = nowMs;
 }
--- a/packages/heatherarch-policy/lookup_reserve.ts
+++ b/packages/heatherarch-policy/lookup_reserve.ts
@@ -11,7 +11,7 @@
 }
 
 /** How long the reserve is kept after a lookup. */
-const KEPT_MS = 60_000;
+const RESERVE_RETENTION_MS = 60_000;
 
 /** Remembers which services get lookups. */
 export class LookupReserve {
@@ -23,13 +23,15 @@
   }
 
   /** Notes a lookup on a service. */
-  note(service: string, nowMs: number): void {
+  recordLookup(service: string, nowMs: number): void {
     this.#lastLookupMs.set(service, nowMs);
   }
 
   /** Share of places that other requests must leave free. */
   readShare(service: string, nowMs: number): number {
     const last = this.#lastLookupMs.get(service);
-    return last !== undefined && nowMs - last < KEPT_MS ? this.#share : 0;
+    return last !== undefined && nowMs - last < RESERVE_RETENTION_MS
+      ? this.#share
+      : 0;
   }
 }
--- a/packages/heatherarch-policy/retry_budget.ts
+++ b/packages/heatherarch-policy/retry_budget.ts
@@ -9,33 +9,33 @@
   /** Retries earned by each fresh request. */
   readonly share: number;
   /** Retries that may be saved up. */
-  readonly reserve?: number;
+  readonly capacity?: number;
 }
 
-const DEFAULT_RESERVE = 20;
+const DEFAULT_CAPACITY = 20;
 /** Shares add up with rounding errors. */
-const ROUNDING = 1e-9;
+const ROUNDING_TOLERANCE = 1e-9;
 
 /** Counts what may still be retried. */
 export class RetryBudget {
   readonly #share: number;
-  readonly #reserve: number;
+  readonly #capacity: number;
   #tokens: number;
 
   constructor(options: RetryBudgetOptions) {
     this.#share = options.share;
-    this.#reserve = options.reserve ?? DEFAULT_RESERVE;
-    this.#tokens = this.#reserve;
+    this.#capacity = options.capacity ?? DEFAULT_CAPACITY;
+    this.#tokens = this.#capacity;
   }
 
   /** A fresh request earns a share of a retry. */
-  noteRequest(): void {
-    this.#tokens = Math.min(this.#reserve, this.#tokens + this.#share);
+  recordRequest(): void {
+    this.#tokens = Math.min(this.#capacity, this.#tokens + this.#share);
   }
 
   /** Spends one retry; false where none is left. */
   spendRetry(): boolean {
-    if (this.#tokens < 1 - ROUNDING) return false;
+    if (this.#tokens < 1 - ROUNDING_TOLERANCE) return false;
     this.#tokens = Math.max(0, this.#tokens - 1);
     return true;
   }
--- a/packages/heatherarch-policy/role_planner.ts
+++ b/packages/heatherarch-policy/role_planner.ts
@@ -17,7 +17,7 @@
 }
 
 /** What a planner looks at. */
-export interface PlanInput {
+export interface RolePlanInput {
   readonly engines: readonly PlannedEngine[];
   readonly demand: Demand;
   /** A change is already in progress in this availability zone. */
@@ -35,9 +35,9 @@
 
 /** Proposes role changes. */
 export interface RolePlanner {
-  plan(input: PlanInput): RoleChange | undefined;
+  plan(input: RolePlanInput): RoleChange | undefined;
   /** Takes in how long an engine was away for a change, milliseconds. */
-  noteChange?(awayMs: number): void;
+  recordChange?(awayMs: number): void;
 }
 
 /** Creates the planner that the fleet configuration names. */
@@ -47,7 +47,7 @@
 ): RolePlanner {
   switch (planning.policy) {
     case "none":
-      return new FixedRoles();
+      return new FixedRolePlanner();
     case "greedy":
       return new GreedyPlanner(planning, model);
     case "horizon":
@@ -56,7 +56,7 @@
 }
 
 /** Never changes a role. */
-export class FixedRoles implements RolePlanner {
+export class FixedRolePlanner implements RolePlanner {
   plan(): undefined {
     return undefined;
   }
@@ -72,9 +72,9 @@
     this.#model = model;
   }
 
-  plan(input: PlanInput): RoleChange | undefined {
+  plan(input: RolePlanInput): RoleChange | undefined {
     if (input.changing) return undefined;
-    const need = computeNeed(input.demand, this.#model);
+    const need = computeRequiredEngines(input.demand, this.#model);
     const total = need.prefill + need.decode;
     if (total === 0) return undefined;
     const { minimumPerRole } = this.#planning;
@@ -94,46 +94,46 @@
 }
 
 /** Rounds of planning for which a change must look right before it is proposed. */
-const CONFIRMING_ROUNDS = 2;
+const CONFIRMATION_ROUNDS = 2;
 /** Prefill that a decoder takes in beside its own work, in prefillers. */
-const PREFILL_ON_DECODER = 0.42;
+const DECODER_PREFILL_CAPACITY = 0.42;
 /** Decoders busier than this take in less prefill. */
-const ABSORBING_UTILIZATION = 0.5;
+const FULL_PREFILL_UTILIZATION = 0.5;
 /** Generation that a prefiller takes in, in decoders. */
-const DECODE_ON_PREFILLER = 0.1;
+const PREFILLER_DECODE_CAPACITY = 0.1;
 /** Weight of the newest regime in the mean length of regimes. */
-const REGIME_RATE = 0.4;
+const REGIME_SMOOTHING = 0.4;
 /** Share of the horizon that a first regime is expected to last. */
-const FIRST_REGIME_SHARE = 0.25;
+const INITIAL_REGIME_SHARE = 0.25;
 /** A regime that has outlasted the mean is expected to last this share of its age longer. */
-const OUTLASTED_SHARE = 0.5;
+const REGIME_EXTENSION_SHARE = 0.5;
 /** Time away for a change over the setting, at first: draining takes its share. */
-const FIRST_AWAY_FACTOR = 1.5;
-const AWAY_RATE = 0.3;
+const INITIAL_CHANGE_TIME_FACTOR = 1.5;
+const CHANGE_TIME_SMOOTHING = 0.3;
 
 /** Changes a role only where the gain over a horizon exceeds the change's cost. */
 export class HorizonPlanner implements RolePlanner {
   readonly #planning: Planning;
   readonly #model: EngineModel;
   #proposal: { role: EngineRole; rounds: number } | undefined;
-  readonly #regimes: RegimeClock;
+  readonly #regimes: RegimeEstimator;
   /** Mean time from the announcement of a change to its end. */
-  #awayMs: number;
+  #meanChangeMs: number;
 
   constructor(planning: Planning, model: EngineModel) {
     this.#planning = planning;
     this.#model = model;
-    this.#regimes = new RegimeClock(planning.horizonMs);
-    this.#awayMs = planning.changeMs * FIRST_AWAY_FACTOR;
+    this.#regimes = new RegimeEstimator(planning.horizonMs);
+    this.#meanChangeMs = planning.changeMs * INITIAL_CHANGE_TIME_FACTOR;
   }
 
-  noteChange(awayMs: number): void {
-    this.#awayMs += (awayMs - this.#awayMs) * AWAY_RATE;
+  recordChange(awayMs: number): void {
+    this.#meanChangeMs += (awayMs - this.#meanChangeMs) * CHANGE_TIME_SMOOTHING;
   }
 
-  plan(input: PlanInput): RoleChange | undefined {
-    const need = computeNeed(input.demand, this.#model);
-    this.#regimes.note(need, input.nowMs);
+  plan(input: RolePlanInput): RoleChange | undefined {
+    const need = computeRequiredEngines(input.demand, this.#model);
+    this.#regimes.recordDemand(need, input.nowMs);
     if (input.changing) return undefined;
     const best = this.#findBest(input, need);
     if (best === undefined) {
@@ -144,17 +144,20 @@
       ? this.#proposal.rounds + 1
       : 1;
     this.#proposal = { role: best.role, rounds };
-    if (rounds < CONFIRMING_ROUNDS) return undefined;
+    if (rounds < CONFIRMATION_ROUNDS) return undefined;
     this.#proposal = undefined;
     return best;
   }
 
-  #findBest(input: PlanInput, need: WorkNeed): RoleChange | undefined {
+  #findBest(
+    input: RolePlanInput,
+    need: RequiredEngines,
+  ): RoleChange | undefined {
     const { changeWeight } = this.#planning;
-    const awayMs = this.#awayMs;
+    const awayMs = this.#meanChangeMs;
     const horizonMs = this.#regimes.predictRemainingMs(input.nowMs);
     const counts = countRoles(input.engines);
-    const now = estimateServed(counts, need);
+    const now = estimateServedShare(counts, need);
     let best: RoleChange | undefined;
     for (const role of ["prefill", "decode", "mixed"] as const) {
       const engine = pickEngine(input.engines, role);
@@ -162,9 +165,9 @@
       const away = { ...counts, [engine.role]: counts[engine.role] - 1 };
       if (!this.#keepsMinimum(away, engine.role)) continue;
       const after = { ...away, [role]: away[role] + 1 };
-      const gained = (estimateServed(after, need) - now) *
+      const gained = (estimateServedShare(after, need) - now) *
         Math.max(0, horizonMs - awayMs);
-      const lost = Math.max(0, now - estimateServed(away, need)) * awayMs;
+      const lost = Math.max(0, now - estimateServedShare(away, need)) * awayMs;
       const fixed = changeWeight * awayMs / input.engines.length;
       const gain = (gained - lost - fixed) / horizonMs;
       if (gain > 0 && gain > (best?.gain ?? 0)) {
@@ -182,33 +185,36 @@
 }
 
 /** Learns how long the mix stays on one side, and so what a role change can still bring. */
-class RegimeClock {
-  readonly #longestMs: number;
+class RegimeEstimator {
+  readonly #maxMs: number;
   #meanMs: number;
-  #prefillPrevails: boolean | undefined;
+  #isPrefillDominant: boolean | undefined;
   #sinceMs = 0;
 
   constructor(longestMs: number) {
-    this.#longestMs = longestMs;
-    this.#meanMs = longestMs * FIRST_REGIME_SHARE;
+    this.#maxMs = longestMs;
+    this.#meanMs = longestMs * INITIAL_REGIME_SHARE;
   }
 
-  note(need: WorkNeed, nowMs: number): void {
+  recordDemand(need: RequiredEngines, nowMs: number): void {
     if (need.prefill + need.decode === 0) return;
     const prevails = need.prefill > need.decode;
-    if (prevails === this.#prefillPrevails) return;
-    if (this.#prefillPrevails !== undefined) {
-      const lastedMs = Math.min(this.#longestMs, nowMs - this.#sinceMs);
-      this.#meanMs += (lastedMs - this.#meanMs) * REGIME_RATE;
+    if (prevails === this.#isPrefillDominant) return;
+    if (this.#isPrefillDominant !== undefined) {
+      const lastedMs = Math.min(this.#maxMs, nowMs - this.#sinceMs);
+      this.#meanMs += (lastedMs - this.#meanMs) * REGIME_SMOOTHING;
     }
-    this.#prefillPrevails = prevails;
+    this.#isPrefillDominant = prevails;
     this.#sinceMs = nowMs;
   }
 
   predictRemainingMs(nowMs: number): number {
     const ageMs = nowMs - this.#sinceMs;
-    const leftMs = Math.max(this.#meanMs - ageMs, ageMs * OUTLASTED_SHARE);
-    return Math.min(this.#longestMs, leftMs);
+    const leftMs = Math.max(
+      this.#meanMs - ageMs,
+      ageMs * REGIME_EXTENSION_SHARE,
+    );
+    return Math.min(this.#maxMs, leftMs);
   }
 }
 
@@ -216,13 +222,16 @@
 export type RoleCounts = Readonly<Record<EngineRole, number>>;
 
 /** Work in engines: how many of the fitting role the demand would keep busy. */
-export interface WorkNeed {
+export interface RequiredEngines {
   readonly prefill: number;
   readonly decode: number;
 }
 
 /** Turns demand into engines needed. */
-export function computeNeed(demand: Demand, model: EngineModel): WorkNeed {
+export function computeRequiredEngines(
+  demand: Demand,
+  model: EngineModel,
+): RequiredEngines {
   return {
     prefill: demand.prefillTokensPerSecond /
       model.predictPrefillCapacity("prefill"),
@@ -253,20 +262,23 @@
  * Share of the demand that a split of roles serves, 0 to 1. Engines of the other role take in
  * what is beyond the engines of a role, at their lower efficiency.
  */
-export function estimateServed(counts: RoleCounts, need: WorkNeed): number {
+export function estimateServedShare(
+  counts: RoleCounts,
+  need: RequiredEngines,
+): number {
   const total = need.prefill + need.decode;
   if (total === 0) return 1;
-  const mixed = counts.mixed * MIXED_EFFICIENCY;
+  const mixed = counts.mixed * MIXED_ENGINE_EFFICIENCY;
   const prefillers = counts.prefill + mixed * need.prefill / total;
   const decoders = counts.decode + mixed * need.decode / total;
   const utilization = decoders === 0 ? 1 : need.decode / decoders;
   const absorbing = Math.min(
     1,
-    Math.max(0, 1 + ABSORBING_UTILIZATION - utilization),
+    Math.max(0, 1 + FULL_PREFILL_UTILIZATION - utilization),
   );
   const prefillCapacity = prefillers +
-    decoders * PREFILL_ON_DECODER * absorbing;
-  const decodeCapacity = decoders + prefillers * DECODE_ON_PREFILLER;
+    decoders * DECODER_PREFILL_CAPACITY * absorbing;
+  const decodeCapacity = decoders + prefillers * PREFILLER_DECODE_CAPACITY;
   const share = (capacity: number, wanted: number) =>
     wanted === 0 ? 1 : capacity / wanted;
   return Math.min(
@@ -277,4 +289,4 @@
 }
 
 /** Efficiency of a mixed engine at either work. */
-const MIXED_EFFICIENCY = 0.8;
+const MIXED_ENGINE_EFFICIENCY = 0.8;
--- a/packages/heatherarch-policy/router_static.ts
+++ b/packages/heatherarch-policy/router_static.ts
@@ -46,13 +46,13 @@
   #predict(first: Candidate, request: RouteRequest): RoutePlan {
     const { role, load } = first;
     return {
-      first,
+      primary: first,
       firstTokenMs: this.#model.predictFirstTokenMs(
         role,
         load,
         request.promptTokens,
       ),
-      gapMs: this.#model.predictGapMs(role, load),
+      tokenGapMs: this.#model.predictTokenGapMs(role, load),
     };
   }
 }
--- a/packages/heatherarch-policy/tests/unit/policy_test.ts
+++ b/packages/heatherarch-policy/tests/unit/policy_test.ts
@@ -8,7 +8,7 @@
   type Candidate,
   checkAdmission,
   EngineModel,
-  estimateServed,
+  estimateServedShare,
   GreedyPlanner,
   HorizonPlanner,
   LoadTracker,
@@ -44,7 +44,7 @@
     role: "mixed",
     load: { running: 0, waiting: 0, pendingPrefillTokens: 0 },
     maxConcurrent: 64,
-    distanceMs: 0,
+    roundTripMs: 0,
     ...values,
   };
 }
@@ -58,7 +58,7 @@
     reserveShare: 0,
     remainingMs: 20_000,
     tokenGapMs: 37,
-    spreadKey: "r",
+    tieBreakKey: "r",
     ...values,
   };
 }
@@ -69,16 +69,16 @@
     load: { running: 30, waiting: 10, pendingPrefillTokens: 40_000 },
   });
   const plan = router.planRoute(buildRequest(), [busy, buildCandidate("free")]);
-  assert.equal(plan?.first.id, "free");
+  assert.equal(plan?.primary.id, "free");
 });
 
 test("requests that share a prefix meet on the same engines while these have room", () => {
   const router = new AdaptiveRouter(new EngineModel());
   const engines = Array.from({ length: 8 }, (_, i) => buildCandidate(`e${i}`));
   const request = buildRequest({ promptTokens: 2000, kvTransferMinTokens: 0 });
-  const first = router.planRoute(request, engines)?.first.id;
+  const first = router.planRoute(request, engines)?.primary.id;
   for (let i = 0; i < 5; i++) {
-    assert.equal(router.planRoute(request, engines)?.first.id, first);
+    assert.equal(router.planRoute(request, engines)?.primary.id, first);
   }
 });
 
@@ -96,7 +96,7 @@
     prefiller,
     decoder,
   ]);
-  assert.equal(plan?.first.id, "p");
+  assert.equal(plan?.primary.id, "p");
   assert.equal(plan?.decode?.id, "d");
 });
 
@@ -115,14 +115,18 @@
 test("the reserve is kept for a service as long as lookups come to it", () => {
   const reserve = new LookupReserve({ share: 0.1 });
   assert.equal(reserve.readShare("reader", 0), 0);
-  reserve.note("reader", 1000);
+  reserve.recordLookup("reader", 1000);
   assert.equal(reserve.readShare("reader", 2000), 0.1);
   assert.equal(reserve.readShare("other", 2000), 0);
   assert.equal(reserve.readShare("reader", 62_000), 0);
 });
 
 test("admission refuses at once what can't be in time, and says when to come back", () => {
-  const plan = { first: buildCandidate("e"), firstTokenMs: 900, gapMs: 40 };
+  const plan = {
+    primary: buildCandidate("e"),
+    firstTokenMs: 900,
+    tokenGapMs: 40,
+  };
   const refused = checkAdmission(
     { remainingMs: 2000, outputTokens: 100 },
     plan,
@@ -169,10 +173,10 @@
 });
 
 test("retries are a share of fresh requests", () => {
-  const budget = new RetryBudget({ share: 0.1, reserve: 1 });
+  const budget = new RetryBudget({ share: 0.1, capacity: 1 });
   assert.ok(budget.spendRetry());
   assert.equal(budget.spendRetry(), false);
-  for (let i = 0; i < 10; i++) budget.noteRequest();
+  for (let i = 0; i < 10; i++) budget.recordRequest();
   assert.ok(budget.spendRetry());
 });
 
@@ -188,7 +192,7 @@
   const work = tracker.begin("e", 70, 900);
   assert.equal(tracker.estimate("e", report).running, 4);
   assert.equal(tracker.estimate("e", report).pendingPrefillTokens, 170);
-  work.notePrefilled(950);
+  work.recordFirstToken(950);
   work.end(990);
   work.end(995);
   assert.equal(tracker.estimate("e", report).running, 3);
@@ -197,9 +201,16 @@
 
 test("a balanced split serves all, a lopsided one does not", () => {
   const need = { prefill: 3, decode: 3 };
-  assert.equal(estimateServed({ prefill: 4, decode: 4, mixed: 0 }, need), 1);
-  assert.ok(estimateServed({ prefill: 1, decode: 4, mixed: 0 }, need) < 0.9);
-  assert.ok(estimateServed({ prefill: 6, decode: 2, mixed: 0 }, need) < 0.9);
+  assert.equal(
+    estimateServedShare({ prefill: 4, decode: 4, mixed: 0 }, need),
+    1,
+  );
+  assert.ok(
+    estimateServedShare({ prefill: 1, decode: 4, mixed: 0 }, need) < 0.9,
+  );
+  assert.ok(
+    estimateServedShare({ prefill: 6, decode: 2, mixed: 0 }, need) < 0.9,
+  );
 });
 
 test("the horizon planner needs a lasting gain; the greedy one does not", () => {
--- a/packages/heatherarch-quarantine/loss_inquiry.ts
+++ b/packages/heatherarch-quarantine/crash_detector.ts
@@ -21,13 +21,13 @@
 }
 
 /** What showed that a target crashed. */
-export type EndEvidence =
+export type CrashEvidence =
   | "refusedConnection"
   /** Another incarnation answers, or is listed, at its address. */
   | "replaced";
 
-/** Options of {@linkcode LossInquiry}. */
-export interface LossInquiryOptions {
+/** Options of {@linkcode CrashDetector}. */
+export interface CrashDetectorOptions {
   readonly targetProbe: Pick<TargetProbe, "probe">;
   readonly quarantine: RequestQuarantine;
   readonly clock: Clock;
@@ -35,55 +35,55 @@
   readonly isInService: (target: string) => boolean;
   readonly onLoss: (loss: Loss, probe: ProbeResult) => void;
   /** A target crashed while it had these requests. */
-  readonly onEnded: (
+  readonly onCrash: (
     target: string,
-    evidence: EndEvidence,
+    evidence: CrashEvidence,
     requests: readonly string[],
   ) => void;
 }
 
-interface OpenLoss extends Loss {
+interface PendingLoss extends Loss {
   readonly atMs: number;
 }
 
 /** A crashed process is usually restarted and listed again within this time, milliseconds. */
-const OPEN_MS = 10_000;
+const EVIDENCE_WINDOW_MS = 10_000;
 /** Losses that wait for evidence. */
-const MAX_OPEN = 1024;
+const MAX_PENDING_LOSSES = 1024;
 
 /** Investigates lost exchanges. */
-export class LossInquiry {
-  readonly #options: LossInquiryOptions;
+export class CrashDetector {
+  readonly #options: CrashDetectorOptions;
   /** By incarnation of the target. */
-  readonly #open = new Map<string, OpenLoss[]>();
-  #openCount = 0;
+  readonly #pending = new Map<string, PendingLoss[]>();
+  #pendingCount = 0;
 
-  constructor(options: LossInquiryOptions) {
+  constructor(options: CrashDetectorOptions) {
     this.#options = options;
   }
 
   /** Probes the target; settles with the result. Never rejects. */
-  async take(loss: Loss): Promise<ProbeResult> {
+  async investigateLoss(loss: Loss): Promise<ProbeResult> {
     const { targetProbe, onLoss } = this.#options;
-    this.#addOpen(loss);
+    this.#addPending(loss);
     const probe = await targetProbe.probe(loss.address);
     onLoss(loss, probe);
-    if (probe === "refused") this.noteEnded(loss.target, "refusedConnection");
+    if (probe === "refused") this.recordCrash(loss.target, "refusedConnection");
     return probe;
   }
 
   /** A target crashed: reports it for all requests that were lost there. */
-  noteEnded(target: string, evidence: EndEvidence): void {
-    const { quarantine, clock, onEnded } = this.#options;
+  recordCrash(target: string, evidence: CrashEvidence): void {
+    const { quarantine, clock, onCrash: onEnded } = this.#options;
     const nowMs = clock.readMonotonicMs();
-    const losses = (this.#open.get(target) ?? [])
-      .filter(({ atMs }) => nowMs - atMs <= OPEN_MS);
-    this.#dropOpen(target);
+    const losses = (this.#pending.get(target) ?? [])
+      .filter(({ atMs }) => nowMs - atMs <= EVIDENCE_WINDOW_MS);
+    this.#dropPending(target);
     if (losses.length === 0) return;
     const requests = new Set(losses.map(({ request }) => request));
     onEnded(target, evidence, [...requests]);
     for (const { request, account, atMs } of losses) {
-      quarantine.noteCrash(request, account, target, atMs);
+      quarantine.recordCrash(request, account, target, atMs);
     }
   }
 
@@ -91,28 +91,28 @@
    * A target is listed: another incarnation at its address has crashed. A removed entry is no
    * evidence, since the entries of partitioned targets expire as well.
    */
-  noteListed(target: string, address: Address): void {
-    for (const [life, [loss]] of this.#open) {
+  recordListing(target: string, address: Address): void {
+    for (const [life, [loss]] of this.#pending) {
       if (life === target || loss.address !== address) continue;
-      this.noteEnded(life, "replaced");
+      this.recordCrash(life, "replaced");
     }
   }
 
-  #addOpen(loss: Loss): void {
+  #addPending(loss: Loss): void {
     const { isInService, clock } = this.#options;
     const { target } = loss;
     if (!isInService(target)) return;
-    const losses = this.#open.get(target) ?? [];
+    const losses = this.#pending.get(target) ?? [];
     losses.push({ ...loss, atMs: clock.readMonotonicMs() });
-    this.#openCount++;
-    this.#open.delete(target);
-    this.#open.set(target, losses);
-    const [oldest] = this.#open.keys();
-    if (this.#openCount > MAX_OPEN) this.#dropOpen(oldest);
+    this.#pendingCount++;
+    this.#pending.delete(target);
+    this.#pending.set(target, losses);
+    const [oldest] = this.#pending.keys();
+    if (this.#pendingCount > MAX_PENDING_LOSSES) this.#dropPending(oldest);
   }
 
-  #dropOpen(target: string): void {
-    this.#openCount -= this.#open.get(target)?.length ?? 0;
-    this.#open.delete(target);
+  #dropPending(target: string): void {
+    this.#pendingCount -= this.#pending.get(target)?.length ?? 0;
+    this.#pending.delete(target);
   }
 }
--- a/packages/heatherarch-quarantine/mod.ts
+++ b/packages/heatherarch-quarantine/mod.ts
@@ -3,7 +3,7 @@
  *
  * @module
  */
-export * from "./loss_inquiry.ts";
+export * from "./crash_detector.ts";
 export * from "./request_digest.ts";
 export * from "./request_quarantine.ts";
 export * from "./target_probe.ts";
--- a/packages/heatherarch-quarantine/request_quarantine.ts
+++ b/packages/heatherarch-quarantine/request_quarantine.ts
@@ -15,7 +15,7 @@
  * A crash report for peers: digest of the request, its client account, the target's incarnation,
  * 1 if the crash counts or 0 if the request was cleared of it, and the report's age, milliseconds.
  */
-export type CrashNote = readonly [string, string, string, 0 | 1, number];
+export type CrashReport = readonly [string, string, string, 0 | 1, number];
 
 /** A quarantined request. */
 export interface QuarantinedRequest {
@@ -35,7 +35,7 @@
   | { readonly kind: "trial"; readonly end: () => void }
   /** A copy of it is on trial. */
   | { readonly kind: "onTrial" }
-  | { readonly kind: "quarantined"; readonly held: QuarantinedRequest };
+  | { readonly kind: "quarantined"; readonly entry: QuarantinedRequest };
 
 /** A request entered or left quarantine on this VM, by its own observation or a peer's report. */
 export interface QuarantineChange {
@@ -45,8 +45,8 @@
 }
 
 /** Crash reports from some cursor on. */
-export interface CrashNotes {
-  readonly notes: readonly CrashNote[];
+export interface CrashReportPage {
+  readonly reports: readonly CrashReport[];
   /** Where the next ones begin. */
   readonly cursor: number;
 }
@@ -73,16 +73,16 @@
   readonly disabledGuards?: ReadonlySet<QuarantineGuard>;
 }
 
-interface Fact {
+interface CrashEntry {
   readonly isCleared: boolean;
   readonly atMs: number;
   /** Sequence number, in the order in which this VM learned of it. */
-  readonly number: number;
+  readonly sequence: number;
 }
 
 interface Suspect {
   readonly account: string;
-  readonly facts: Map<string, Fact>;
+  readonly entries: Map<string, CrashEntry>;
 }
 
 const DEFAULT_MAX_CRASHES = 3;
@@ -90,14 +90,14 @@
 const DEFAULT_MAX_REQUESTS = 4096;
 const DEFAULT_MAX_PER_ACCOUNT = 256;
 /** Time for which a successful run vouches for a request, milliseconds. */
-const SOUND_MS = 60_000;
+const SUCCESS_VALID_MS = 60_000;
 /** Each further crash doubles the quarantine, up to so many times. */
 const MAX_DOUBLINGS = 6;
 /**
  * Crash reports in one message, some 30 KB. When many targets crash together all of their requests
  * become suspects; the rest of the reports follow in the next messages.
  */
-const MAX_TOLD = 256;
+const MAX_REPORTS_PER_PAGE = 256;
 
 /** Requests that are suspected of crashing targets. */
 export class RequestQuarantine {
@@ -107,9 +107,9 @@
   /** Monotonic times of the latest successful runs, least recent first. */
   readonly #succeededAtMs = new Map<string, number>();
   readonly #onTrial = new Set<string>();
-  readonly #newsListeners = new Set<() => void>();
+  readonly #reportListeners = new Set<() => void>();
   readonly #changeListeners = new Set<(change: QuarantineChange) => void>();
-  #factCount = 0;
+  #lastSequence = 0;
 
   constructor(options: RequestQuarantineOptions = {}) {
     this.#options = {
@@ -128,24 +128,24 @@
   }
 
   /** A target crashed while it had the request. */
-  noteCrash(
+  recordCrash(
     request: string,
     account: string,
     life: string,
     nowMs: number,
   ): void {
     const name = this.#isOff("livesCountOnce")
-      ? `${life} (${this.#factCount})`
+      ? `${life} (${this.#lastSequence})`
       : life;
-    if (!this.#add([request, account, name, 1, 0], nowMs)) return;
+    if (!this.#addReport([request, account, name, 1, 0], nowMs)) return;
     if (this.countCrashes(request) >= this.#options.maxCrashes) {
-      this.#notify({ kind: "held", request, isOwn: true });
+      this.#notifyChange({ kind: "held", request, isOwn: true });
     }
-    this.#notifyNews();
+    this.#notifyReports();
   }
 
   /** A run of the request succeeded: it is cleared, also of crashes reported soon after. */
-  noteSuccess(request: string, nowMs: number): boolean {
+  markSuccess(request: string, nowMs: number): boolean {
     this.#succeededAtMs.delete(request);
     this.#succeededAtMs.set(request, nowMs);
     const [oldest] = this.#succeededAtMs.keys();
@@ -162,28 +162,28 @@
     const isHeld = this.countCrashes(request) >= this.#options.maxCrashes;
     let isNews = false;
     for (const life of listCrashes(suspect)) {
-      const note: CrashNote = [request, suspect.account, life, 0, 0];
-      isNews = this.#add(note, nowMs) || isNews;
+      const note: CrashReport = [request, suspect.account, life, 0, 0];
+      isNews = this.#addReport(note, nowMs) || isNews;
     }
     if (!isNews) return false;
-    if (isHeld) this.#notify({ kind: "cleared", request, isOwn: true });
-    this.#notifyNews();
+    if (isHeld) this.#notifyChange({ kind: "cleared", request, isOwn: true });
+    this.#notifyReports();
     return true;
   }
 
   /** Merges a peer's crash reports. */
-  notePeer(notes: readonly CrashNote[], nowMs: number): void {
+  mergePeerReports(notes: readonly CrashReport[], nowMs: number): void {
     const before = new Map<string, number>();
     for (const note of notes) {
       const [request] = note;
       const crashes = this.countCrashes(request);
-      if (!this.#add(note, nowMs)) continue;
+      if (!this.#addReport(note, nowMs)) continue;
       if (!before.has(request)) before.set(request, crashes);
     }
     for (const [request, crashes] of before) {
-      this.#notifyPeer(request, crashes);
+      this.#notifyPeerChange(request, crashes);
     }
-    if (before.size > 0) this.#notifyNews();
+    if (before.size > 0) this.#notifyReports();
   }
 
   /** Crashes that count against a request. */
@@ -193,13 +193,16 @@
   }
 
   /** The quarantine of a request; undefined where there is none. */
-  findHeld(request: string, nowMs: number): QuarantinedRequest | undefined {
+  findQuarantined(
+    request: string,
+    nowMs: number,
+  ): QuarantinedRequest | undefined {
     const suspect = this.#suspects.get(request);
     if (suspect === undefined) return undefined;
     const lives = listCrashes(suspect);
     if (lives.length < this.#options.maxCrashes) return undefined;
     const sinceMs = findLatest(suspect);
-    const untilMs = sinceMs + this.#computeHoldMs(lives.length);
+    const untilMs = sinceMs + this.#computeQuarantineMs(lives.length);
     if (nowMs >= untilMs) return undefined;
     return { request, account: suspect.account, lives, sinceMs, untilMs };
   }
@@ -209,8 +212,8 @@
    * that concurrent copies do not crash several targets.
    */
   admit(request: string, nowMs: number): Admission {
-    const held = this.findHeld(request, nowMs);
-    if (held !== undefined) return { kind: "quarantined", held };
+    const held = this.findQuarantined(request, nowMs);
+    if (held !== undefined) return { kind: "quarantined", entry: held };
     if (!this.isLastTrial(request)) return { kind: "free" };
     if (this.#onTrial.has(request) && !this.#isOff("copiesOneAtATime")) {
       return { kind: "onTrial" };
@@ -225,46 +228,48 @@
   }
 
   /** All quarantined requests. */
-  listHeld(nowMs: number): QuarantinedRequest[] {
+  listQuarantined(nowMs: number): QuarantinedRequest[] {
     return [...this.#suspects.keys()]
-      .map((request) => this.findHeld(request, nowMs))
+      .map((request) => this.findQuarantined(request, nowMs))
       .filter((held) => held !== undefined);
   }
 
   /** The next crash reports after `cursor`, oldest first. */
-  listNotes(cursor: number | undefined, nowMs: number): CrashNotes {
+  listReports(cursor: number | undefined, nowMs: number): CrashReportPage {
     const from = cursor ?? 0;
-    if (from >= this.#factCount) return { notes: [], cursor: from };
+    if (from >= this.#lastSequence) return { reports: [], cursor: from };
     const facts = [...this.#suspects].flatMap(([request, suspect]) =>
-      [...suspect.facts]
-        .filter(([, fact]) => fact.number > from)
+      [...suspect.entries]
+        .filter(([, fact]) => fact.sequence > from)
         .map(([life, fact]) => ({ request, suspect, life, fact }))
     );
-    facts.sort((a, b) => a.fact.number - b.fact.number);
-    const told = facts.slice(0, MAX_TOLD);
+    facts.sort((a, b) => a.fact.sequence - b.fact.sequence);
+    const told = facts.slice(0, MAX_REPORTS_PER_PAGE);
     const isAll = told.length === facts.length;
-    const last = isAll ? this.#factCount : told[told.length - 1].fact.number;
-    const notes = told.map(({ request, suspect, life, fact }): CrashNote => {
+    const last = isAll
+      ? this.#lastSequence
+      : told[told.length - 1].fact.sequence;
+    const notes = told.map(({ request, suspect, life, fact }): CrashReport => {
       const ageMs = Math.max(0, Math.round(nowMs - fact.atMs));
       return [request, suspect.account, life, fact.isCleared ? 0 : 1, ageMs];
     });
-    return { notes, cursor: last };
+    return { reports: notes, cursor: last };
   }
 
   /** Forgets requests without reports for the length of their quarantine and a first one more. */
   expire(nowMs: number): void {
     for (const [request, suspect] of this.#suspects) {
       const crashes = listCrashes(suspect).length;
-      const keptMs = this.#computeHoldMs(crashes) + this.#options.holdMs;
+      const keptMs = this.#computeQuarantineMs(crashes) + this.#options.holdMs;
       if (nowMs - findLatest(suspect) > keptMs) this.#suspects.delete(request);
     }
   }
 
   /** Registers a listener for crash reports that are new to this VM and returns its undo. */
-  registerNewsListener(listener: () => void): () => void {
-    this.#newsListeners.add(listener);
+  registerReportListener(listener: () => void): () => void {
+    this.#reportListeners.add(listener);
     return () => {
-      this.#newsListeners.delete(listener);
+      this.#reportListeners.delete(listener);
     };
   }
 
@@ -279,43 +284,47 @@
   }
 
   /** Returns whether the report is new. */
-  #add(
-    [request, account, life, isCrash, ageMs]: CrashNote,
+  #addReport(
+    [request, account, life, isCrash, ageMs]: CrashReport,
     nowMs: number,
   ): boolean {
     const suspect = this.#suspects.get(request) ??
-      { account, facts: new Map<string, Fact>() };
-    const known = suspect.facts.get(life);
-    const isCleared = isCrash === 0 || this.#isSound(request, nowMs);
+      { account, entries: new Map<string, CrashEntry>() };
+    const known = suspect.entries.get(life);
+    const isCleared = isCrash === 0 || this.#hasRecentSuccess(request, nowMs);
     if (known?.isCleared && !this.#isOff("clearedStaysCleared")) return false;
     if (known !== undefined && known.isCleared === isCleared) return false;
     const atMs = nowMs - ageMs;
-    suspect.facts.set(life, { isCleared, atMs, number: ++this.#factCount });
+    suspect.entries.set(life, {
+      isCleared,
+      atMs,
+      sequence: ++this.#lastSequence,
+    });
     this.#suspects.delete(request);
     this.#suspects.set(request, suspect);
-    this.#dropExcess(account);
+    this.#evictExcess(account);
     return true;
   }
 
   /** Popular requests succeed all the time, so crashes of others can't add up against them. */
-  #isSound(request: string, nowMs: number): boolean {
+  #hasRecentSuccess(request: string, nowMs: number): boolean {
     if (this.#isOff("successesAreRemembered")) return false;
     const atMs = this.#succeededAtMs.get(request);
-    return atMs !== undefined && nowMs - atMs <= SOUND_MS;
+    return atMs !== undefined && nowMs - atMs <= SUCCESS_VALID_MS;
   }
 
   #isOff(guard: QuarantineGuard): boolean {
     return this.#options.disabledGuards.has(guard);
   }
 
-  #computeHoldMs(crashes: number): number {
+  #computeQuarantineMs(crashes: number): number {
     const { holdMs, maxCrashes } = this.#options;
     const doublings = Math.max(0, crashes - maxCrashes);
     return holdMs * 2 ** Math.min(doublings, MAX_DOUBLINGS);
   }
 
   /** Evicts the least recently reported requests; an account can't evict those of others. */
-  #dropExcess(account: string): void {
+  #evictExcess(account: string): void {
     const own = [...this.#suspects]
       .filter(([, suspect]) => suspect.account === account);
     if (own.length > this.#options.maxPerAccount) {
@@ -327,30 +336,30 @@
     }
   }
 
-  #notifyPeer(request: string, crashesBefore: number): void {
+  #notifyPeerChange(request: string, crashesBefore: number): void {
     const { maxCrashes } = this.#options;
     const crashes = this.countCrashes(request);
     if (crashes >= maxCrashes && crashes > crashesBefore) {
-      this.#notify({ kind: "held", request, isOwn: false });
+      this.#notifyChange({ kind: "held", request, isOwn: false });
     } else if (crashes < maxCrashes && crashesBefore >= maxCrashes) {
-      this.#notify({ kind: "cleared", request, isOwn: false });
+      this.#notifyChange({ kind: "cleared", request, isOwn: false });
     }
   }
 
-  #notify(change: QuarantineChange): void {
+  #notifyChange(change: QuarantineChange): void {
     for (const listener of [...this.#changeListeners]) listener(change);
   }
 
-  #notifyNews(): void {
-    for (const listener of [...this.#newsListeners]) listener();
+  #notifyReports(): void {
+    for (const listener of [...this.#reportListeners]) listener();
   }
 }
 
-function listCrashes({ facts }: Suspect): string[] {
+function listCrashes({ entries: facts }: Suspect): string[] {
   return [...facts].filter(([, fact]) => !fact.isCleared).map(([life]) => life);
 }
 
 /** Monotonic time of the latest report. */
-function findLatest({ facts }: Suspect): number {
+function findLatest({ entries: facts }: Suspect): number {
   return Math.max(...[...facts.values()].map(({ atMs }) => atMs));
 }
--- a/packages/heatherarch-quarantine/tests/unit/loss_inquiry_test.ts
+++ b/packages/heatherarch-quarantine/tests/unit/crash_detector_test.ts
@@ -1,7 +1,11 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import type { Clock } from "heatherarch-core";
-import { LossInquiry, type ProbeResult, RequestQuarantine } from "../../mod.ts";
+import {
+  CrashDetector,
+  type ProbeResult,
+  RequestQuarantine,
+} from "../../mod.ts";
 
 const TARGET = "t@1";
 const ADDRESS = "127.0.0.1:1";
@@ -10,16 +14,16 @@
 function build(result: ProbeResult, isInService = true) {
   let nowMs = 0;
   const quarantine = new RequestQuarantine();
-  const inquiry = new LossInquiry({
+  const inquiry = new CrashDetector({
     targetProbe: { probe: () => Promise.resolve(result) },
     quarantine,
     clock: { readMonotonicMs: () => nowMs } as unknown as Clock,
     isInService: () => isInService,
     onLoss: () => undefined,
-    onEnded: () => undefined,
+    onCrash: () => undefined,
   });
   const lose = (request: string) =>
-    inquiry.take({
+    inquiry.investigateLoss({
       call: "c",
       request,
       account: "a",
@@ -50,10 +54,10 @@
   const { inquiry, quarantine, lose, wait } = build("silent");
   await lose("r");
   wait(4000);
-  inquiry.noteListed(TARGET, ADDRESS);
-  inquiry.noteListed("u", "127.0.0.1:2");
+  inquiry.recordListing(TARGET, ADDRESS);
+  inquiry.recordListing("u", "127.0.0.1:2");
   assert.equal(quarantine.isEmpty, true);
-  inquiry.noteListed("t@2", ADDRESS);
+  inquiry.recordListing("t@2", ADDRESS);
   assert.equal(quarantine.countCrashes("r"), 1);
 });
 
@@ -62,7 +66,7 @@
   const { inquiry, quarantine, lose, wait } = build("silent");
   await lose("r");
   wait(5000);
-  inquiry.noteListed(TARGET, ADDRESS);
+  inquiry.recordListing(TARGET, ADDRESS);
   assert.equal(quarantine.isEmpty, true);
 });
 
@@ -70,7 +74,7 @@
   const { inquiry, quarantine, lose, wait } = build("accepted");
   await lose("r");
   wait(10_001);
-  inquiry.noteListed("t@2", ADDRESS);
+  inquiry.recordListing("t@2", ADDRESS);
   assert.equal(quarantine.isEmpty, true);
 });
 
--- a/packages/heatherarch-quarantine/tests/unit/request_quarantine_test.ts
+++ b/packages/heatherarch-quarantine/tests/unit/request_quarantine_test.ts
@@ -2,7 +2,7 @@
 import { test } from "node:test";
 import fc from "fast-check";
 import {
-  type CrashNote,
+  type CrashReport,
   hashRequest,
   RequestQuarantine,
   type RequestQuarantineOptions,
@@ -22,23 +22,27 @@
   account = "a",
 ): void {
   for (let i = 1; i <= count; i++) {
-    quarantine.noteCrash(request, account, `l${i}`, i * 1000);
+    quarantine.recordCrash(request, account, `l${i}`, i * 1000);
   }
 }
 
 test("a request is held back once three lives of targets have ended under it", () => {
   const quarantine = build();
   crash(quarantine, 2);
-  assert.equal(quarantine.findHeld("r", 2000), undefined);
+  assert.equal(quarantine.findQuarantined("r", 2000), undefined);
   crash(quarantine, 3);
-  assert.equal(quarantine.findHeld("r", 3000)?.untilMs, 3000 + HOLD_MS);
-  assert.deepEqual(quarantine.findHeld("r", 3000)?.lives, ["l1", "l2", "l3"]);
-  assert.equal(quarantine.findHeld("other", 3000), undefined);
+  assert.equal(quarantine.findQuarantined("r", 3000)?.untilMs, 3000 + HOLD_MS);
+  assert.deepEqual(quarantine.findQuarantined("r", 3000)?.lives, [
+    "l1",
+    "l2",
+    "l3",
+  ]);
+  assert.equal(quarantine.findQuarantined("other", 3000), undefined);
 });
 
 test("a life counts once, however many calls were lost there", () => {
   const quarantine = build();
-  for (let i = 0; i < 5; i++) quarantine.noteCrash("r", "a", "l1", i);
+  for (let i = 0; i < 5; i++) quarantine.recordCrash("r", "a", "l1", i);
   assert.equal(quarantine.countCrashes("r"), 1);
 });
 
@@ -46,34 +50,34 @@
   const quarantine = build();
   crash(quarantine, 3);
   assert.equal(quarantine.clear("r", 4000), true);
-  assert.equal(quarantine.findHeld("r", 4000), undefined);
+  assert.equal(quarantine.findQuarantined("r", 4000), undefined);
   crash(quarantine, 3);
   assert.equal(quarantine.countCrashes("r"), 0);
-  quarantine.noteCrash("r", "a", "l4", 5000);
+  quarantine.recordCrash("r", "a", "l4", 5000);
   assert.equal(quarantine.countCrashes("r"), 1);
 });
 
 // Seen once beside load: three crashes at once, told before any run that went well after them.
 test("a request that just succeeded is not held back for crashes that come at once", () => {
   const quarantine = build();
-  quarantine.noteSuccess("r", 500);
+  quarantine.markSuccess("r", 500);
   crash(quarantine, 3);
-  assert.equal(quarantine.findHeld("r", 3000), undefined);
+  assert.equal(quarantine.findQuarantined("r", 3000), undefined);
   const peer = build();
-  peer.noteSuccess("r", 500);
+  peer.markSuccess("r", 500);
   const other = build();
   crash(other, 3);
-  peer.notePeer(other.listNotes(undefined, 3000).notes, 3000);
-  assert.equal(peer.findHeld("r", 3000), undefined);
-  other.notePeer(peer.listNotes(undefined, 3000).notes, 3000);
-  assert.equal(other.findHeld("r", 3000), undefined);
+  peer.mergePeerReports(other.listReports(undefined, 3000).reports, 3000);
+  assert.equal(peer.findQuarantined("r", 3000), undefined);
+  other.mergePeerReports(peer.listReports(undefined, 3000).reports, 3000);
+  assert.equal(other.findQuarantined("r", 3000), undefined);
 });
 
 test("a success of long ago vouches for nothing", () => {
   const quarantine = build();
-  quarantine.noteSuccess("r", -60_000);
+  quarantine.markSuccess("r", -60_000);
   crash(quarantine, 3);
-  assert.ok(quarantine.findHeld("r", 3000));
+  assert.ok(quarantine.findQuarantined("r", 3000));
 });
 
 test("with one more end to go, copies of a request are sent one at a time", () => {
@@ -93,9 +97,9 @@
   crash(quarantine, 3);
   const laterMs = 3000 + HOLD_MS;
   assert.equal(quarantine.admit("r", laterMs).kind, "trial");
-  quarantine.noteCrash("r", "a", "l4", laterMs);
+  quarantine.recordCrash("r", "a", "l4", laterMs);
   assert.equal(
-    quarantine.findHeld("r", laterMs)?.untilMs,
+    quarantine.findQuarantined("r", laterMs)?.untilMs,
     laterMs + 2 * HOLD_MS,
   );
 });
@@ -113,8 +117,8 @@
   const quarantine = build({ maxPerAccount: 4 });
   crash(quarantine, 3, "victim", "quiet");
   for (let i = 0; i < 50; i++) crash(quarantine, 1, `r${i}`, "noisy");
-  assert.ok(quarantine.findHeld("victim", 3000));
-  assert.equal(quarantine.listNotes(undefined, 3000).notes.length, 3 + 4);
+  assert.ok(quarantine.findQuarantined("victim", 3000));
+  assert.equal(quarantine.listReports(undefined, 3000).reports.length, 3 + 4);
 });
 
 test("listeners hear of a request when it is held back, and of news once", () => {
@@ -124,12 +128,12 @@
   quarantine.registerChangeListener(({ kind, request, isOwn }) =>
     changes.push(`${kind} ${request} ${isOwn}`)
   );
-  quarantine.registerNewsListener(() => news++);
+  quarantine.registerReportListener(() => news++);
   crash(quarantine, 3);
   assert.deepEqual(changes, ["held r true"]);
   assert.equal(news, 3);
-  const notes = quarantine.listNotes(undefined, 3000).notes;
-  quarantine.notePeer(notes, 3000);
+  const notes = quarantine.listReports(undefined, 3000).reports;
+  quarantine.mergePeerReports(notes, 3000);
   assert.equal(news, 3);
   quarantine.clear("r", 4000);
   assert.deepEqual(changes.slice(1), ["cleared r true"]);
@@ -137,8 +141,8 @@
   peer.registerChangeListener(({ kind, isOwn }) =>
     changes.push(`${kind} at peer ${isOwn}`)
   );
-  peer.notePeer(notes, 3000);
-  peer.notePeer(quarantine.listNotes(undefined, 4000).notes, 4000);
+  peer.mergePeerReports(notes, 3000);
+  peer.mergePeerReports(quarantine.listReports(undefined, 4000).reports, 4000);
   assert.deepEqual(changes.slice(2), [
     "held at peer false",
     "cleared at peer false",
@@ -162,8 +166,8 @@
     const states = [one, [...other, ...other]].map((list) => {
       const quarantine = build();
       for (const { request, life, isCrash } of list) {
-        const note: CrashNote = [request, "a", life, isCrash, 5];
-        quarantine.notePeer([note], 1000);
+        const note: CrashReport = [request, "a", life, isCrash, 5];
+        quarantine.mergePeerReports([note], 1000);
       }
       return ["r", "s"].map((request) => quarantine.countCrashes(request));
     });
@@ -176,18 +180,18 @@
   const source = build();
   let cursor: number | undefined;
   for (let i = 0; i < 900; i++) {
-    source.noteCrash(`r${i % 40}`, "a", `l${i}`, i);
+    source.recordCrash(`r${i % 40}`, "a", `l${i}`, i);
     if (i % 7 === 0) source.clear(`r${i % 40}`, i);
     if (i % 100 !== 0) continue;
-    const notes = source.listNotes(cursor, i);
+    const notes = source.listReports(cursor, i);
     cursor = notes.cursor;
-    told.notePeer(notes.notes, i);
+    told.mergePeerReports(notes.reports, i);
   }
   for (let left = 1; left > 0;) {
-    const notes = source.listNotes(cursor, 900);
+    const notes = source.listReports(cursor, 900);
     cursor = notes.cursor;
-    told.notePeer(notes.notes, 900);
-    left = notes.notes.length;
+    told.mergePeerReports(notes.reports, 900);
+    left = notes.reports.length;
   }
   for (let i = 0; i < 40; i++) {
     assert.equal(told.countCrashes(`r${i}`), source.countCrashes(`r${i}`));
@@ -198,12 +202,12 @@
 test("many facts are told a part at a time, the oldest first, each once", () => {
   const source = build();
   for (let i = 0; i < 2000; i++) {
-    source.noteCrash(`r${i}`, `a${i % 50}`, "l", i);
+    source.recordCrash(`r${i}`, `a${i % 50}`, "l", i);
   }
   const seen: string[] = [];
   let cursor: number | undefined;
   for (let i = 0; i < 20; i++) {
-    const { notes, cursor: next } = source.listNotes(cursor, 2000);
+    const { reports: notes, cursor: next } = source.listReports(cursor, 2000);
     assert.ok(notes.length <= 256);
     seen.push(...notes.map(([request]) => request));
     cursor = next;
