--- a/packages/heatherarch-quarantine/crash_detector.ts
+++ b/packages/heatherarch-quarantine/crash_detector.ts
@@ -1,6 +1,6 @@
 /**
- * Tells a crash of a target from a lost answer or connection, after an exchange that ended without
- * an answer. A crash is reported for every request that was in flight at the target.
+ * Distinguishes a target crash from a lost response or connection after an exchange ended without
+ * a response. A crash is reported for every request that was in flight at the target.
  *
  * @module
  */
@@ -8,22 +8,23 @@
 import type { RequestQuarantine } from "./request_quarantine.ts";
 import type { ProbeResult, TargetProbe } from "./target_probe.ts";
 
-/** An exchange that was sent and ended without a whole answer. */
+/** An exchange that was sent and ended without a complete response. */
 export interface Loss {
   readonly call: string;
-  /** Digest of the request, and the client account that sent it. */
+  /** Digest of the request. */
   readonly request: string;
+  /** Client account that sent the request. */
   readonly account: string;
-  /** Incarnation of the target, and its address. */
+  /** Incarnation of the target. */
   readonly target: string;
   readonly address: Address;
   readonly reason: string;
 }
 
-/** What showed that a target crashed. */
+/** Observation that proves that a target crashed. */
 export type CrashEvidence =
   | "refusedConnection"
-  /** Another incarnation answers, or is listed, at its address. */
+  /** Another incarnation answers or is listed at the target's address. */
   | "replaced";
 
 /** Options of {@linkcode CrashDetector}. */
@@ -31,10 +32,11 @@
   readonly targetProbe: Pick<TargetProbe, "probe">;
   readonly quarantine: RequestQuarantine;
   readonly clock: Clock;
-  /** Whether a target is in service; one that is leaving or gone may stop without having crashed. */
+  /** Whether a target is in service. A target that is leaving or gone may stop without a crash. */
   readonly isInService: (target: string) => boolean;
+  /** Called after the target of a lost exchange was probed. */
   readonly onLoss: (loss: Loss, probe: ProbeResult) => void;
-  /** A target crashed while it had these requests. */
+  /** Called when a target crashed while these requests were in flight there. */
   readonly onCrash: (
     target: string,
     evidence: CrashEvidence,
@@ -46,15 +48,15 @@
   readonly atMs: number;
 }
 
-/** A crashed process is usually restarted and listed again within this time, milliseconds. */
+/** A crashed process is usually restarted and listed again within this time. */
 const EVIDENCE_WINDOW_MS = 10_000;
-/** Losses that wait for evidence. */
+/** Maximum number of losses that wait for evidence of a crash. */
 const MAX_PENDING_LOSSES = 1024;
 
-/** Investigates lost exchanges. */
+/** Detects target crashes by investigating lost exchanges. */
 export class CrashDetector {
   readonly #options: CrashDetectorOptions;
-  /** By incarnation of the target. */
+  /** Pending losses by incarnation of the target. */
   readonly #pending = new Map<string, PendingLoss[]>();
   #pendingCount = 0;
 
@@ -62,7 +64,7 @@
     this.#options = options;
   }
 
-  /** Probes the target; settles with the result. Never rejects. */
+  /** Probes the target of a lost exchange and resolves with the result. Never rejects. */
   async investigateLoss(loss: Loss): Promise<ProbeResult> {
     const { targetProbe, onLoss } = this.#options;
     this.#addPending(loss);
@@ -72,7 +74,7 @@
     return probe;
   }
 
-  /** A target crashed: reports it for all requests that were lost there. */
+  /** Records that a target crashed, and reports the crash for all requests that were lost there. */
   recordCrash(target: string, evidence: CrashEvidence): void {
     const { quarantine, clock, onCrash: onEnded } = this.#options;
     const nowMs = clock.readMonotonicMs();
@@ -88,13 +90,13 @@
   }
 
   /**
-   * A target is listed: another incarnation at its address has crashed. A removed entry is no
-   * evidence, since the entries of partitioned targets expire as well.
+   * Records that a target is listed. Any other incarnation at the same address has crashed. A
+   * removed list entry is no evidence, since the entries of partitioned targets expire as well.
    */
   recordListing(target: string, address: Address): void {
-    for (const [life, [loss]] of this.#pending) {
-      if (life === target || loss.address !== address) continue;
-      this.recordCrash(life, "replaced");
+    for (const [incarnation, [loss]] of this.#pending) {
+      if (incarnation === target || loss.address !== address) continue;
+      this.recordCrash(incarnation, "replaced");
     }
   }
 
--- a/packages/heatherarch-quarantine/request_digest.ts
+++ b/packages/heatherarch-quarantine/request_digest.ts
@@ -1,14 +1,14 @@
 /**
- * What makes two calls the same request.
+ * Digest that identifies repeated attempts of one request.
  *
  * @module
  */
 import { createHash } from "node:crypto";
 
-/** The parts of a call that its client repeats when it sends the request again. */
+/** The parts of a call that stay the same when its client retries the request. */
 export interface RequestContent {
   readonly method: string;
-  /** Whom or what the request is addressed to: a host, or a client account and a service. */
+  /** Destination of the request: a host, or a client account and a service. */
   readonly host: string;
   readonly path: string;
   readonly body: Buffer;
@@ -17,9 +17,9 @@
 const DIGEST_HEX_LENGTH = 32;
 
 /**
- * Digest of a request's content. Headers are left out, since ids and deadlines differ between a
- * client's attempts. A cryptographic hash keeps a client from crafting a collision with a request
- * of another client account.
+ * Computes the digest of a request's content. Headers are excluded, since ids and deadlines differ
+ * between a client's attempts. A cryptographic hash prevents a client from crafting a collision
+ * with a request of another client account.
  */
 export function hashRequest(content: RequestContent): string {
   const { method, host, path, body } = content;
--- a/packages/heatherarch-quarantine/request_quarantine.ts
+++ b/packages/heatherarch-quarantine/request_quarantine.ts
@@ -1,19 +1,22 @@
 /**
- * Quarantine of poison requests (queries of death): requests that crash each target that runs them.
+ * Quarantine of poison requests (queries of death), which crash every target that runs them.
  *
- * A single crash does not identify one, since all requests in flight at the target are lost with
- * it. A request is quarantined when several incarnations of targets crashed while running it and
- * none of its runs succeeded; a successful run clears it of crashes known so far and for a while.
+ * A single crash does not identify a poison request, since all requests in flight at the target are
+ * lost with it. A request is quarantined when several target incarnations crashed while running it
+ * and none of its runs succeeded. A successful run clears the request of all crashes known so far,
+ * and of crashes that are reported within a minute after it.
  *
- * State is a set of (request, incarnation) pairs in which "cleared" wins over "crashed", so
- * replicas converge whatever the order and number of messages. Pure: time is passed in.
+ * The state is a set of (request, incarnation) pairs in which "cleared" wins over "crashed", so
+ * replicas converge regardless of the order and number of messages. The module is pure: callers
+ * pass the time in.
  *
  * @module
  */
 
 /**
- * A crash report for peers: digest of the request, its client account, the target's incarnation,
- * 1 if the crash counts or 0 if the request was cleared of it, and the report's age, milliseconds.
+ * A crash report as sent to peers: digest of the request, its client account, incarnation of the
+ * target, 1 if the crash counts or 0 if the request was cleared of it, and the report's age in
+ * milliseconds.
  */
 export type CrashReport = readonly [string, string, string, 0 | 1, number];
 
@@ -21,37 +24,39 @@
 export interface QuarantinedRequest {
   readonly request: string;
   readonly account: string;
-  /** Incarnations of targets that crashed while running it. */
+  /** Incarnations of targets that crashed while running the request. */
   readonly lives: readonly string[];
-  /** Monotonic times of the latest crash, and of the end of the quarantine. */
+  /** Monotonic time of the latest crash report. */
   readonly sinceMs: number;
+  /** Monotonic time at which the quarantine ends. */
   readonly untilMs: number;
 }
 
-/** Whether a request may be sent. */
+/** Decision on whether a request may be sent. */
 export type Admission =
   | { readonly kind: "free" }
-  /** It may be sent, and no other copy of it until `end` is called. */
+  /** The request may be sent. No other copy of it may be sent until `end` is called. */
   | { readonly kind: "trial"; readonly end: () => void }
-  /** A copy of it is on trial. */
+  /** Another copy of the request is on trial. */
   | { readonly kind: "onTrial" }
   | { readonly kind: "quarantined"; readonly entry: QuarantinedRequest };
 
-/** A request entered or left quarantine on this VM, by its own observation or a peer's report. */
+/** A request entered or left quarantine on this VM. */
 export interface QuarantineChange {
   readonly kind: "held" | "cleared";
   readonly request: string;
+  /** Whether this VM's own observation caused the change, rather than a peer's report. */
   readonly isOwn: boolean;
 }
 
-/** Crash reports from some cursor on. */
+/** One page of crash reports. */
 export interface CrashReportPage {
   readonly reports: readonly CrashReport[];
-  /** Where the next ones begin. */
+  /** Position at which the next page begins. */
   readonly cursor: number;
 }
 
-/** Guards of the quarantine; the proofs switch them off one at a time. */
+/** Safety rules of the quarantine. The proofs disable them one at a time. */
 export const QUARANTINE_GUARDS = [
   "clearedStaysCleared",
   "livesCountOnce",
@@ -63,12 +68,13 @@
 
 /** Options of {@linkcode RequestQuarantine}. */
 export interface RequestQuarantineOptions {
-  /** Crashes after which a request is quarantined. */
+  /** Number of crashes after which a request is quarantined. */
   readonly maxCrashes?: number;
-  /** Length of a first quarantine, milliseconds. */
+  /** Duration of the first quarantine of a request. */
   readonly holdMs?: number;
-  /** Suspected requests that are remembered: of all client accounts, and of one. */
+  /** Maximum number of suspected requests that are kept. */
   readonly maxRequests?: number;
+  /** Maximum number of suspected requests that are kept for one client account. */
   readonly maxPerAccount?: number;
   readonly disabledGuards?: ReadonlySet<QuarantineGuard>;
 }
@@ -76,12 +82,13 @@
 interface CrashEntry {
   readonly isCleared: boolean;
   readonly atMs: number;
-  /** Sequence number, in the order in which this VM learned of it. */
+  /** Sequence number of the entry, in the order in which this VM learned of the entries. */
   readonly sequence: number;
 }
 
 interface Suspect {
   readonly account: string;
+  /** Entries by incarnation of the target. */
   readonly entries: Map<string, CrashEntry>;
 }
 
@@ -89,22 +96,22 @@
 const DEFAULT_HOLD_MS = 600_000;
 const DEFAULT_MAX_REQUESTS = 4096;
 const DEFAULT_MAX_PER_ACCOUNT = 256;
-/** Time for which a successful run vouches for a request, milliseconds. */
+/** Crashes that are reported within this time after a successful run don't count. */
 const SUCCESS_VALID_MS = 60_000;
-/** Each further crash doubles the quarantine, up to so many times. */
+/** Each further crash doubles the duration of the quarantine, at most this many times. */
 const MAX_DOUBLINGS = 6;
 /**
- * Crash reports in one message, some 30 KB. When many targets crash together all of their requests
- * become suspects; the rest of the reports follow in the next messages.
+ * Maximum number of crash reports in one message, about 30 KB. When many targets crash together,
+ * all of their requests become suspects. The remaining reports follow in the next messages.
  */
 const MAX_REPORTS_PER_PAGE = 256;
 
-/** Requests that are suspected of crashing targets. */
+/** Tracks the requests that are suspected of crashing targets, and quarantines them. */
 export class RequestQuarantine {
   readonly #options: Required<RequestQuarantineOptions>;
-  /** Least recently reported first. */
+  /** Suspects by request, least recently reported first. */
   readonly #suspects = new Map<string, Suspect>();
-  /** Monotonic times of the latest successful runs, least recent first. */
+  /** Monotonic times of the latest successful run of each request, least recent first. */
   readonly #succeededAtMs = new Map<string, number>();
   readonly #onTrial = new Set<string>();
   readonly #reportListeners = new Set<() => void>();
@@ -122,29 +129,32 @@
     };
   }
 
-  /** Whether no request is suspected, so that digests need not be computed. */
+  /** Whether no request is suspected. Callers then need not compute digests. */
   get isEmpty(): boolean {
     return this.#suspects.size === 0;
   }
 
-  /** A target crashed while it had the request. */
+  /** Records that a target crashed while the request was in flight there. */
   recordCrash(
     request: string,
     account: string,
-    life: string,
+    incarnation: string,
     nowMs: number,
   ): void {
-    const name = this.#isOff("livesCountOnce")
-      ? `${life} (${this.#lastSequence})`
-      : life;
-    if (!this.#addReport([request, account, name, 1, 0], nowMs)) return;
+    const key = this.#isOff("livesCountOnce")
+      ? `${incarnation} (${this.#lastSequence})`
+      : incarnation;
+    if (!this.#addReport([request, account, key, 1, 0], nowMs)) return;
     if (this.countCrashes(request) >= this.#options.maxCrashes) {
       this.#notifyChange({ kind: "held", request, isOwn: true });
     }
     this.#notifyReports();
   }
 
-  /** A run of the request succeeded: it is cleared, also of crashes reported soon after. */
+  /**
+   * Records that a run of the request succeeded. This clears the request, also of crashes that are
+   * reported soon after. Returns whether a crash was cleared.
+   */
   markSuccess(request: string, nowMs: number): boolean {
     this.#succeededAtMs.delete(request);
     this.#succeededAtMs.set(request, nowMs);
@@ -155,44 +165,47 @@
     return this.clear(request, nowMs);
   }
 
-  /** Clears a request of all crashes known so far, as an operator does. */
+  /**
+   * Clears a request of all crashes known so far, after a successful run or on an operator's
+   * request. Returns whether a crash was cleared.
+   */
   clear(request: string, nowMs: number): boolean {
     const suspect = this.#suspects.get(request);
     if (suspect === undefined) return false;
-    const isHeld = this.countCrashes(request) >= this.#options.maxCrashes;
-    let isNews = false;
-    for (const life of listCrashes(suspect)) {
-      const note: CrashReport = [request, suspect.account, life, 0, 0];
-      isNews = this.#addReport(note, nowMs) || isNews;
+    const wasHeld = this.countCrashes(request) >= this.#options.maxCrashes;
+    let isNew = false;
+    for (const incarnation of listCrashes(suspect)) {
+      const report: CrashReport = [request, suspect.account, incarnation, 0, 0];
+      isNew = this.#addReport(report, nowMs) || isNew;
     }
-    if (!isNews) return false;
-    if (isHeld) this.#notifyChange({ kind: "cleared", request, isOwn: true });
+    if (!isNew) return false;
+    if (wasHeld) this.#notifyChange({ kind: "cleared", request, isOwn: true });
     this.#notifyReports();
     return true;
   }
 
   /** Merges a peer's crash reports. */
-  mergePeerReports(notes: readonly CrashReport[], nowMs: number): void {
-    const before = new Map<string, number>();
-    for (const note of notes) {
-      const [request] = note;
+  mergePeerReports(reports: readonly CrashReport[], nowMs: number): void {
+    const crashesBefore = new Map<string, number>();
+    for (const report of reports) {
+      const [request] = report;
       const crashes = this.countCrashes(request);
-      if (!this.#addReport(note, nowMs)) continue;
-      if (!before.has(request)) before.set(request, crashes);
+      if (!this.#addReport(report, nowMs)) continue;
+      if (!crashesBefore.has(request)) crashesBefore.set(request, crashes);
     }
-    for (const [request, crashes] of before) {
+    for (const [request, crashes] of crashesBefore) {
       this.#notifyPeerChange(request, crashes);
     }
-    if (before.size > 0) this.#notifyReports();
+    if (crashesBefore.size > 0) this.#notifyReports();
   }
 
-  /** Crashes that count against a request. */
+  /** Returns the number of crashes that count against a request. */
   countCrashes(request: string): number {
     const suspect = this.#suspects.get(request);
     return suspect === undefined ? 0 : listCrashes(suspect).length;
   }
 
-  /** The quarantine of a request; undefined where there is none. */
+  /** Returns the quarantine of a request, or undefined if it is not quarantined. */
   findQuarantined(
     request: string,
     nowMs: number,
@@ -208,12 +221,12 @@
   }
 
   /**
-   * Whether a request may be sent. One crash before quarantine its copies run one at a time, so
-   * that concurrent copies do not crash several targets.
+   * Decides whether a request may be sent. When one more crash would quarantine the request, its
+   * copies run one at a time, so that concurrent copies do not crash several targets.
    */
   admit(request: string, nowMs: number): Admission {
-    const held = this.findQuarantined(request, nowMs);
-    if (held !== undefined) return { kind: "quarantined", entry: held };
+    const entry = this.findQuarantined(request, nowMs);
+    if (entry !== undefined) return { kind: "quarantined", entry };
     if (!this.isLastTrial(request)) return { kind: "free" };
     if (this.#onTrial.has(request) && !this.#isOff("copiesOneAtATime")) {
       return { kind: "onTrial" };
@@ -227,36 +240,49 @@
     return this.countCrashes(request) >= this.#options.maxCrashes - 1;
   }
 
-  /** All quarantined requests. */
+  /** Lists all quarantined requests. */
   listQuarantined(nowMs: number): QuarantinedRequest[] {
     return [...this.#suspects.keys()]
       .map((request) => this.findQuarantined(request, nowMs))
-      .filter((held) => held !== undefined);
+      .filter((entry) => entry !== undefined);
   }
 
-  /** The next crash reports after `cursor`, oldest first. */
+  /** Returns the page of crash reports after `cursor`, oldest first. */
   listReports(cursor: number | undefined, nowMs: number): CrashReportPage {
     const from = cursor ?? 0;
     if (from >= this.#lastSequence) return { reports: [], cursor: from };
-    const facts = [...this.#suspects].flatMap(([request, suspect]) =>
+    const newer = [...this.#suspects].flatMap(([request, suspect]) =>
       [...suspect.entries]
-        .filter(([, fact]) => fact.sequence > from)
-        .map(([life, fact]) => ({ request, suspect, life, fact }))
+        .filter(([, entry]) => entry.sequence > from)
+        .map(([incarnation, entry]) => ({
+          request,
+          suspect,
+          incarnation,
+          entry,
+        }))
     );
-    facts.sort((a, b) => a.fact.sequence - b.fact.sequence);
-    const told = facts.slice(0, MAX_REPORTS_PER_PAGE);
-    const isAll = told.length === facts.length;
-    const last = isAll
+    newer.sort((a, b) => a.entry.sequence - b.entry.sequence);
+    const page = newer.slice(0, MAX_REPORTS_PER_PAGE);
+    const isLast = page.length === newer.length;
+    const last = isLast
       ? this.#lastSequence
-      : told[told.length - 1].fact.sequence;
-    const notes = told.map(({ request, suspect, life, fact }): CrashReport => {
-      const ageMs = Math.max(0, Math.round(nowMs - fact.atMs));
-      return [request, suspect.account, life, fact.isCleared ? 0 : 1, ageMs];
-    });
-    return { reports: notes, cursor: last };
+      : page[page.length - 1].entry.sequence;
+    const reports = page.map(
+      ({ request, suspect, incarnation, entry }): CrashReport => {
+        const ageMs = Math.max(0, Math.round(nowMs - entry.atMs));
+        return [
+          request,
+          suspect.account,
+          incarnation,
+          entry.isCleared ? 0 : 1,
+          ageMs,
+        ];
+      },
+    );
+    return { reports, cursor: last };
   }
 
-  /** Forgets requests without reports for the length of their quarantine and a first one more. */
+  /** Drops requests without a new report for the sum of their quarantine and a first quarantine. */
   expire(nowMs: number): void {
     for (const [request, suspect] of this.#suspects) {
       const crashes = listCrashes(suspect).length;
@@ -265,7 +291,7 @@
     }
   }
 
-  /** Registers a listener for crash reports that are new to this VM and returns its undo. */
+  /** Registers a listener for crash reports that are new to this VM. Returns its removal. */
   registerReportListener(listener: () => void): () => void {
     this.#reportListeners.add(listener);
     return () => {
@@ -273,7 +299,7 @@
     };
   }
 
-  /** Registers a listener for requests that enter or leave quarantine and returns its undo. */
+  /** Registers a listener for requests that enter or leave quarantine. Returns its removal. */
   registerChangeListener(
     listener: (change: QuarantineChange) => void,
   ): () => void {
@@ -283,19 +309,19 @@
     };
   }
 
-  /** Returns whether the report is new. */
+  /** Adds a report and returns whether it is new. */
   #addReport(
-    [request, account, life, isCrash, ageMs]: CrashReport,
+    [request, account, incarnation, isCrash, ageMs]: CrashReport,
     nowMs: number,
   ): boolean {
     const suspect = this.#suspects.get(request) ??
       { account, entries: new Map<string, CrashEntry>() };
-    const known = suspect.entries.get(life);
+    const known = suspect.entries.get(incarnation);
     const isCleared = isCrash === 0 || this.#hasRecentSuccess(request, nowMs);
     if (known?.isCleared && !this.#isOff("clearedStaysCleared")) return false;
     if (known !== undefined && known.isCleared === isCleared) return false;
     const atMs = nowMs - ageMs;
-    suspect.entries.set(life, {
+    suspect.entries.set(incarnation, {
       isCleared,
       atMs,
       sequence: ++this.#lastSequence,
@@ -306,7 +332,10 @@
     return true;
   }
 
-  /** Popular requests succeed all the time, so crashes of others can't add up against them. */
+  /**
+   * Whether a run of the request succeeded recently. Popular requests succeed all the time, so
+   * crashes that other requests cause do not accumulate against them.
+   */
   #hasRecentSuccess(request: string, nowMs: number): boolean {
     if (this.#isOff("successesAreRemembered")) return false;
     const atMs = this.#succeededAtMs.get(request);
@@ -323,7 +352,10 @@
     return holdMs * 2 ** Math.min(doublings, MAX_DOUBLINGS);
   }
 
-  /** Evicts the least recently reported requests; an account can't evict those of others. */
+  /**
+   * Evicts the least recently reported requests. The limit per client account prevents one client
+   * account from evicting the requests of the others.
+   */
   #evictExcess(account: string): void {
     const own = [...this.#suspects]
       .filter(([, suspect]) => suspect.account === account);
@@ -355,11 +387,13 @@
   }
 }
 
-function listCrashes({ entries: facts }: Suspect): string[] {
-  return [...facts].filter(([, fact]) => !fact.isCleared).map(([life]) => life);
+/** Lists the incarnations whose crashes count. */
+function listCrashes({ entries }: Suspect): string[] {
+  return [...entries].filter(([, entry]) => !entry.isCleared)
+    .map(([incarnation]) => incarnation);
 }
 
-/** Monotonic time of the latest report. */
-function findLatest({ entries: facts }: Suspect): number {
-  return Math.max(...[...facts.values()].map(({ atMs }) => atMs));
+/** Returns the monotonic time of the latest report. */
+function findLatest({ entries }: Suspect): number {
+  return Math.max(...[...entries.values()].map(({ atMs }) => atMs));
 }
--- a/packages/heatherarch-quarantine/target_probe.ts
+++ b/packages/heatherarch-quarantine/target_probe.ts
@@ -7,15 +7,15 @@
 import { splitAddress } from "heatherarch-mesh";
 import type { Address } from "heatherarch-core";
 
-/** A listening process, an address without one, or no response in time. */
+/** `accepted`: a process listens; `refused`: none does; `silent`: no response in time. */
 export type ProbeResult = "accepted" | "refused" | "silent";
 
-/** Some ten round trips between zones. */
+/** About ten round trips between zones. */
 const DEFAULT_TIMEOUT_MS = 300;
 
 /** Options of {@linkcode TargetProbe}. */
 export interface TargetProbeOptions {
-  /** Longest wait for the connection, milliseconds. */
+  /** Connection timeout. */
   readonly timeoutMs?: number;
 }
 
@@ -28,6 +28,7 @@
     this.#timeoutMs = options.timeoutMs ?? DEFAULT_TIMEOUT_MS;
   }
 
+  /** Probes an address. Never rejects. */
   probe(address: Address): Promise<ProbeResult> {
     let pending = this.#pending.get(address);
     if (pending === undefined) {
@@ -41,16 +42,16 @@
   #connect(address: Address): Promise<ProbeResult> {
     return new Promise((resolve) => {
       const socket = connect({ ...splitAddress(address) });
-      const end = (result: ProbeResult): void => {
+      const finish = (result: ProbeResult): void => {
         socket.destroy();
         resolve(result);
       };
-      socket.setTimeout(this.#timeoutMs, () => end("silent"));
-      socket.once("connect", () => end("accepted"));
+      socket.setTimeout(this.#timeoutMs, () => finish("silent"));
+      socket.once("connect", () => finish("accepted"));
       socket.once(
         "error",
         (error: NodeJS.ErrnoException) =>
-          end(error.code === "ECONNREFUSED" ? "refused" : "silent"),
+          finish(error.code === "ECONNREFUSED" ? "refused" : "silent"),
       );
     });
   }
--- a/packages/heatherarch-quarantine/tests/unit/crash_detector_test.ts
+++ b/packages/heatherarch-quarantine/tests/unit/crash_detector_test.ts
@@ -10,11 +10,11 @@
 const TARGET = "t@1";
 const ADDRESS = "127.0.0.1:1";
 
-/** An inquiry whose probes all meet `result`, about one target. */
+/** Builds a detector whose probes all return `result`, and helpers for one target. */
 function build(result: ProbeResult, isInService = true) {
   let nowMs = 0;
   const quarantine = new RequestQuarantine();
-  const inquiry = new CrashDetector({
+  const detector = new CrashDetector({
     targetProbe: { probe: () => Promise.resolve(result) },
     quarantine,
     clock: { readMonotonicMs: () => nowMs } as unknown as Clock,
@@ -23,7 +23,7 @@
     onCrash: () => undefined,
   });
   const lose = (request: string) =>
-    inquiry.investigateLoss({
+    detector.investigateLoss({
       call: "c",
       request,
       account: "a",
@@ -34,51 +34,52 @@
   const wait = (ms: number): void => {
     nowMs += ms;
   };
-  return { inquiry, quarantine, lose, wait };
+  return { detector, quarantine, lose, wait };
 }
 
-test("a target that refuses connections after a loss has ended under all its requests", async () => {
+test("a target that refuses connections after a loss crashed with all its requests", async () => {
   const { quarantine, lose } = build("refused");
   await Promise.all([lose("r"), lose("s")]);
   assert.equal(quarantine.countCrashes("r"), 1);
   assert.equal(quarantine.countCrashes("s"), 1);
 });
 
-test("a lost answer or connection of a target that is there counts against nobody", async () => {
+test("a lost response or connection of a target that still listens is no crash", async () => {
   const { quarantine, lose } = build("accepted");
   await lose("r");
   assert.equal(quarantine.isEmpty, true);
 });
 
-test("a target that was silent has ended when another life is listed at its address", async () => {
-  const { inquiry, quarantine, lose, wait } = build("silent");
+test("a silent target crashed when another incarnation is listed at its address", async () => {
+  const { detector, quarantine, lose, wait } = build("silent");
   await lose("r");
   wait(4000);
-  inquiry.recordListing(TARGET, ADDRESS);
-  inquiry.recordListing("u", "127.0.0.1:2");
+  detector.recordListing(TARGET, ADDRESS);
+  detector.recordListing("u", "127.0.0.1:2");
   assert.equal(quarantine.isEmpty, true);
-  inquiry.recordListing("t@2", ADDRESS);
+  detector.recordListing("t@2", ADDRESS);
   assert.equal(quarantine.countCrashes("r"), 1);
 });
 
-// Seen: requests that were lost to a cut zone counted as crashes, since entries behind it lapse.
-test("a target whose entry lapses behind a cut, and that is back with it, has not ended", async () => {
-  const { inquiry, quarantine, lose, wait } = build("silent");
+// The list entries of targets in a partitioned zone expire. Requests that were lost to a partition
+// were once counted as crashes for that reason.
+test("a target whose list entry expires in a partition and returns has not crashed", async () => {
+  const { detector, quarantine, lose, wait } = build("silent");
   await lose("r");
   wait(5000);
-  inquiry.recordListing(TARGET, ADDRESS);
+  detector.recordListing(TARGET, ADDRESS);
   assert.equal(quarantine.isEmpty, true);
 });
 
-test("a loss of long ago has nothing to do with a target's end", async () => {
-  const { inquiry, quarantine, lose, wait } = build("accepted");
+test("a loss older than the evidence window is not attributed to a crash", async () => {
+  const { detector, quarantine, lose, wait } = build("accepted");
   await lose("r");
   wait(10_001);
-  inquiry.recordListing("t@2", ADDRESS);
+  detector.recordListing("t@2", ADDRESS);
   assert.equal(quarantine.isEmpty, true);
 });
 
-test("a target that leaves ends by itself", async () => {
+test("a target that is leaving stops without a crash", async () => {
   const { quarantine, lose } = build("refused", false);
   await lose("r");
   assert.equal(quarantine.isEmpty, true);
--- a/packages/heatherarch-quarantine/tests/unit/request_quarantine_test.ts
+++ b/packages/heatherarch-quarantine/tests/unit/request_quarantine_test.ts
@@ -14,7 +14,7 @@
   return new RequestQuarantine({ holdMs: HOLD_MS, ...options });
 }
 
-/** Lives `l1` to `l<count>` end under the request, a second apart. */
+/** Records crashes of incarnations `l1` to `l<count>` that ran the request, a second apart. */
 function crash(
   quarantine: RequestQuarantine,
   count: number,
@@ -26,7 +26,7 @@
   }
 }
 
-test("a request is held back once three lives of targets have ended under it", () => {
+test("a request is quarantined once three target incarnations have crashed while running it", () => {
   const quarantine = build();
   crash(quarantine, 2);
   assert.equal(quarantine.findQuarantined("r", 2000), undefined);
@@ -40,13 +40,13 @@
   assert.equal(quarantine.findQuarantined("other", 3000), undefined);
 });
 
-test("a life counts once, however many calls were lost there", () => {
+test("an incarnation counts once, however many calls were lost there", () => {
   const quarantine = build();
   for (let i = 0; i < 5; i++) quarantine.recordCrash("r", "a", "l1", i);
   assert.equal(quarantine.countCrashes("r"), 1);
 });
 
-test("a run that goes well clears a request, also of word that comes late", () => {
+test("clearing a request also clears it of repeated reports that arrive later", () => {
   const quarantine = build();
   crash(quarantine, 3);
   assert.equal(quarantine.clear("r", 4000), true);
@@ -57,8 +57,9 @@
   assert.equal(quarantine.countCrashes("r"), 1);
 });
 
-// Seen once beside load: three crashes at once, told before any run that went well after them.
-test("a request that just succeeded is not held back for crashes that come at once", () => {
+// Under load, three simultaneous crashes were reported before a later successful run could clear
+// the request, and the request was quarantined.
+test("a request that just succeeded is not quarantined for simultaneous crashes", () => {
   const quarantine = build();
   quarantine.markSuccess("r", 500);
   crash(quarantine, 3);
@@ -73,14 +74,14 @@
   assert.equal(other.findQuarantined("r", 3000), undefined);
 });
 
-test("a success of long ago vouches for nothing", () => {
+test("a success older than a minute does not clear a request of new crashes", () => {
   const quarantine = build();
   quarantine.markSuccess("r", -60_000);
   crash(quarantine, 3);
   assert.ok(quarantine.findQuarantined("r", 3000));
 });
 
-test("with one more end to go, copies of a request are sent one at a time", () => {
+test("copies of a request are sent one at a time when one more crash would quarantine it", () => {
   const quarantine = build();
   crash(quarantine, 1);
   assert.equal(quarantine.admit("r", 1000).kind, "free");
@@ -92,7 +93,7 @@
   assert.equal(quarantine.admit("r", 2000).kind, "trial");
 });
 
-test("a request that is tried again after its time and ends a target is held for twice as long", () => {
+test("a request that crashes a target after its quarantine is quarantined for twice as long", () => {
   const quarantine = build();
   crash(quarantine, 3);
   const laterMs = 3000 + HOLD_MS;
@@ -104,7 +105,7 @@
   );
 });
 
-test("a request of which nothing more is heard is forgotten", () => {
+test("a request without further reports is dropped", () => {
   const quarantine = build();
   crash(quarantine, 3);
   quarantine.expire(3000 + HOLD_MS);
@@ -113,7 +114,7 @@
   assert.equal(quarantine.isEmpty, true);
 });
 
-test("one client account can't push out what is known of another one's requests", () => {
+test("one client account can't evict the suspected requests of another one", () => {
   const quarantine = build({ maxPerAccount: 4 });
   crash(quarantine, 3, "victim", "quiet");
   for (let i = 0; i < 50; i++) crash(quarantine, 1, `r${i}`, "noisy");
@@ -121,27 +122,27 @@
   assert.equal(quarantine.listReports(undefined, 3000).reports.length, 3 + 4);
 });
 
-test("listeners hear of a request when it is held back, and of news once", () => {
+test("listeners are called once for each change and for each new report", () => {
   const quarantine = build();
   const changes: string[] = [];
-  let news = 0;
+  let newReports = 0;
   quarantine.registerChangeListener(({ kind, request, isOwn }) =>
     changes.push(`${kind} ${request} ${isOwn}`)
   );
-  quarantine.registerReportListener(() => news++);
+  quarantine.registerReportListener(() => newReports++);
   crash(quarantine, 3);
   assert.deepEqual(changes, ["held r true"]);
-  assert.equal(news, 3);
-  const notes = quarantine.listReports(undefined, 3000).reports;
-  quarantine.mergePeerReports(notes, 3000);
-  assert.equal(news, 3);
+  assert.equal(newReports, 3);
+  const reports = quarantine.listReports(undefined, 3000).reports;
+  quarantine.mergePeerReports(reports, 3000);
+  assert.equal(newReports, 3);
   quarantine.clear("r", 4000);
   assert.deepEqual(changes.slice(1), ["cleared r true"]);
   const peer = build();
   peer.registerChangeListener(({ kind, isOwn }) =>
     changes.push(`${kind} at peer ${isOwn}`)
   );
-  peer.mergePeerReports(notes, 3000);
+  peer.mergePeerReports(reports, 3000);
   peer.mergePeerReports(quarantine.listReports(undefined, 4000).reports, 4000);
   assert.deepEqual(changes.slice(2), [
     "held at peer false",
@@ -149,14 +150,14 @@
   ]);
 });
 
-test("peers agree whatever the order, the number and the age of what they hear", () => {
-  const fact = fc.record({
+test("replicas converge regardless of the order and number of reports", () => {
+  const report = fc.record({
     request: fc.constantFrom("r", "s"),
-    life: fc.constantFrom("l1", "l2", "l3", "l4"),
+    incarnation: fc.constantFrom("l1", "l2", "l3", "l4"),
     isCrash: fc.constantFrom<0 | 1>(0, 1),
   });
-  const facts = fc.array(fact, { maxLength: 12 });
-  const orders = facts.chain((list) =>
+  const reports = fc.array(report, { maxLength: 12 });
+  const orders = reports.chain((list) =>
     fc.tuple(
       fc.shuffledSubarray(list, { minLength: list.length }),
       fc.shuffledSubarray(list, { minLength: list.length }),
@@ -165,9 +166,9 @@
   fc.assert(fc.property(orders, ([one, other]) => {
     const states = [one, [...other, ...other]].map((list) => {
       const quarantine = build();
-      for (const { request, life, isCrash } of list) {
-        const note: CrashReport = [request, "a", life, isCrash, 5];
-        quarantine.mergePeerReports([note], 1000);
+      for (const { request, incarnation, isCrash } of list) {
+        const single: CrashReport = [request, "a", incarnation, isCrash, 5];
+        quarantine.mergePeerReports([single], 1000);
       }
       return ["r", "s"].map((request) => quarantine.countCrashes(request));
     });
@@ -175,31 +176,31 @@
   }));
 });
 
-test("a peer that is told from a cursor on knows as much as one that is told all", () => {
-  const told = build();
+test("a peer that reads page by page from a cursor reaches the state of the source", () => {
+  const peer = build();
   const source = build();
   let cursor: number | undefined;
   for (let i = 0; i < 900; i++) {
     source.recordCrash(`r${i % 40}`, "a", `l${i}`, i);
     if (i % 7 === 0) source.clear(`r${i % 40}`, i);
     if (i % 100 !== 0) continue;
-    const notes = source.listReports(cursor, i);
-    cursor = notes.cursor;
-    told.mergePeerReports(notes.reports, i);
+    const page = source.listReports(cursor, i);
+    cursor = page.cursor;
+    peer.mergePeerReports(page.reports, i);
   }
   for (let left = 1; left > 0;) {
-    const notes = source.listReports(cursor, 900);
-    cursor = notes.cursor;
-    told.mergePeerReports(notes.reports, 900);
-    left = notes.reports.length;
+    const page = source.listReports(cursor, 900);
+    cursor = page.cursor;
+    peer.mergePeerReports(page.reports, 900);
+    left = page.reports.length;
   }
   for (let i = 0; i < 40; i++) {
-    assert.equal(told.countCrashes(`r${i}`), source.countCrashes(`r${i}`));
+    assert.equal(peer.countCrashes(`r${i}`), source.countCrashes(`r${i}`));
   }
 });
 
-// When a zone's targets end together, thousands of requests are suspects at once.
-test("many facts are told a part at a time, the oldest first, each once", () => {
+// When all targets of a zone crash together, thousands of requests become suspects at once.
+test("many reports are listed in pages, oldest first, each once", () => {
   const source = build();
   for (let i = 0; i < 2000; i++) {
     source.recordCrash(`r${i}`, `a${i % 50}`, "l", i);
@@ -207,15 +208,15 @@
   const seen: string[] = [];
   let cursor: number | undefined;
   for (let i = 0; i < 20; i++) {
-    const { reports: notes, cursor: next } = source.listReports(cursor, 2000);
-    assert.ok(notes.length <= 256);
-    seen.push(...notes.map(([request]) => request));
+    const { reports, cursor: next } = source.listReports(cursor, 2000);
+    assert.ok(reports.length <= 256);
+    seen.push(...reports.map(([request]) => request));
     cursor = next;
   }
   assert.deepEqual(seen, Array.from({ length: 2000 }, (_, i) => `r${i}`));
 });
 
-test("the same method, host, path and body are one request; anything else is another", () => {
+test("requests with the same method, host, path and body share a digest, and no others do", () => {
   const call = {
     method: "POST",
     host: "a.example",
