--- a/packages/heatherarch-policy/account_limits.ts
+++ b/packages/heatherarch-policy/account_limits.ts
@@ -1,6 +1,6 @@
 /**
- * Limits of accounts on one VM: rate, requests in progress, and a fair share by weight when
- * the VM is nearly full.
+ * Limits of client accounts on one VM: request rate, requests in progress, and a weighted fair
+ * share when the VM is nearly full.
  *
  * @module
  */
@@ -9,13 +9,13 @@
 
 /** Options of {@linkcode AccountLimits}. */
 export interface AccountLimitsOptions {
-  /** Requests that may be in progress on this VM. */
+  /** Maximum number of requests in progress on this VM. */
   readonly maxInFlight: number;
 }
 
 /** Share of `maxInFlight` above which fair shares apply. */
 const FAIR_SHARE_THRESHOLD = 0.8;
-/** An account unused for this long is forgotten, milliseconds. */
+/** The state of a client account that has been idle for this long is dropped. */
 const IDLE_EXPIRY_MS = 300_000;
 
 interface AccountRecord {
@@ -25,7 +25,7 @@
   weight: number;
 }
 
-/** Admits requests by account. */
+/** Enforces the limits of client accounts on one VM. */
 export class AccountLimits {
   readonly #options: AccountLimitsOptions;
   readonly #accounts = new Map<string, AccountRecord>();
@@ -35,18 +35,20 @@
     this.#options = options;
   }
 
+  /** Number of requests in progress. */
   get inFlight(): number {
     return this.#inFlight;
   }
 
-  /** Accounts with state here. */
+  /** Number of client accounts with state on this VM. */
   get size(): number {
     return this.#accounts.size;
   }
 
   /**
-   * Takes a place for one request; the success is the release. `vmCount` is the number of
-   * VMs that the account's requests are spread over.
+   * Admits one request, or rejects it with the time after which to retry. The success value is a
+   * function that releases the request's slot. `vmCount` is the number of VMs that the requests of
+   * the client account are spread over.
    */
   acquire(
     account: Account,
@@ -62,7 +64,7 @@
     if (record.tokens < 1) {
       const retryAfterMs = Math.ceil((1 - record.tokens) * 1000 / rate);
       return reject(
-        `account ${account.name} is over its request rate`,
+        `account ${account.name} exceeds its request rate`,
         retryAfterMs,
       );
     }
@@ -74,23 +76,23 @@
     }
     if (!this.#isWithinFairShare(record)) {
       return reject(
-        `account ${account.name} is over its share of a full VM`,
+        `account ${account.name} exceeds its fair share of a full VM`,
         1000,
       );
     }
     record.tokens--;
     record.inFlight++;
     this.#inFlight++;
-    let held = true;
+    let isHeld = true;
     return Ok(() => {
-      if (!held) return;
-      held = false;
+      if (!isHeld) return;
+      isHeld = false;
       record.inFlight--;
       this.#inFlight--;
     });
   }
 
-  /** Forgets accounts that have been idle for long. */
+  /** Drops the state of client accounts that have been idle for long. */
   removeIdleAccounts(nowMs: number): void {
     for (const [name, record] of this.#accounts) {
       if (
@@ -105,11 +107,11 @@
     const { maxInFlight } = this.#options;
     if (this.#inFlight >= maxInFlight) return false;
     if (this.#inFlight < maxInFlight * FAIR_SHARE_THRESHOLD) return true;
-    let weights = record.inFlight === 0 ? record.weight : 0;
+    let totalWeight = record.inFlight === 0 ? record.weight : 0;
     for (const other of this.#accounts.values()) {
-      if (other.inFlight > 0) weights += other.weight;
+      if (other.inFlight > 0) totalWeight += other.weight;
     }
-    return record.inFlight < maxInFlight * record.weight / weights;
+    return record.inFlight < maxInFlight * record.weight / totalWeight;
   }
 
   #getRecord(account: Account, vmCount: number, nowMs: number): AccountRecord {
--- a/packages/heatherarch-policy/admission.ts
+++ b/packages/heatherarch-policy/admission.ts
@@ -1,26 +1,26 @@
 /**
- * Admission by predicted time: a request that can't be answered within its deadline is
- * refused at once, before any target has seen it.
+ * Admission control by predicted time. A request that can't be answered within its deadline is
+ * rejected at once, before it is sent to a target.
  *
  * @module
  */
 import { Err, Ok, type Result, ServeError } from "heatherarch-core";
 import type { RoutePlan } from "./candidate.ts";
 
-/** What admission weighs. */
+/** The properties of a request that admission depends on. */
 export interface AdmissionRequest {
-  /** Time left until the deadline, milliseconds. */
+  /** Time left until the deadline. */
   readonly remainingMs: number;
   readonly outputTokens: number;
 }
 
 /** Options of {@linkcode checkAdmission}. */
 export interface AdmissionOptions {
-  /** Share of the remaining time that the prediction may fill. */
+  /** Maximum share of the remaining time that the predicted time may take. */
   readonly slack: number;
 }
 
-/** Predictions err; a request is refused only where it would miss its deadline clearly. */
+/** Predictions are inexact, so a request is rejected only if it would clearly miss its deadline. */
 export const DEFAULT_ADMISSION_OPTIONS: AdmissionOptions = { slack: 1 };
 
 const MAX_RETRY_AFTER_MS = 30_000;
@@ -36,8 +36,8 @@
   if (neededMs <= request.remainingMs * options.slack) return Ok(plan);
   const shortMs = neededMs - request.remainingMs;
   const retryAfterMs = Math.min(MAX_RETRY_AFTER_MS, Math.max(200, shortMs));
-  const message = `about ${Math.round(neededMs)} ms are needed, ` +
-    `${Math.round(request.remainingMs)} ms are left`;
+  const message = `the request needs about ${Math.round(neededMs)} ms, but ` +
+    `its deadline is in ${Math.round(request.remainingMs)} ms`;
   return Err(
     new ServeError("overloaded", message, { run: "no", retryAfterMs }),
   );
--- a/packages/heatherarch-policy/candidate.ts
+++ b/packages/heatherarch-policy/candidate.ts
@@ -1,57 +1,57 @@
 /**
- * A target that may take a request, with its load as best known here.
+ * Candidate targets for a request with their estimated load, and the plan that a router makes.
  *
  * @module
  */
 import type { EngineRole } from "heatherarch-core";
 
-/** Load of a target: its last report plus this VM's own work that the report can't show yet. */
+/** Load of a target: its last report, corrected by this VM's own work since that report. */
 export interface TargetLoad {
   readonly running: number;
   readonly waiting: number;
   readonly pendingPrefillTokens: number;
 }
 
-/** One usable target. */
+/** A target that may take a request. */
 export interface Candidate {
   readonly id: string;
   readonly sameZone: boolean;
   readonly role: EngineRole;
   readonly load: TargetLoad;
-  /** Gap between tokens that this VM sees there; undefined without a fresh one. */
+  /** Gap between tokens that this VM observes there; undefined without a recent observation. */
   readonly tokenGapMs?: number;
   readonly maxConcurrent: number;
-  /** Time to reach it and back, milliseconds, as far as the zone tells. */
+  /** Round-trip time to the target, estimated from its availability zone. */
   readonly roundTripMs: number;
 }
 
-/** What is to be routed. */
+/** A request to be routed. */
 export interface RouteRequest {
   readonly promptTokens: number;
-  /** Tokens that are expected to be generated. */
+  /** Expected number of generated tokens. */
   readonly outputTokens: number;
-  /** Key of the prompt's beginning; requests that share it share cached blocks. */
+  /** Key of the prompt's prefix. Requests with the same key share cached KV blocks. */
   readonly prefixKey: string;
-  /** Prompts at least this long may be prefilled apart; 0 for never. */
+  /** Prompts of at least this many tokens may be prefilled on another engine; 0 for never. */
   readonly kvTransferMinTokens: number;
-  /** Time left until the deadline, milliseconds. */
+  /** Time left until the deadline. */
   readonly remainingMs: number;
-  /** Gap between tokens that the profile allows, milliseconds. */
+  /** Gap between tokens that the profile allows. */
   readonly tokenGapMs: number;
-  /** Spreads equally good choices; the id of the request. */
+  /** Key that spreads requests over equally good candidates: the id of the request. */
   readonly tieBreakKey: string;
-  /** Only targets that keep this share of their places free may take it. */
+  /** Share of its slots that a target must still have free after it takes the request. */
   readonly reserveShare: number;
 }
 
-/** Where a request goes. */
+/** The targets that a request is sent to. */
 export interface RoutePlan {
-  /** Engine that prefills, and generates where `decode` is absent. */
+  /** Target that prefills, and also decodes if `decode` is absent. */
   readonly primary: Candidate;
-  /** Engine that takes the KV cache over and generates. */
+  /** Engine that receives the KV cache and decodes. */
   readonly decode?: Candidate;
-  /** Predicted time to the first token, milliseconds. */
+  /** Predicted time to the first token. */
   readonly firstTokenMs: number;
-  /** Predicted gap between tokens, milliseconds. */
+  /** Predicted gap between tokens. */
   readonly tokenGapMs: number;
 }
--- a/packages/heatherarch-policy/demand_meter.ts
+++ b/packages/heatherarch-policy/demand_meter.ts
@@ -4,7 +4,7 @@
  * @module
  */
 
-/** Tokens a second that were asked for, whether or not they were served. */
+/** Requested tokens per second, whether or not they were served. */
 export interface Demand {
   readonly prefillTokensPerSecond: number;
   readonly decodeTokensPerSecond: number;
@@ -16,7 +16,7 @@
   decodeTokensPerSecond: 0,
 };
 
-/** Adds demands up. */
+/** Returns the sum of demands. */
 export function sumDemand(demands: Iterable<Demand>): Demand {
   let prefillTokensPerSecond = 0;
   let decodeTokensPerSecond = 0;
@@ -35,7 +35,7 @@
 
 const BUCKET_COUNT = 10;
 
-/** A meter over `windowMs`. */
+/** Measures demand over a sliding window of `windowMs`. */
 export class DemandMeter {
   readonly #windowMs: number;
   readonly #bucketMs: number;
@@ -47,7 +47,7 @@
     this.#bucketMs = windowMs / BUCKET_COUNT;
   }
 
-  /** Notes a request that arrived. */
+  /** Records a request that arrived. */
   recordRequest(
     prefillTokens: number,
     decodeTokens: number,
@@ -63,7 +63,7 @@
     bucket.decode += decodeTokens;
   }
 
-  /** Demand over the window that ends at `nowMs`. */
+  /** Returns the demand over the window that ends at `nowMs`. */
   read(nowMs: number): Demand {
     while (
       this.#buckets.length > 0 &&
--- a/packages/heatherarch-policy/engine_model.ts
+++ b/packages/heatherarch-policy/engine_model.ts
@@ -1,13 +1,13 @@
 /**
- * The system's own model of an engine: continuous batching with chunked prefill, whose speeds
- * are learned from the answers that pass through.
+ * Performance model of an engine with continuous batching and chunked prefill. It starts from
+ * published speeds and corrects its predictions by observed times to the first token.
  *
  * @module
  */
 import type { EngineRole } from "heatherarch-core";
 import type { TargetLoad } from "./candidate.ts";
 
-/** Parameters of the model. Times are milliseconds. */
+/** Parameters of the model. */
 export interface EngineSpeedEstimate {
   readonly stepMs: number;
   readonly decodeMsPerSequence: number;
@@ -15,7 +15,7 @@
   readonly kvMsPerToken: number;
 }
 
-/** Starting values until answers have been observed. */
+/** Speeds that apply until operators publish others. */
 export const INITIAL_SPEEDS: EngineSpeedEstimate = {
   stepMs: 12,
   decodeMsPerSequence: 0.15,
@@ -23,13 +23,13 @@
   kvMsPerToken: 0.004,
 };
 
-/** Prompt tokens that an engine of a role takes into one step. */
+/** Prompt tokens that an engine processes in one step, by role. */
 const PREFILL_CHUNK_TOKENS: Record<EngineRole, number> = {
   prefill: 4096,
   decode: 64,
   mixed: 256,
 };
-/** Sequences that an engine of a role runs at once. */
+/** Sequences that an engine runs concurrently, by role. */
 const MAX_BATCH_SIZE: Record<EngineRole, number> = {
   prefill: 16,
   decode: 64,
@@ -39,10 +39,10 @@
 const LEARNING_RATE = 0.05;
 const MAX_CORRECTION = 3;
 
-/** Predicts the time of work on an engine. */
+/** Predicts how long work takes on an engine. */
 export class EngineModel {
   #speeds: EngineSpeedEstimate;
-  /** Observed time to the first token over the predicted one, by role. */
+  /** Smoothed ratio of the observed to the predicted time to the first token, by role. */
   readonly #firstTokenCorrection: Record<EngineRole, number> = {
     prefill: 1,
     decode: 1,
@@ -53,7 +53,7 @@
     this.#speeds = speeds;
   }
 
-  /** Takes over the speeds that operators published. What has been learned stays. */
+  /** Sets the speeds that operators published. The learned corrections stay. */
   setSpeeds(speeds: EngineSpeedEstimate): void {
     this.#speeds = speeds;
   }
@@ -62,7 +62,7 @@
     return this.#speeds.kvMsPerToken;
   }
 
-  /** Time from the arrival of a prompt to its first token. */
+  /** Predicts the time from the arrival of a prompt to its first token. */
   predictFirstTokenMs(
     role: EngineRole,
     load: TargetLoad,
@@ -75,31 +75,31 @@
     return (stepMs + prefillMs + queueMs) * this.#firstTokenCorrection[role];
   }
 
-  /** Gap between tokens with one more sequence on the engine. */
+  /** Predicts the gap between tokens with one more sequence on the engine. */
   predictTokenGapMs(role: EngineRole, load: TargetLoad): number {
     return this.#predictStepMs(role, load);
   }
 
-  /** Steps that a prompt takes on an engine of a role. */
+  /** Returns the number of steps that the prefill of a prompt takes. */
   countChunks(role: EngineRole, promptTokens: number): number {
     return Math.ceil(promptTokens / PREFILL_CHUNK_TOKENS[role]);
   }
 
-  /** Prompt tokens a second that one engine of a role prefills when it does nothing else. */
+  /** Predicts the prompt tokens per second that an otherwise idle engine prefills. */
   predictPrefillCapacity(role: EngineRole): number {
     const chunk = PREFILL_CHUNK_TOKENS[role];
     const chunkMs = chunk * 1000 / this.#speeds.prefillTokensPerSecond;
     return chunk * 1000 / (this.#speeds.stepMs + chunkMs);
   }
 
-  /** Tokens a second that one engine of a role generates with a full batch. */
+  /** Predicts the tokens per second that an engine generates with a full batch. */
   predictDecodeCapacity(role: EngineRole): number {
     const batch = MAX_BATCH_SIZE[role];
     return batch * 1000 /
       (this.#speeds.stepMs + batch * this.#speeds.decodeMsPerSequence);
   }
 
-  /** Takes in how long a first token took against what was predicted. */
+  /** Updates the correction of a role by an observed time to the first token. */
   observeFirstToken(
     role: EngineRole,
     predictedMs: number,
@@ -140,7 +140,7 @@
     return chunk * 1000 / (stepMs + decodeMs + chunkMs);
   }
 
-  /** Wait for a place in a full batch. */
+  /** Predicts the wait for a slot in a full batch. */
   #predictQueueMs(role: EngineRole, load: TargetLoad): number {
     const ahead = load.running + load.waiting + 1 - MAX_BATCH_SIZE[role];
     if (ahead <= 0) return 0;
@@ -150,7 +150,7 @@
   }
 }
 
-/** Tokens that a sequence typically stays for. */
+/** Mean number of tokens for which a sequence stays on an engine, by role. */
 const MEAN_OUTPUT_TOKENS: Record<EngineRole, number> = {
   prefill: 4,
   decode: 128,
--- a/packages/heatherarch-policy/load_tracker.ts
+++ b/packages/heatherarch-policy/load_tracker.ts
@@ -1,6 +1,6 @@
 /**
- * Corrects lagging load reports by this VM's own work: what was started or ended after the
- * moment that a report describes.
+ * Corrects delayed load reports by this VM's own work that started or ended after the time that a
+ * report describes.
  *
  * @module
  */
@@ -8,10 +8,11 @@
 
 /** A load report of a target. */
 export interface LoadReport extends TargetLoad {
-  /** Monotonic time at which the report was taken in. */
+  /** Monotonic time at which the report was received. */
   readonly atMs: number;
 }
 
+/** Change of a target's load by this VM's own work. */
 interface LoadChange {
   readonly atMs: number;
   readonly sequences: number;
@@ -20,33 +21,35 @@
 
 interface TargetRecord {
   outstanding: number;
-  /** Running mean of the gaps between tokens of this VM's streams, milliseconds. */
+  /** Moving average of the gaps between tokens of this VM's streams. */
   tokenGapMs: number;
   tokenGapAtMs: number;
   changes: LoadChange[];
 }
 
-/** Work that has been started and may be ended once. */
+/** Work in progress on a target. */
 export interface TrackedWork {
-  /** The first token has arrived: the prompt is no longer pending. */
+  /** Records that the first token arrived, so that the prefill is no longer pending. */
   recordFirstToken(nowMs: number): void;
-  /** Tokens arrived `gapMs` after the ones before them. */
+  /** Records that a token arrived `gapMs` after the previous one. */
   recordTokenGap(gapMs: number, nowMs: number): void;
+  /** Ends the work. Further calls have no effect. */
   end(nowMs: number): void;
 }
 
 /** Options of {@linkcode LoadTracker}. */
 export interface LoadTrackerOptions {
-  /** How far reports lag behind what they describe, milliseconds. */
+  /** Delay between the state that a report describes and its receipt. */
   readonly reportLagMs: number;
 }
 
 const CHANGE_RETENTION_MS = 10_000;
-/** How long an observed gap counts. */
+/** An observed gap between tokens is used for this long. */
 const TOKEN_GAP_MAX_AGE_MS = 1000;
+/** Weight of a new observation in the moving average of gaps. */
 const TOKEN_GAP_SMOOTHING = 0.02;
 
-/** This VM's own work, by target. */
+/** Tracks this VM's own work by target. */
 export class LoadTracker {
   readonly #reportLagMs: number;
   readonly #targets = new Map<string, TargetRecord>();
@@ -61,7 +64,7 @@
     record.outstanding++;
     this.#addChange(record, { atMs: nowMs, sequences: 1, prefillTokens });
     let pending = prefillTokens;
-    let open = true;
+    let isOpen = true;
     return {
       recordFirstToken: (atMs) => {
         if (pending === 0) return;
@@ -74,8 +77,8 @@
       },
       recordTokenGap: (gapMs, atMs) => updateTokenGap(record, gapMs, atMs),
       end: (atMs) => {
-        if (!open) return;
-        open = false;
+        if (!isOpen) return;
+        isOpen = false;
         record.outstanding--;
         this.#addChange(record, {
           atMs,
@@ -86,12 +89,12 @@
     };
   }
 
-  /** Requests of this VM that a target has not finished. */
+  /** Returns the number of requests of this VM that a target has not finished. */
   countOutstanding(target: string): number {
     return this.#targets.get(target)?.outstanding ?? 0;
   }
 
-  /** Mean gap between tokens that this VM sees at a target; undefined without a fresh one. */
+  /** Returns the mean gap between tokens at a target, or undefined without a recent observation. */
   readTokenGapMs(target: string, nowMs: number): number | undefined {
     const record = this.#targets.get(target);
     if (
@@ -102,7 +105,7 @@
     return record.tokenGapMs;
   }
 
-  /** Best estimate of a target's load now. */
+  /** Estimates the current load of a target. */
   estimate(target: string, report: LoadReport | undefined): TargetLoad {
     const record = this.#targets.get(target);
     if (report === undefined) {
@@ -128,9 +131,9 @@
     const { changes } = record;
     changes.push(change);
     if (changes.length % 64 !== 0) return;
-    const limit = change.atMs - CHANGE_RETENTION_MS;
-    const kept = changes.findIndex((entry) => entry.atMs >= limit);
-    if (kept > 0) changes.splice(0, kept);
+    const oldestMs = change.atMs - CHANGE_RETENTION_MS;
+    const firstKept = changes.findIndex((entry) => entry.atMs >= oldestMs);
+    if (firstKept > 0) changes.splice(0, firstKept);
   }
 
   #getRecord(target: string): TargetRecord {
@@ -153,8 +156,8 @@
   gapMs: number,
   nowMs: number,
 ): void {
-  const fresh = nowMs - record.tokenGapAtMs > TOKEN_GAP_MAX_AGE_MS;
-  record.tokenGapMs = fresh
+  const isExpired = nowMs - record.tokenGapAtMs > TOKEN_GAP_MAX_AGE_MS;
+  record.tokenGapMs = isExpired
     ? gapMs
     : record.tokenGapMs + (gapMs - record.tokenGapMs) * TOKEN_GAP_SMOOTHING;
   record.tokenGapAtMs = nowMs;
--- a/packages/heatherarch-policy/lookup_reserve.ts
+++ b/packages/heatherarch-policy/lookup_reserve.ts
@@ -1,19 +1,20 @@
 /**
- * Places that only lookups may use, kept free on a service's targets as long as lookups come.
+ * Reserved capacity for lookups. A share of the slots of a service's targets is kept free for
+ * lookups as long as the service receives lookups.
  *
  * @module
  */
 
 /** Options of {@linkcode LookupReserve}. */
 export interface LookupReserveOptions {
-  /** Share of each target's places. */
+  /** Share of each target's slots that is reserved. */
   readonly share: number;
 }
 
-/** How long the reserve is kept after a lookup. */
+/** The reserve is kept for this long after a lookup. */
 const RESERVE_RETENTION_MS = 60_000;
 
-/** Remembers which services get lookups. */
+/** Tracks which services receive lookups. */
 export class LookupReserve {
   readonly #share: number;
   readonly #lastLookupMs = new Map<string, number>();
@@ -22,15 +23,15 @@
     this.#share = options.share;
   }
 
-  /** Notes a lookup on a service. */
+  /** Records a lookup on a service. */
   recordLookup(service: string, nowMs: number): void {
     this.#lastLookupMs.set(service, nowMs);
   }
 
-  /** Share of places that other requests must leave free. */
+  /** Returns the share of slots that other requests must leave free. */
   readShare(service: string, nowMs: number): number {
-    const last = this.#lastLookupMs.get(service);
-    return last !== undefined && nowMs - last < RESERVE_RETENTION_MS
+    const lastMs = this.#lastLookupMs.get(service);
+    return lastMs !== undefined && nowMs - lastMs < RESERVE_RETENTION_MS
       ? this.#share
       : 0;
   }
--- a/packages/heatherarch-policy/mod.ts
+++ b/packages/heatherarch-policy/mod.ts
@@ -1,6 +1,6 @@
 /**
- * Decisions under load: routing, admission, limits, retry budgets, role planning. All of it
- * is pure; time and measurements come in with each call.
+ * Decisions under load: routing, admission, limits, retry budgets and role planning. The package
+ * is pure: callers pass in the time and all measurements.
  *
  * @module
  */
--- a/packages/heatherarch-policy/retry_budget.ts
+++ b/packages/heatherarch-policy/retry_budget.ts
@@ -1,22 +1,23 @@
 /**
- * A budget that keeps retries a share of fresh requests, so that they can't multiply load.
+ * Retry budget that limits retries to a share of new requests, so that retries can't multiply
+ * the load.
  *
  * @module
  */
 
 /** Options of {@linkcode RetryBudget}. */
 export interface RetryBudgetOptions {
-  /** Retries earned by each fresh request. */
+  /** Retries that each new request adds to the budget. */
   readonly share: number;
-  /** Retries that may be saved up. */
+  /** Maximum number of retries that the budget holds. */
   readonly capacity?: number;
 }
 
 const DEFAULT_CAPACITY = 20;
-/** Shares add up with rounding errors. */
+/** Tolerance for the rounding errors of summed shares. */
 const ROUNDING_TOLERANCE = 1e-9;
 
-/** Counts what may still be retried. */
+/** Token bucket of retries. */
 export class RetryBudget {
   readonly #share: number;
   readonly #capacity: number;
@@ -28,12 +29,12 @@
     this.#tokens = this.#capacity;
   }
 
-  /** A fresh request earns a share of a retry. */
+  /** Records a new request, which adds its share to the budget. */
   recordRequest(): void {
     this.#tokens = Math.min(this.#capacity, this.#tokens + this.#share);
   }
 
-  /** Spends one retry; false where none is left. */
+  /** Spends one retry. Returns false if none is left. */
   spendRetry(): boolean {
     if (this.#tokens < 1 - ROUNDING_TOLERANCE) return false;
     this.#tokens = Math.max(0, this.#tokens - 1);
--- a/packages/heatherarch-policy/role_planner.ts
+++ b/packages/heatherarch-policy/role_planner.ts
@@ -1,5 +1,5 @@
 /**
- * Planning of engine roles from measured demand. A planner proposes at most one change.
+ * Planning of engine roles from measured demand. A planner proposes at most one change at a time.
  *
  * @module
  */
@@ -8,36 +8,37 @@
 import type { Demand } from "./demand_meter.ts";
 import type { EngineModel } from "./engine_model.ts";
 
-/** An engine that may change its role. */
+/** An engine whose role may change. */
 export interface PlannedEngine {
   readonly id: string;
   readonly role: EngineRole;
-  /** Requests on it, by which the cheapest one to drain is chosen. */
+  /** Number of running requests. The engine with the fewest is the cheapest to drain. */
   readonly running: number;
 }
 
-/** What a planner looks at. */
+/** Input of a planner. */
 export interface RolePlanInput {
   readonly engines: readonly PlannedEngine[];
   readonly demand: Demand;
-  /** A change is already in progress in this availability zone. */
+  /** Whether a change is already in progress in this availability zone. */
   readonly changing: boolean;
   readonly nowMs: number;
 }
 
-/** A proposed change. */
+/** A proposed role change. */
 export interface RoleChange {
   readonly engine: string;
   readonly role: EngineRole;
-  /** Predicted gain as a share of the fleet's work, after costs. */
+  /** Predicted net gain as a share of the fleet's work. */
   readonly gain: number;
 }
 
 /** Proposes role changes. */
 export interface RolePlanner {
+  /** Proposes the next change, or returns undefined for none. */
   plan(input: RolePlanInput): RoleChange | undefined;
-  /** Takes in how long an engine was away for a change, milliseconds. */
-  recordChange?(awayMs: number): void;
+  /** Records how long an engine was out of service for a change. */
+  recordChange?(durationMs: number): void;
 }
 
 /** Creates the planner that the fleet configuration names. */
@@ -55,14 +56,14 @@
   }
 }
 
-/** Never changes a role. */
+/** Planner that never changes a role. */
 export class FixedRolePlanner implements RolePlanner {
   plan(): undefined {
     return undefined;
   }
 }
 
-/** Moves towards the ideal split at once, whatever it costs: a baseline. */
+/** Baseline planner that moves towards the ideal split at once, regardless of the cost. */
 export class GreedyPlanner implements RolePlanner {
   readonly #planning: Planning;
   readonly #model: EngineModel;
@@ -74,15 +75,15 @@
 
   plan(input: RolePlanInput): RoleChange | undefined {
     if (input.changing) return undefined;
-    const need = computeRequiredEngines(input.demand, this.#model);
-    const total = need.prefill + need.decode;
+    const required = computeRequiredEngines(input.demand, this.#model);
+    const total = required.prefill + required.decode;
     if (total === 0) return undefined;
     const { minimumPerRole } = this.#planning;
     const count = input.engines.length;
-    const wanted = Math.round(count * need.prefill / total);
+    const proportional = Math.round(count * required.prefill / total);
     const ideal = Math.min(
       count - minimumPerRole,
-      Math.max(minimumPerRole, wanted),
+      Math.max(minimumPerRole, proportional),
     );
     const prefillers =
       input.engines.filter((engine) => engine.role === "prefill").length;
@@ -93,31 +94,31 @@
   }
 }
 
-/** Rounds of planning for which a change must look right before it is proposed. */
+/** A change is proposed once changes to the same role were best in this many rounds in a row. */
 const CONFIRMATION_ROUNDS = 2;
-/** Prefill that a decoder takes in beside its own work, in prefillers. */
+/** Prefill capacity of a decode engine beside its own work, relative to a prefill engine. */
 const DECODER_PREFILL_CAPACITY = 0.42;
-/** Decoders busier than this take in less prefill. */
+/** Decode engines with a higher utilization than this have less prefill capacity. */
 const FULL_PREFILL_UTILIZATION = 0.5;
-/** Generation that a prefiller takes in, in decoders. */
+/** Decode capacity of a prefill engine, relative to a decode engine. */
 const PREFILLER_DECODE_CAPACITY = 0.1;
-/** Weight of the newest regime in the mean length of regimes. */
+/** Weight of the latest regime in the moving average of regime durations. */
 const REGIME_SMOOTHING = 0.4;
-/** Share of the horizon that a first regime is expected to last. */
+/** Share of the horizon that the first regime is expected to last. */
 const INITIAL_REGIME_SHARE = 0.25;
-/** A regime that has outlasted the mean is expected to last this share of its age longer. */
+/** A regime that has outlasted the mean duration is expected to last this share of its age more. */
 const REGIME_EXTENSION_SHARE = 0.5;
-/** Time away for a change over the setting, at first: draining takes its share. */
+/** Initial ratio of the duration of a change to the setting. Draining adds to the duration. */
 const INITIAL_CHANGE_TIME_FACTOR = 1.5;
 const CHANGE_TIME_SMOOTHING = 0.3;
 
-/** Changes a role only where the gain over a horizon exceeds the change's cost. */
+/** Planner that changes a role only if the gain over a horizon exceeds the cost of the change. */
 export class HorizonPlanner implements RolePlanner {
   readonly #planning: Planning;
   readonly #model: EngineModel;
   #proposal: { role: EngineRole; rounds: number } | undefined;
   readonly #regimes: RegimeEstimator;
-  /** Mean time from the announcement of a change to its end. */
+  /** Moving average of the time from the announcement of a change to its end. */
   #meanChangeMs: number;
 
   constructor(planning: Planning, model: EngineModel) {
@@ -127,15 +128,16 @@
     this.#meanChangeMs = planning.changeMs * INITIAL_CHANGE_TIME_FACTOR;
   }
 
-  recordChange(awayMs: number): void {
-    this.#meanChangeMs += (awayMs - this.#meanChangeMs) * CHANGE_TIME_SMOOTHING;
+  recordChange(durationMs: number): void {
+    this.#meanChangeMs += (durationMs - this.#meanChangeMs) *
+      CHANGE_TIME_SMOOTHING;
   }
 
   plan(input: RolePlanInput): RoleChange | undefined {
-    const need = computeRequiredEngines(input.demand, this.#model);
-    this.#regimes.recordDemand(need, input.nowMs);
+    const required = computeRequiredEngines(input.demand, this.#model);
+    this.#regimes.recordDemand(required, input.nowMs);
     if (input.changing) return undefined;
-    const best = this.#findBest(input, need);
+    const best = this.#findBest(input, required);
     if (best === undefined) {
       this.#proposal = undefined;
       return undefined;
@@ -151,25 +153,31 @@
 
   #findBest(
     input: RolePlanInput,
-    need: RequiredEngines,
+    required: RequiredEngines,
   ): RoleChange | undefined {
     const { changeWeight } = this.#planning;
-    const awayMs = this.#meanChangeMs;
+    const changeMs = this.#meanChangeMs;
     const horizonMs = this.#regimes.predictRemainingMs(input.nowMs);
     const counts = countRoles(input.engines);
-    const now = estimateServedShare(counts, need);
+    const servedNow = estimateServedShare(counts, required);
     let best: RoleChange | undefined;
     for (const role of ["prefill", "decode", "mixed"] as const) {
       const engine = pickEngine(input.engines, role);
       if (engine === undefined) continue;
-      const away = { ...counts, [engine.role]: counts[engine.role] - 1 };
-      if (!this.#keepsMinimum(away, engine.role)) continue;
-      const after = { ...away, [role]: away[role] + 1 };
-      const gained = (estimateServedShare(after, need) - now) *
-        Math.max(0, horizonMs - awayMs);
-      const lost = Math.max(0, now - estimateServedShare(away, need)) * awayMs;
-      const fixed = changeWeight * awayMs / input.engines.length;
-      const gain = (gained - lost - fixed) / horizonMs;
+      const countsDuring = {
+        ...counts,
+        [engine.role]: counts[engine.role] - 1,
+      };
+      if (!this.#keepsMinimum(countsDuring, engine.role)) continue;
+      const countsAfter = { ...countsDuring, [role]: countsDuring[role] + 1 };
+      const gainedAfter =
+        (estimateServedShare(countsAfter, required) - servedNow) *
+        Math.max(0, horizonMs - changeMs);
+      const lostDuring =
+        Math.max(0, servedNow - estimateServedShare(countsDuring, required)) *
+        changeMs;
+      const fixedCost = changeWeight * changeMs / input.engines.length;
+      const gain = (gainedAfter - lostDuring - fixedCost) / horizonMs;
       if (gain > 0 && gain > (best?.gain ?? 0)) {
         best = { engine: engine.id, role, gain };
       }
@@ -177,34 +185,38 @@
     return best;
   }
 
-  /** As many engines must stay able to do what the leaving one did as the setting says. */
-  #keepsMinimum(away: RoleCounts, left: EngineRole): boolean {
-    if (left === "mixed") return true;
-    return away[left] + away.mixed >= this.#planning.minimumPerRole;
+  /** Whether enough engines can still do the work of `role` while one of them changes. */
+  #keepsMinimum(countsDuring: RoleCounts, role: EngineRole): boolean {
+    if (role === "mixed") return true;
+    return countsDuring[role] + countsDuring.mixed >=
+      this.#planning.minimumPerRole;
   }
 }
 
-/** Learns how long the mix stays on one side, and so what a role change can still bring. */
+/**
+ * Estimates how long the present demand regime lasts, prefill-dominant or decode-dominant. A role
+ * change pays off only within this time.
+ */
 class RegimeEstimator {
   readonly #maxMs: number;
   #meanMs: number;
   #isPrefillDominant: boolean | undefined;
   #sinceMs = 0;
 
-  constructor(longestMs: number) {
-    this.#maxMs = longestMs;
-    this.#meanMs = longestMs * INITIAL_REGIME_SHARE;
+  constructor(maxMs: number) {
+    this.#maxMs = maxMs;
+    this.#meanMs = maxMs * INITIAL_REGIME_SHARE;
   }
 
-  recordDemand(need: RequiredEngines, nowMs: number): void {
-    if (need.prefill + need.decode === 0) return;
-    const prevails = need.prefill > need.decode;
-    if (prevails === this.#isPrefillDominant) return;
+  recordDemand(required: RequiredEngines, nowMs: number): void {
+    if (required.prefill + required.decode === 0) return;
+    const isPrefillDominant = required.prefill > required.decode;
+    if (isPrefillDominant === this.#isPrefillDominant) return;
     if (this.#isPrefillDominant !== undefined) {
-      const lastedMs = Math.min(this.#maxMs, nowMs - this.#sinceMs);
-      this.#meanMs += (lastedMs - this.#meanMs) * REGIME_SMOOTHING;
+      const durationMs = Math.min(this.#maxMs, nowMs - this.#sinceMs);
+      this.#meanMs += (durationMs - this.#meanMs) * REGIME_SMOOTHING;
     }
-    this.#isPrefillDominant = prevails;
+    this.#isPrefillDominant = isPrefillDominant;
     this.#sinceMs = nowMs;
   }
 
@@ -218,16 +230,16 @@
   }
 }
 
-/** Engines by role. */
+/** Number of engines by role. */
 export type RoleCounts = Readonly<Record<EngineRole, number>>;
 
-/** Work in engines: how many of the fitting role the demand would keep busy. */
+/** Demand expressed as the number of engines of each role that it would keep busy. */
 export interface RequiredEngines {
   readonly prefill: number;
   readonly decode: number;
 }
 
-/** Turns demand into engines needed. */
+/** Converts demand to the number of engines that it requires. */
 export function computeRequiredEngines(
   demand: Demand,
   model: EngineModel,
@@ -246,7 +258,7 @@
   return counts;
 }
 
-/** The engine that is cheapest to give `role`. */
+/** Returns the engine whose change to `role` is cheapest. */
 function pickEngine(
   engines: readonly PlannedEngine[],
   role: EngineRole,
@@ -259,34 +271,34 @@
 }
 
 /**
- * Share of the demand that a split of roles serves, 0 to 1. Engines of the other role take in
- * what is beyond the engines of a role, at their lower efficiency.
+ * Estimates the share of the demand that a split of roles serves, 0 to 1. Engines of one role also
+ * serve excess work of the other role, at a lower efficiency.
  */
 export function estimateServedShare(
   counts: RoleCounts,
-  need: RequiredEngines,
+  required: RequiredEngines,
 ): number {
-  const total = need.prefill + need.decode;
+  const total = required.prefill + required.decode;
   if (total === 0) return 1;
   const mixed = counts.mixed * MIXED_ENGINE_EFFICIENCY;
-  const prefillers = counts.prefill + mixed * need.prefill / total;
-  const decoders = counts.decode + mixed * need.decode / total;
-  const utilization = decoders === 0 ? 1 : need.decode / decoders;
-  const absorbing = Math.min(
+  const prefillers = counts.prefill + mixed * required.prefill / total;
+  const decoders = counts.decode + mixed * required.decode / total;
+  const utilization = decoders === 0 ? 1 : required.decode / decoders;
+  const prefillFactor = Math.min(
     1,
     Math.max(0, 1 + FULL_PREFILL_UTILIZATION - utilization),
   );
   const prefillCapacity = prefillers +
-    decoders * DECODER_PREFILL_CAPACITY * absorbing;
+    decoders * DECODER_PREFILL_CAPACITY * prefillFactor;
   const decodeCapacity = decoders + prefillers * PREFILLER_DECODE_CAPACITY;
-  const share = (capacity: number, wanted: number) =>
-    wanted === 0 ? 1 : capacity / wanted;
+  const share = (capacity: number, requiredCount: number) =>
+    requiredCount === 0 ? 1 : capacity / requiredCount;
   return Math.min(
     1,
-    share(prefillCapacity, need.prefill),
-    share(decodeCapacity, need.decode),
+    share(prefillCapacity, required.prefill),
+    share(decodeCapacity, required.decode),
   );
 }
 
-/** Efficiency of a mixed engine at either work. */
+/** Efficiency of a mixed engine at either kind of work. */
 const MIXED_ENGINE_EFFICIENCY = 0.8;
--- a/packages/heatherarch-policy/router.ts
+++ b/packages/heatherarch-policy/router.ts
@@ -1,5 +1,5 @@
 /**
- * The interface of routing policies.
+ * Interface of the routing policies.
  *
  * @module
  */
@@ -11,7 +11,7 @@
 
 /** Chooses targets for requests. */
 export interface Router {
-  /** Plans where a request goes; undefined where no candidate can take it. */
+  /** Plans the targets of a request; returns undefined if no candidate can take it. */
   planRoute(
     request: RouteRequest,
     candidates: readonly Candidate[],
--- a/packages/heatherarch-policy/router_adaptive.ts
+++ b/packages/heatherarch-policy/router_adaptive.ts
@@ -1,6 +1,7 @@
 /**
- * Routing by predicted completion time: prefix affinity, prefill apart where it pays, work of
- * the other role taken in where its own engines are short, own zone first.
+ * Routing by predicted completion time. The policy prefers the own availability zone and prefill
+ * engines that have the prompt's prefix cached. It disaggregates prefill and decode where that is
+ * faster, and lets prefill engines decode when the decode engines are nearly full.
  *
  * @module
  */
@@ -9,32 +10,35 @@
 import type { EngineModel } from "./engine_model.ts";
 import type { Router } from "./router.ts";
 
-/** Engines on which the blocks of a prefix are expected. */
+/** Number of engines that are expected to have the KV blocks of a prefix cached. */
 const PREFIX_CACHE_ENGINES = 2;
-/** Share of a prompt that a warm engine is expected to have cached, at first. */
+/** Initial estimate of the share of a prompt that such an engine has cached. */
 const INITIAL_CACHE_HIT_SHARE = 0.2;
 const CACHE_HIT_LEARNING_RATE = 0.02;
-/** Weight of a delay that a prompt causes to the sequences beside it. */
+/** Weight of the delay that a prefill causes to the other sequences on the engine. */
 const INTERFERENCE_WEIGHT = 0.3;
-/** A prefiller of the own zone generates only while fewer sequences than this run on it. */
+/** A prefill engine in the own zone decodes only while it has fewer sequences than this. */
 const MAX_SEQUENCES_ON_PREFILLER = 4;
-/** Sequences on the best decoder from which prefillers may generate. */
+/** Prefill engines may decode once the least loaded decoder has this many sequences. */
 const DECODER_FULL_SEQUENCES = 54;
-/** Share of the remaining time up to which a plan in the own zone is good enough. */
+/** A plan in the own zone is used if its cost is at most this share of the remaining time. */
 const LOCAL_DEADLINE_SHARE = 0.75;
-/** How much faster another zone must be. */
+/** Another zone is used only if its cost is below this share of the cost in the own zone. */
 const SPILLOVER_COST_RATIO = 0.8;
-/** Plans this close to the best are taken in turn, so that VMs do not flock together. */
+/**
+ * Requests are spread over all plans within this ratio and margin of the best, so that the VMs do
+ * not all choose the same target.
+ */
 const NEAR_BEST_RATIO = 1.06;
 const NEAR_BEST_MARGIN_MS = 15;
 
-/** A plan and what it costs, in milliseconds of delay. */
+/** A plan with its predicted cost, as a delay. */
 interface ScoredPlan {
   readonly plan: RoutePlan;
   readonly costMs: number;
 }
 
-/** The product's own routing policy. */
+/** Chooses targets by predicted completion time. */
 export class AdaptiveRouter implements Router {
   readonly #model: EngineModel;
   #cacheHitShare = INITIAL_CACHE_HIT_SHARE;
@@ -43,7 +47,7 @@
     this.#model = model;
   }
 
-  /** Takes in the share of a prompt that an engine had cached. */
+  /** Updates the expected cache hits by the share of a prompt that an engine had cached. */
   observeCacheHit(cachedShare: number): void {
     this.#cacheHitShare += (cachedShare - this.#cacheHitShare) *
       CACHE_HIT_LEARNING_RATE;
@@ -53,50 +57,50 @@
     request: RouteRequest,
     candidates: readonly Candidate[],
   ): RoutePlan | undefined {
-    const open = candidates.filter((candidate) =>
+    const usable = candidates.filter((candidate) =>
       hasCapacity(candidate, request.reserveShare)
     );
-    const local = open.filter((candidate) => candidate.sameZone);
-    const near = this.#planForPool(request, local);
-    const fits = near !== undefined &&
-      near.costMs <= request.remainingMs * LOCAL_DEADLINE_SHARE;
-    if (fits || local.length === open.length) return near?.plan;
-    const far = this.#planForPool(request, open);
-    if (near === undefined || far === undefined) return far?.plan;
-    return far.costMs < near.costMs * SPILLOVER_COST_RATIO
-      ? far.plan
-      : near.plan;
+    const local = usable.filter((candidate) => candidate.sameZone);
+    const localBest = this.#planForPool(request, local);
+    const isFastEnough = localBest !== undefined &&
+      localBest.costMs <= request.remainingMs * LOCAL_DEADLINE_SHARE;
+    if (isFastEnough || local.length === usable.length) return localBest?.plan;
+    const best = this.#planForPool(request, usable);
+    if (localBest === undefined || best === undefined) return best?.plan;
+    return best.costMs < localBest.costMs * SPILLOVER_COST_RATIO
+      ? best.plan
+      : localBest.plan;
   }
 
-  /** The best plan among engines of one pool. */
+  /** Returns the best plan among the engines of one pool. */
   #planForPool(
     request: RouteRequest,
     pool: readonly Candidate[],
   ): ScoredPlan | undefined {
     const decoders = this.#listDecoders(pool);
     const decode = this.#pickDecoder(request, decoders);
-    const options = decoders.map((candidate) =>
+    const plans = decoders.map((candidate) =>
       this.#buildSingleEnginePlan(request, candidate)
     );
     if (decode !== undefined && canDisaggregate(request)) {
       const prefillers = pool.filter((candidate) =>
         candidate.role === "prefill"
       );
-      const warm = this.#pickPrefixCacheEngines(request, prefillers);
-      for (const first of prefillers) {
-        options.push(
+      const cached = this.#pickPrefixCacheEngines(request, prefillers);
+      for (const primary of prefillers) {
+        plans.push(
           this.#buildDisaggregatedPlan(request, {
-            first,
+            primary,
             decode,
-            warm: warm.has(first.id),
+            isCached: cached.has(primary.id),
           }),
         );
       }
     }
-    return pickNearBest(options, request.tieBreakKey);
+    return pickNearBest(plans, request.tieBreakKey);
   }
 
-  /** Engines that may generate; prefillers only where the others are nearly full. */
+  /** Lists the engines that may decode. Prefill engines may only if the others are nearly full. */
   #listDecoders(pool: readonly Candidate[]): readonly Candidate[] {
     const decoders = pool.filter((candidate) => candidate.role !== "prefill");
     const lowest = Math.min(
@@ -112,66 +116,63 @@
     return usable.length > 0 ? usable : pool;
   }
 
-  #buildSingleEnginePlan(request: RouteRequest, first: Candidate): ScoredPlan {
-    const { role, load, roundTripMs: distanceMs } = first;
+  #buildSingleEnginePlan(
+    request: RouteRequest,
+    primary: Candidate,
+  ): ScoredPlan {
+    const { role, load, roundTripMs } = primary;
     const { promptTokens } = request;
     const firstTokenMs =
-      this.#model.predictFirstTokenMs(role, load, promptTokens) + distanceMs;
-    const gapMs = this.#predictTokenGapMs(first);
-    const plan: RoutePlan = { primary: first, firstTokenMs, tokenGapMs: gapMs };
-    const cost = firstTokenMs + gapMs * countTokenGaps(request) +
-      this.#predictInterferenceMs(request, first);
-    return { plan, costMs: cost };
+      this.#model.predictFirstTokenMs(role, load, promptTokens) + roundTripMs;
+    const tokenGapMs = this.#predictTokenGapMs(primary);
+    const plan: RoutePlan = { primary, firstTokenMs, tokenGapMs };
+    const costMs = firstTokenMs + tokenGapMs * countTokenGaps(request) +
+      this.#predictInterferenceMs(request, primary);
+    return { plan, costMs };
   }
 
   #buildDisaggregatedPlan(
     request: RouteRequest,
-    { first, decode, warm }: {
-      first: Candidate;
+    { primary, decode, isCached }: {
+      primary: Candidate;
       decode: Candidate;
-      warm: boolean;
+      isCached: boolean;
     },
   ): ScoredPlan {
-    const { role, load, roundTripMs: distanceMs } = first;
+    const { role, load, roundTripMs } = primary;
     const tokens = Math.ceil(
-      request.promptTokens * (warm ? 1 - this.#cacheHitShare : 1),
+      request.promptTokens * (isCached ? 1 - this.#cacheHitShare : 1),
     );
     const firstTokenMs = this.#model.predictFirstTokenMs(role, load, tokens) +
-      distanceMs;
-    const gapMs = this.#predictTokenGapMs(decode);
-    const moveMs = request.promptTokens * this.#model.kvMsPerToken;
-    const plan: RoutePlan = {
-      primary: first,
-      decode,
-      firstTokenMs,
-      tokenGapMs: gapMs,
-    };
+      roundTripMs;
+    const tokenGapMs = this.#predictTokenGapMs(decode);
+    const transferMs = request.promptTokens * this.#model.kvMsPerToken;
+    const plan: RoutePlan = { primary, decode, firstTokenMs, tokenGapMs };
     const decodeMs = this.#predictDecodeMs(request, decode);
-    return { plan, costMs: firstTokenMs + moveMs + decodeMs };
+    return { plan, costMs: firstTokenMs + transferMs + decodeMs };
   }
 
-  /** The engine where generating will be over the soonest. */
+  /** Chooses the engine that is predicted to finish decoding first. */
   #pickDecoder(
     request: RouteRequest,
     decoders: readonly Candidate[],
   ): Candidate | undefined {
-    const options = decoders.map((candidate): ScoredPlan => ({
+    const plans = decoders.map((candidate): ScoredPlan => ({
       plan: { primary: candidate, firstTokenMs: 0, tokenGapMs: 0 },
       costMs: this.#predictDecodeMs(request, candidate),
     }));
-    return pickNearBest(options, request.tieBreakKey)?.plan.primary;
+    return pickNearBest(plans, request.tieBreakKey)?.plan.primary;
   }
 
   #predictDecodeMs(request: RouteRequest, candidate: Candidate): number {
-    const { role, load, roundTripMs: distanceMs } = candidate;
-    const ready = { ...load, pendingPrefillTokens: 0 };
-    const waitMs = this.#model.predictFirstTokenMs(role, ready, 0);
+    const { role, load, roundTripMs } = candidate;
+    const decodeLoad = { ...load, pendingPrefillTokens: 0 };
+    const waitMs = this.#model.predictFirstTokenMs(role, decodeLoad, 0);
     return this.#predictTokenGapMs(candidate) * countTokenGaps(request) +
-      waitMs +
-      distanceMs;
+      waitMs + roundTripMs;
   }
 
-  /** Delay that the steps of a prompt add to all sequences beside it. */
+  /** Predicts the weighted delay that the prefill steps of a prompt add to all other sequences. */
   #predictInterferenceMs(
     request: RouteRequest,
     { role, load }: Candidate,
@@ -196,9 +197,9 @@
     );
   }
 
-  /** Gap over the life of a sequence: what is seen there, else what the model says. */
-  #predictTokenGapMs({ role, load, tokenGapMs: gapMs }: Candidate): number {
-    return gapMs ??
+  /** Returns the observed gap between tokens, or the predicted one without an observation. */
+  #predictTokenGapMs({ role, load, tokenGapMs }: Candidate): number {
+    return tokenGapMs ??
       this.#model.predictTokenGapMs(role, { ...load, pendingPrefillTokens: 0 });
   }
 }
@@ -214,20 +215,20 @@
   return Math.max(0, outputTokens - 1);
 }
 
-/** One of the options that are nearly as good as the best, the same for the same key. */
+/** Chooses one of the plans that are nearly as good as the best. The same key gets the same plan. */
 function pickNearBest(
-  options: readonly ScoredPlan[],
-  spreadKey: string,
+  plans: readonly ScoredPlan[],
+  tieBreakKey: string,
 ): ScoredPlan | undefined {
-  const lowest = Math.min(...options.map((option) => option.costMs));
-  const near = options.filter((option) =>
-    option.costMs <= lowest * NEAR_BEST_RATIO + NEAR_BEST_MARGIN_MS
+  const lowestMs = Math.min(...plans.map((scored) => scored.costMs));
+  const nearBest = plans.filter((scored) =>
+    scored.costMs <= lowestMs * NEAR_BEST_RATIO + NEAR_BEST_MARGIN_MS
   );
-  if (near.length === 0) return undefined;
-  return near[mixHash(hashText(spreadKey)) % near.length];
+  if (nearBest.length === 0) return undefined;
+  return nearBest[mixHash(hashText(tieBreakKey)) % nearBest.length];
 }
 
-/** Whether a target keeps `reserveShare` of its places free after one more request. */
+/** Whether `reserveShare` of a target's slots stay free after one more request. */
 function hasCapacity(candidate: Candidate, reserveShare: number): boolean {
   const { running, waiting } = candidate.load;
   return running + waiting + 1 <= candidate.maxConcurrent * (1 - reserveShare);
--- a/packages/heatherarch-policy/router_static.ts
+++ b/packages/heatherarch-policy/router_static.ts
@@ -1,5 +1,6 @@
 /**
- * Baseline routing: engines of the fitting role in turn, or the one with the least work.
+ * Baseline routing policies: round robin and least outstanding requests among the engines of a
+ * role.
  *
  * @module
  */
@@ -7,7 +8,7 @@
 import type { EngineModel } from "./engine_model.ts";
 import type { Router } from "./router.ts";
 
-/** Routes by role and leaves the choice among engines of a role to the subclass. */
+/** Routes by role; subclasses choose among the engines of a role. */
 abstract class RoleRouter implements Router {
   readonly #model: EngineModel;
 
@@ -25,12 +26,12 @@
     const decoders = pool.filter((candidate) => candidate.role !== "prefill");
     const prefillers = pool.filter((candidate) => candidate.role === "prefill");
     const { kvTransferMinTokens, promptTokens } = request;
-    const apart = kvTransferMinTokens > 0 &&
+    const isLong = kvTransferMinTokens > 0 &&
       promptTokens >= kvTransferMinTokens;
-    if (apart && prefillers.length > 0 && decoders.length > 0) {
-      const first = this.pick(prefillers, "prefill");
+    if (isLong && prefillers.length > 0 && decoders.length > 0) {
+      const primary = this.pick(prefillers, "prefill");
       return {
-        ...this.#predict(first, request),
+        ...this.#predict(primary, request),
         decode: this.pick(decoders, "decode"),
       };
     }
@@ -40,13 +41,13 @@
     );
   }
 
-  /** Chooses one of `pool`, which is not empty. */
+  /** Chooses a candidate of `pool`, which is not empty. */
   protected abstract pick(pool: readonly Candidate[], stage: string): Candidate;
 
-  #predict(first: Candidate, request: RouteRequest): RoutePlan {
-    const { role, load } = first;
+  #predict(primary: Candidate, request: RouteRequest): RoutePlan {
+    const { role, load } = primary;
     return {
-      primary: first,
+      primary,
       firstTokenMs: this.#model.predictFirstTokenMs(
         role,
         load,
@@ -57,7 +58,7 @@
   }
 }
 
-/** Targets in turn. */
+/** Chooses the targets in turn. */
 export class RoundRobinRouter extends RoleRouter {
   readonly #next = new Map<string, number>();
 
@@ -68,7 +69,7 @@
   }
 }
 
-/** The target with the fewest requests. */
+/** Chooses the target with the fewest running and waiting requests. */
 export class LeastOutstandingRouter extends RoleRouter {
   protected pick(pool: readonly Candidate[]): Candidate {
     const count = ({ load }: Candidate) => load.running + load.waiting;
--- a/packages/heatherarch-policy/tests/unit/policy_test.ts
+++ b/packages/heatherarch-policy/tests/unit/policy_test.ts
@@ -63,7 +63,7 @@
   };
 }
 
-test("the router leaves a loaded engine for a free one", () => {
+test("the router prefers an idle engine to a loaded one", () => {
   const router = new AdaptiveRouter(new EngineModel());
   const busy = buildCandidate("busy", {
     load: { running: 30, waiting: 10, pendingPrefillTokens: 40_000 },
@@ -72,7 +72,7 @@
   assert.equal(plan?.primary.id, "free");
 });
 
-test("requests that share a prefix meet on the same engines while these have room", () => {
+test("requests with the same prefix go to the same engine while it has capacity", () => {
   const router = new AdaptiveRouter(new EngineModel());
   const engines = Array.from({ length: 8 }, (_, i) => buildCandidate(`e${i}`));
   const request = buildRequest({ promptTokens: 2000, kvTransferMinTokens: 0 });
@@ -82,7 +82,7 @@
   }
 });
 
-test("a long prompt is prefilled apart while prefilling would stall its tokens", () => {
+test("a long prompt is disaggregated when its prefill would delay other sequences", () => {
   const router = new AdaptiveRouter(new EngineModel());
   const prefiller = buildCandidate("p", {
     role: "prefill",
@@ -100,7 +100,7 @@
   assert.equal(plan?.decode?.id, "d");
 });
 
-test("the lookups' reserve is closed to other requests", () => {
+test("slots that are reserved for lookups are not available to other requests", () => {
   const router = new AdaptiveRouter(new EngineModel());
   const nearlyFull = buildCandidate("e", {
     load: { running: 60, waiting: 0, pendingPrefillTokens: 0 },
@@ -112,7 +112,7 @@
   assert.ok(router.planRoute(buildRequest({ reserveShare: 0 }), [nearlyFull]));
 });
 
-test("the reserve is kept for a service as long as lookups come to it", () => {
+test("the reserve of a service is kept while the service receives lookups", () => {
   const reserve = new LookupReserve({ share: 0.1 });
   assert.equal(reserve.readShare("reader", 0), 0);
   reserve.recordLookup("reader", 1000);
@@ -121,24 +121,24 @@
   assert.equal(reserve.readShare("reader", 62_000), 0);
 });
 
-test("admission refuses at once what can't be in time, and says when to come back", () => {
+test("admission rejects a request that can't meet its deadline, with a retry time", () => {
   const plan = {
     primary: buildCandidate("e"),
     firstTokenMs: 900,
     tokenGapMs: 40,
   };
-  const refused = checkAdmission(
+  const rejected = checkAdmission(
     { remainingMs: 2000, outputTokens: 100 },
     plan,
   );
-  const error = refused.val as ServeError;
+  const error = rejected.val as ServeError;
   assert.equal(error.kind, "overloaded");
   assert.equal(error.run, "no");
   assert.ok(error.retryAfterMs >= 200);
   assert.ok(checkAdmission({ remainingMs: 6000, outputTokens: 100 }, plan).ok);
 });
 
-test("an account is held to its rate, and told when it may come again", () => {
+test("a client account that exceeds its rate is rejected with a retry time", () => {
   const limits = new AccountLimits({ maxInFlight: 100 });
   assert.ok(limits.acquire(ACCOUNT, 1, 0).ok);
   assert.ok(limits.acquire(ACCOUNT, 1, 0).ok);
@@ -148,7 +148,7 @@
   assert.ok(limits.acquire(ACCOUNT, 1, 100).ok);
 });
 
-test("on a full VM a heavy account can't crowd out a light one", () => {
+test("on a full VM a heavy client account can't starve a light one", () => {
   const limits = new AccountLimits({ maxInFlight: 10 });
   const heavy = {
     ...ACCOUNT,
@@ -158,13 +158,13 @@
   };
   const light = { ...heavy, name: "light" };
   assert.ok(limits.acquire(light, 1, 0).ok);
-  let taken = 0;
-  while (limits.acquire(heavy, 1, 0).ok) taken++;
-  assert.ok(taken < 9, `${taken}`);
+  let admitted = 0;
+  while (limits.acquire(heavy, 1, 0).ok) admitted++;
+  assert.ok(admitted < 9, `${admitted}`);
   assert.ok(limits.acquire(light, 1, 0).ok);
 });
 
-test("a release counts once", () => {
+test("releasing a request twice frees one slot", () => {
   const limits = new AccountLimits({ maxInFlight: 10 });
   const release = limits.acquire(ACCOUNT, 1, 0).val as () => void;
   release();
@@ -172,7 +172,7 @@
   assert.equal(limits.inFlight, 0);
 });
 
-test("retries are a share of fresh requests", () => {
+test("retries are limited to a share of new requests", () => {
   const budget = new RetryBudget({ share: 0.1, capacity: 1 });
   assert.ok(budget.spendRetry());
   assert.equal(budget.spendRetry(), false);
@@ -180,7 +180,7 @@
   assert.ok(budget.spendRetry());
 });
 
-test("own work that a lagging report can't show is added to it", () => {
+test("own work that a delayed report does not include is added to the estimate", () => {
   const tracker = new LoadTracker({ reportLagMs: 200 });
   const report = {
     running: 3,
@@ -199,21 +199,21 @@
   assert.equal(tracker.estimate("e", report).pendingPrefillTokens, 100);
 });
 
-test("a balanced split serves all, a lopsided one does not", () => {
-  const need = { prefill: 3, decode: 3 };
+test("a balanced split of roles serves the whole demand and an unbalanced one does not", () => {
+  const required = { prefill: 3, decode: 3 };
   assert.equal(
-    estimateServedShare({ prefill: 4, decode: 4, mixed: 0 }, need),
+    estimateServedShare({ prefill: 4, decode: 4, mixed: 0 }, required),
     1,
   );
   assert.ok(
-    estimateServedShare({ prefill: 1, decode: 4, mixed: 0 }, need) < 0.9,
+    estimateServedShare({ prefill: 1, decode: 4, mixed: 0 }, required) < 0.9,
   );
   assert.ok(
-    estimateServedShare({ prefill: 6, decode: 2, mixed: 0 }, need) < 0.9,
+    estimateServedShare({ prefill: 6, decode: 2, mixed: 0 }, required) < 0.9,
   );
 });
 
-test("the horizon planner needs a lasting gain; the greedy one does not", () => {
+test("the horizon planner requires a lasting gain and the greedy one does not", () => {
   const model = new EngineModel();
   const engines = Array.from({ length: 8 }, (_, i) => ({
     id: `e${i}`,
@@ -233,6 +233,6 @@
     demand: { prefillTokensPerSecond: 2000, decodeTokensPerSecond: 20_000 },
   };
   const planner = new HorizonPlanner(PLANNING, model);
-  assert.equal(planner.plan(heavy), undefined, "one round confirms nothing");
+  assert.equal(planner.plan(heavy), undefined, "one round is no confirmation");
   assert.equal(planner.plan(heavy)?.role, "decode");
 });
