--- a/packages/heatherarch-claims/claim_fold.ts
+++ b/packages/heatherarch-claims/claim_fold.ts
@@ -1,6 +1,6 @@
 /**
- * The fold of a claims stream: which claim of a key came first. Its clock is the log's own
- * time, so every reader forgets and refuses the same keys.
+ * State of a claims stream, folded from its records: which claim of each key came first. The fold
+ * takes the time from the log records, so every reader expires and rejects the same keys.
  *
  * @module
  */
@@ -14,21 +14,24 @@
   parseClaimRecord,
 } from "./claim_records.ts";
 
-/** What became of a claim, by the order of the log. */
+/** Result of a claim, as the order of the log determines it. */
 export type ClaimVerdict =
   | { readonly kind: "granted" }
+  /** Another claim holds the key for the same request. */
   | { readonly kind: "taken"; readonly holder: KeyState }
+  /** The key is in use for a different request. */
   | { readonly kind: "reused" }
+  /** The time of the key is outside the window that the log covers. */
   | { readonly kind: "expired" };
 
-/** A record as the log keeps it. */
+/** A record as stored in the log. */
 export interface TimedRecord {
   readonly offset: number;
   readonly appendedAtMs: number;
   readonly data: unknown;
 }
 
-/** Guards that make the fold safe; the proofs switch them off one at a time. */
+/** Safety rules of the fold. The proofs disable them one at a time. */
 export const CLAIM_GUARDS = [
   "firstClaimWins",
   "dropRepeatedId",
@@ -39,19 +42,22 @@
 
 /** Options of {@linkcode ClaimFold}. */
 export interface ClaimFoldOptions {
-  /** How long a key is remembered after the time that it carries. */
+  /** How long a key is kept after the time that it carries. */
   readonly keyWindowMs: number;
-  /** How far in the future a key's time may lie. */
+  /** How far in the future the time of a key may be. */
   readonly futureSkewMs: number;
   readonly disabledGuards?: ReadonlySet<ClaimGuard>;
 }
 
+/** Number of recent record ids that are kept to recognize repeated records. */
 const MAX_SEEN_IDS = 500;
+/** Number of keys in one record of a snapshot. */
 const SNAPSHOT_PART_KEYS = 500;
 
-/** Keys of one shard, up to one offset. */
+/** State of the keys of one shard at one offset. */
 export class ClaimFold {
   readonly #options: ClaimFoldOptions;
+  /** Guards that are switched off. */
   readonly #off: ReadonlySet<ClaimGuard>;
   #keys = new Map<string, KeyState>();
   #seenIds = new Set<string>();
@@ -64,21 +70,22 @@
     this.#off = options.disabledGuards ?? new Set();
   }
 
-  /** Last offset applied. */
+  /** Offset of the last applied record. */
   get offset(): number {
     return this.#offset;
   }
 
-  /** Keys remembered. */
+  /** Number of keys. */
   get size(): number {
     return this.#keys.size;
   }
 
+  /** Returns the state of a key. */
   getKey(key: string): KeyState | undefined {
     return this.#keys.get(key);
   }
 
-  /** Applies the next record; returns a verdict for each claim in it, by claim id. */
+  /** Applies the next record. Returns the verdict on each claim in the record, by claim id. */
   apply(record: TimedRecord): ReadonlyMap<string, ClaimVerdict> {
     assertInvariant(
       record.offset === this.#offset + 1,
@@ -96,13 +103,15 @@
     return verdicts;
   }
 
-  /** Verdict on a claim that was applied before the snapshot that was loaded; undefined for none. */
+  /** Returns the verdict on a claim that a loaded snapshot covers; undefined for an unknown key. */
   findVerdict(entry: ClaimRequest): ClaimVerdict | undefined {
-    const known = this.#keys.get(entry.key);
-    return known === undefined ? undefined : decideRepeatedClaim(known, entry);
+    const existing = this.#keys.get(entry.key);
+    return existing === undefined
+      ? undefined
+      : decideRepeatedClaim(existing, entry);
   }
 
-  /** Builds the records of a snapshot of the present state. */
+  /** Builds the records of a snapshot of the current state. */
   buildSnapshot(createId: () => string): ClaimRecord[] {
     const keys = [...this.#keys.values()];
     const parts = Math.max(1, Math.ceil(keys.length / SNAPSHOT_PART_KEYS));
@@ -125,21 +134,21 @@
   }
 
   /**
-   * Loads the newest whole snapshot among `records`, which start at the oldest kept offset.
-   * Returns whether one bridged the trimmed part. What follows it is left to be applied, so
-   * that its verdicts are seen.
+   * Loads the newest complete snapshot among `records`, which start at the oldest retained offset.
+   * Returns whether a snapshot covered the trimmed records. The caller applies the records after
+   * the snapshot, so that it receives their verdicts.
    */
   loadSnapshot(records: readonly TimedRecord[]): boolean {
-    const best = findNewestSnapshot(records);
-    if (best === undefined || best[0].coversOffset <= this.#offset) {
+    const newest = findNewestSnapshot(records);
+    if (newest === undefined || newest[0].coversOffset <= this.#offset) {
       return false;
     }
     this.#keys = new Map(
-      best.flatMap((part) => part.keys).map((key) => [key.key, key]),
+      newest.flatMap((part) => part.keys).map((state) => [state.key, state]),
     );
-    this.#seenIds = new Set(best.flatMap((part) => part.seen));
-    this.#offset = best[0].coversOffset;
-    this.#logTimeMs = best[0].logTimeMs;
+    this.#seenIds = new Set(newest.flatMap((part) => part.seen));
+    this.#offset = newest[0].coversOffset;
+    this.#logTimeMs = newest[0].logTimeMs;
     return true;
   }
 
@@ -148,23 +157,23 @@
       verdicts.set(entry.claimId, this.#applyClaim(entry));
       return;
     }
-    const known = this.#keys.get(entry.key);
-    if (known === undefined || known.claimId !== entry.claimId) return;
+    const state = this.#keys.get(entry.key);
+    if (state === undefined || state.claimId !== entry.claimId) return;
     if (entry.op === "release") {
-      if (known.outcome === undefined) this.#keys.delete(entry.key);
-    } else if (known.outcome === undefined) {
-      this.#keys.set(entry.key, { ...known, outcome: entry.outcome });
+      if (state.outcome === undefined) this.#keys.delete(entry.key);
+    } else if (state.outcome === undefined) {
+      this.#keys.set(entry.key, { ...state, outcome: entry.outcome });
     }
   }
 
   #applyClaim(entry: ClaimRequest): ClaimVerdict {
     const ageMs = this.#logTimeMs - entry.madeAtMs;
     const { keyWindowMs, futureSkewMs } = this.#options;
-    const outside = ageMs >= keyWindowMs || ageMs < -futureSkewMs;
-    if (outside && !this.#off.has("refuseExpired")) return { kind: "expired" };
-    const known = this.#keys.get(entry.key);
-    if (known !== undefined && !this.#off.has("firstClaimWins")) {
-      return decideRepeatedClaim(known, entry);
+    const expired = ageMs >= keyWindowMs || ageMs < -futureSkewMs;
+    if (expired && !this.#off.has("refuseExpired")) return { kind: "expired" };
+    const existing = this.#keys.get(entry.key);
+    if (existing !== undefined && !this.#off.has("firstClaimWins")) {
+      return decideRepeatedClaim(existing, entry);
     }
     const { claimId, key, madeAtMs, fingerprint, vm } = entry;
     const claimedAtMs = this.#logTimeMs;
@@ -179,7 +188,7 @@
     return { kind: "granted" };
   }
 
-  /** Notes a record's id; true where it has been applied before. */
+  /** Whether the record with this id was applied before. Adds the id to the recent ones. */
   #isRepeatedId(id: string): boolean {
     if (this.#seenIds.has(id)) return !this.#off.has("dropRepeatedId");
     this.#seenIds.add(id);
@@ -190,7 +199,7 @@
     return false;
   }
 
-  /** Forgets keys that the window has passed; the fold refuses them by their own time. */
+  /** Drops keys that are older than the window. The fold rejects new claims of them by their time. */
   #expireKeys(): void {
     if (this.#logTimeMs < this.#nextExpiryMs) return;
     const { keyWindowMs } = this.#options;
@@ -203,38 +212,39 @@
   }
 }
 
-/** Verdict on a claim of a key that is claimed. */
+/** Returns the verdict on a claim of a key that is already claimed. */
 function decideRepeatedClaim(
-  known: KeyState,
+  existing: KeyState,
   entry: ClaimRequest,
 ): ClaimVerdict {
-  if (known.claimId === entry.claimId) return { kind: "granted" };
-  if (known.fingerprint !== entry.fingerprint) return { kind: "reused" };
-  return { kind: "taken", holder: known };
+  if (existing.claimId === entry.claimId) return { kind: "granted" };
+  if (existing.fingerprint !== entry.fingerprint) return { kind: "reused" };
+  return { kind: "taken", holder: existing };
 }
 
 type SnapshotRecord = Extract<ClaimRecord, { type: "snapshot" }>;
 
+/** Returns all parts of the newest complete snapshot that reaches the oldest retained record. */
 function findNewestSnapshot(
   records: readonly TimedRecord[],
 ): SnapshotRecord[] | undefined {
-  const first = records[0]?.offset ?? 0;
-  const groups = new Map<string, SnapshotRecord[]>();
-  let best: SnapshotRecord[] | undefined;
+  const firstOffset = records[0]?.offset ?? 0;
+  const partsBySnapshot = new Map<string, SnapshotRecord[]>();
+  let newest: SnapshotRecord[] | undefined;
   for (const record of records) {
     const parsed = parseClaimRecord(record.data);
-    if (parsed?.type !== "snapshot" || parsed.coversOffset < first - 1) {
+    if (parsed?.type !== "snapshot" || parsed.coversOffset < firstOffset - 1) {
       continue;
     }
     if (parsed.coversOffset >= record.offset) continue;
-    const group = groups.get(parsed.snapshotId) ?? [];
-    if (!group.some((part) => part.part === parsed.part)) group.push(parsed);
-    groups.set(parsed.snapshotId, group);
-    const whole = group.length === parsed.parts;
+    const parts = partsBySnapshot.get(parsed.snapshotId) ?? [];
+    if (!parts.some((part) => part.part === parsed.part)) parts.push(parsed);
+    partsBySnapshot.set(parsed.snapshotId, parts);
+    const isComplete = parts.length === parsed.parts;
     if (
-      whole &&
-      (best === undefined || parsed.coversOffset > best[0].coversOffset)
-    ) best = group;
+      isComplete &&
+      (newest === undefined || parsed.coversOffset > newest[0].coversOffset)
+    ) newest = parts;
   }
-  return best;
+  return newest;
 }
--- a/packages/heatherarch-claims/claim_key.ts
+++ b/packages/heatherarch-claims/claim_key.ts
@@ -1,6 +1,6 @@
 /**
- * Idempotency keys. A key carries the time at which the caller made it, so that a key older
- * than what the log still remembers can be told from a new one.
+ * Idempotency keys. A key carries the time at which the client created it, so that a key that is
+ * older than the window of the log can be distinguished from a new one.
  *
  * @module
  */
@@ -15,15 +15,15 @@
 
 const KEY_PATTERN = /^(\d{13})-([A-Za-z0-9._~-]{4,200})$/;
 
-/** A key that has been read. */
+/** A parsed idempotency key. */
 export interface ClaimKey {
-  /** Account, service and the caller's key in one text. */
+  /** Client account, service and the client's key, joined. */
   readonly text: string;
-  /** Wall-clock time that the key carries, milliseconds since the Unix epoch. */
+  /** Wall-clock time that the key carries, in milliseconds since the Unix epoch. */
   readonly madeAtMs: number;
 }
 
-/** Reads an `Idempotency-Key` header of the form `UNIXMS-TEXT`. */
+/** Parses an `Idempotency-Key` header of the form `UNIXMILLISECONDS-TEXT`. */
 export function parseClaimKey(
   header: string,
   scope: { account: string; service: string },
@@ -39,12 +39,12 @@
   return Ok({ text, madeAtMs: Number(match[1]) });
 }
 
-/** The shard that a key belongs to. */
+/** Computes the shard of a key. */
 export function computeShard(keyText: string, shards: number): number {
   return mixHash(hashText(keyText)) % shards;
 }
 
-/** Name of the stream of a shard. */
+/** Returns the name of the claims stream of a shard. */
 export function buildClaimStreamName(shard: number): string {
   return `claims.${shard}`;
 }
--- a/packages/heatherarch-claims/claim_records.ts
+++ b/packages/heatherarch-claims/claim_records.ts
@@ -1,5 +1,5 @@
 /**
- * Records of a `claims.<shard>` stream. One append carries many claims and outcomes.
+ * Records of a `claims.<shard>` stream. One record carries many claims, outcomes and releases.
  *
  * @module
  */
@@ -11,7 +11,7 @@
 const OUTCOME = z.object({
   status: z.int(),
   headers: z.record(z.string(), z.string()),
-  /** Base64; absent where the answer was too large to keep. */
+  /** Response body in Base64; absent if it was too large to store. */
   body: z.string().optional(),
 });
 
@@ -21,7 +21,7 @@
     claimId: z.string(),
     key: z.string(),
     madeAtMs: z.number(),
-    /** Digest of the request, so that a key used for another request is noticed. */
+    /** Digest of the request, which reveals the reuse of a key for a different request. */
     fingerprint: z.string(),
     vm: z.string(),
   }),
@@ -55,12 +55,12 @@
     type: z.literal("snapshot"),
     format: z.literal(CLAIMS_FORMAT),
     id: z.string(),
-    /** Id shared by all parts of one snapshot. */
+    /** Id that all parts of one snapshot share. */
     snapshotId: z.string(),
     coversOffset: z.int(),
     part: z.int(),
     parts: z.int(),
-    /** Latest time of the log that the covered records carry. */
+    /** Latest append time of the covered records. */
     logTimeMs: z.number(),
     keys: z.array(KEY_STATE),
     seen: z.array(z.string()),
@@ -69,16 +69,16 @@
 
 /** A record of a claims stream. */
 export type ClaimRecord = z.infer<typeof CLAIM_RECORD>;
-/** One claim, outcome or release. */
+/** A claim, an outcome or a release of a key. */
 export type ClaimEntry = z.infer<typeof ENTRY>;
 /** A claim of a key. */
 export type ClaimRequest = Extract<ClaimEntry, { op: "claim" }>;
-/** The answer of a call, kept for repeats. */
+/** The response to a call, stored for repeated calls with the same key. */
 export type ClaimOutcome = z.infer<typeof OUTCOME>;
-/** What is known of a key. */
+/** State of a claimed key. */
 export type KeyState = z.infer<typeof KEY_STATE>;
 
-/** Reads a record's content; undefined for garbage or an unknown format. */
+/** Parses a record; returns undefined for invalid data or an unknown format. */
 export function parseClaimRecord(data: unknown): ClaimRecord | undefined {
   const parsed = CLAIM_RECORD.safeParse(data);
   return parsed.success ? parsed.data : undefined;
--- a/packages/heatherarch-claims/claim_shard.ts
+++ b/packages/heatherarch-claims/claim_shard.ts
@@ -1,6 +1,6 @@
 /**
- * The owner of one shard on one VM: groups claims into one append at a time, and answers
- * each claim only after the stream has been read without a gap up to it.
+ * Owner of one shard on one VM. It commits claims in groups, one append at a time, and resolves a
+ * claim only after the stream has been read without a gap up to that claim.
  *
  * @module
  */
@@ -30,12 +30,13 @@
   readonly shard: number;
   readonly log: LogPort;
   readonly clock: Clock;
-  /** Time to gather claims before an append. */
+  /** Time for which claims are collected before an append. */
   readonly batchMs: number;
+  /** Maximum number of entries in one append. */
   readonly maxBatch: number;
-  /** Longest time that a claim waits for its verdict. */
+  /** Maximum time for which a claim waits for its verdict. */
   readonly timeoutMs: number;
-  /** Records after which a snapshot is appended. */
+  /** Number of records after which a snapshot is appended. */
   readonly snapshotEveryRecords: number;
 }
 
@@ -53,9 +54,10 @@
   readonly offset: number;
 }
 
+/** Maximum number of records in one read. */
 const READ_PAGE = 500;
 
-/** Claims of one shard. */
+/** Decides the claims of one shard. */
 export class ClaimShard {
   readonly #options: ClaimShardOptions;
   readonly #stream: string;
@@ -84,25 +86,25 @@
   }
 
   /**
-   * Claims a key. Rejects with {@linkcode LogUnavailableError} where the verdict is not
-   * known; the claim may then stand in the log, but it was not granted.
+   * Claims a key. Rejects with {@linkcode LogUnavailableError} if the verdict is unknown. The claim
+   * may be in the log in this case, but it was not granted.
    */
   async claim(entry: ClaimRequest): Promise<ClaimVerdict> {
-    // Another VM's snapshot may cover the record before this VM has read it.
+    // A snapshot of another VM may cover the record before this VM reads it.
     const verdict = await this.#enqueue(entry) ??
       this.#fold.findVerdict(entry);
     if (verdict === undefined) {
-      throw new LogUnavailableError("no verdict on the claim");
+      throw new LogUnavailableError("the log returned no verdict on the claim");
     }
     return verdict;
   }
 
-  /** Records an outcome, or that the holder dropped its claim without using it. */
+  /** Records the outcome of a claimed call, or the release of an unused claim. */
   async conclude(entry: Exclude<ClaimEntry, { op: "claim" }>): Promise<void> {
     await this.#enqueue(entry);
   }
 
-  /** What the log says of a key now. Reads up to the end first. */
+  /** Returns the current state of a key after reading up to the end of the stream. */
   async lookUp(key: string): Promise<KeyState | undefined> {
     await this.#catchUp();
     return this.#fold.getKey(key);
@@ -154,31 +156,31 @@
     await this.#writeSnapshotWhenDue();
   }
 
-  /** Reads without a gap up to `offset`, or to the end of the stream. */
+  /** Reads the stream without a gap up to `offset`, or up to its end. */
   async #catchUp(offset?: number): Promise<void> {
-    const until = this.#options.clock.readMonotonicMs() +
+    const deadlineMs = this.#options.clock.readMonotonicMs() +
       this.#options.timeoutMs;
     while (true) {
       const from = this.#fold.offset + 1;
       const options = { maxRecords: READ_PAGE };
       const slice = await this.#options.log.read(this.#stream, from, options);
-      const verdict = judgeSlice(from, slice);
-      if (verdict.kind === "gap") {
+      const result = judgeSlice(from, slice);
+      if (result.kind === "gap") {
         await this.#recoverFromGap();
         continue;
       }
-      for (const record of verdict.records) {
+      for (const record of result.records) {
         this.#recordsSinceSnapshot++;
-        for (const [id, own] of this.#fold.apply(record)) {
-          if (this.#awaitedClaimIds.has(id)) this.#verdicts.set(id, own);
+        for (const [id, verdict] of this.#fold.apply(record)) {
+          if (this.#awaitedClaimIds.has(id)) this.#verdicts.set(id, verdict);
         }
       }
       if (
-        offset === undefined ? verdict.current : this.#fold.offset >= offset
+        offset === undefined ? result.current : this.#fold.offset >= offset
       ) return;
-      if (this.#options.clock.readMonotonicMs() > until) {
+      if (this.#options.clock.readMonotonicMs() > deadlineMs) {
         throw new LogUnavailableError(
-          "reading up to the own claim took too long",
+          "timed out while reading the stream up to the claim",
         );
       }
     }
@@ -188,7 +190,7 @@
     const records = await readWholeStream(this.#options.log, this.#stream);
     if (this.#fold.loadSnapshot(records)) return;
     throw new LogUnavailableError(
-      "records were trimmed and no snapshot bridges them",
+      "records were trimmed and no snapshot covers them",
     );
   }
 
--- a/packages/heatherarch-claims/mod.ts
+++ b/packages/heatherarch-claims/mod.ts
@@ -1,5 +1,5 @@
 /**
- * At-most-once claims: the fold of a shard's stream, and group commit.
+ * At-most-once claims of idempotency keys: the state of a shard's stream, and group commit.
  *
  * @module
  */
--- a/packages/heatherarch-claims/tests/unit/claims_test.ts
+++ b/packages/heatherarch-claims/tests/unit/claims_test.ts
@@ -24,7 +24,7 @@
   };
 }
 
-/** The same log with only its newest records. */
+/** Returns the same log with only its newest records. */
 function trimLog(
   log: LogPort & { records: LogRecord[] },
   kept: number,
@@ -69,20 +69,20 @@
   });
 }
 
-test("a key must carry its time, and is scoped by account and service", () => {
-  const good = parseClaimKey("1764700000000-3f9c2a7e", SCOPE).unwrap();
-  assert.equal(good.madeAtMs, 1_764_700_000_000);
+test("a key must carry its time, and is scoped by client account and service", () => {
+  const valid = parseClaimKey("1764700000000-3f9c2a7e", SCOPE).unwrap();
+  assert.equal(valid.madeAtMs, 1_764_700_000_000);
   const other = parseClaimKey("1764700000000-3f9c2a7e", {
     ...SCOPE,
     account: "family",
   }).unwrap();
-  assert.notEqual(good.text, other.text);
+  assert.notEqual(valid.text, other.text);
   for (const bad of ["abc", "1764700000000", "1764700000000-", "17647-abcd"]) {
     assert.equal(parseClaimKey(bad, SCOPE).ok, false, bad);
   }
 });
 
-test("keys spread over the shards", () => {
+test("keys are distributed evenly over the shards", () => {
   const counts = [0, 0, 0, 0];
   for (let i = 0; i < 4000; i++) counts[computeShard(`desk/b/${i}`, 4)]++;
   for (const count of counts) {
@@ -90,7 +90,7 @@
   }
 });
 
-test("two owners of one shard grant a key once", async () => {
+test("two owners of one shard grant a key only once", async () => {
   const log = createLog(3);
   const owners = [createShard(log), createShard(log)];
   const verdicts = await Promise.all(
@@ -102,7 +102,7 @@
   ]);
 });
 
-test("claims that come together share an append", async () => {
+test("simultaneous claims share an append", async () => {
   const log = createLog(10);
   const shard = createShard(log);
   const verdicts = await Promise.all(
@@ -112,16 +112,16 @@
   assert.ok(log.records.length <= 2, `${log.records.length} appends`);
 });
 
-test("a fresh owner of a trimmed shard grants its first claim", async () => {
+test("a new owner of a trimmed shard grants its first claim", async () => {
   const log = createLog(1);
-  const old = createShard(log, 5);
-  for (let i = 0; i < 12; i++) await claim(old, `old${i}`, `key${i}`);
-  const fresh = createShard(trimLog(log, 6));
-  assert.equal((await claim(fresh, "new", "another")).kind, "granted");
-  assert.equal((await claim(fresh, "late", "key0")).kind, "taken");
+  const oldOwner = createShard(log, 5);
+  for (let i = 0; i < 12; i++) await claim(oldOwner, `old${i}`, `key${i}`);
+  const newOwner = createShard(trimLog(log, 6));
+  assert.equal((await claim(newOwner, "new", "another")).kind, "granted");
+  assert.equal((await claim(newOwner, "late", "key0")).kind, "taken");
 });
 
-test("a released key can be claimed again; a concluded one gives its answer", async () => {
+test("a released key can be claimed again, and a concluded one returns its outcome", async () => {
   const shard = createShard(createLog(1));
   assert.equal((await claim(shard, "c1")).kind, "granted");
   await shard.conclude({ op: "release", claimId: "c1", key: "k" });
@@ -137,22 +137,22 @@
   assert.equal((await claim(shard, "c4", "k", "other")).kind, "reused");
 });
 
-/** Time in which a shard has written its snapshot, milliseconds. */
+/** Time within which a shard writes its snapshot. */
 const SNAPSHOT_MS = 20;
 
-/** A shard whose claims are read by another VM, and covered by its snapshot, before its own VM reads them. */
-function createOutrun(): ClaimShard {
+/** Creates a shard whose claims another VM covers by a snapshot before the own VM reads them. */
+function createShardBehindSnapshot(): ClaimShard {
   const log = createLog(1);
   const other = createShard(log, 1);
   return createShard({
     append: async (stream, data) => {
       const offset = await log.append(stream, data);
       await claim(other, `other${offset}`, `other-key${offset}`);
-      // The snapshot follows the verdict.
+      // The other VM writes its snapshot after it returns the verdict.
       await new Promise((resolve) => setTimeout(resolve, SNAPSHOT_MS));
       return offset;
     },
-    // All that the snapshot covers has been trimmed.
+    // All records that the snapshot covers are trimmed.
     read: (stream, from) => {
       const first = log.records.findLastIndex(({ data }) =>
         (data as { type: string }).type === "snapshot"
@@ -162,9 +162,10 @@
   });
 }
 
-// The verdict on a claim was lost, and the key stayed claimed, where a snapshot covered its record.
+// When another VM's snapshot covered the record of a claim before the own VM read it, the verdict
+// was lost and the key stayed claimed.
 test("a claim whose record a snapshot covers gets its verdict from the snapshot", async () => {
-  const shard = createOutrun();
+  const shard = createShardBehindSnapshot();
   assert.equal((await claim(shard, "c1")).kind, "granted");
   assert.equal((await claim(shard, "c2")).kind, "taken");
   assert.equal((await claim(shard, "c3", "k", "other")).kind, "reused");
--- a/packages/heatherarch-lease/control_fold.ts
+++ b/packages/heatherarch-lease/control_fold.ts
@@ -1,5 +1,5 @@
 /**
- * The fold of a control stream: who holds the lease, and which orders are open.
+ * State of a control stream, folded from its records: the holder of the lease and the open orders.
  *
  * @module
  */
@@ -10,25 +10,25 @@
   parseControlRecord,
 } from "./control_records.ts";
 
-/** A record of the log, as far as the fold needs it. */
+/** A log record with the fields that the fold needs. */
 export interface OffsetRecord {
   readonly offset: number;
   readonly data: unknown;
 }
 
-/** The claim that holds the lease, by the log alone. */
+/** The claim that holds the lease according to the log. */
 export interface LeaseClaim {
   readonly vm: string;
   readonly incarnation: string;
-  /** Offset of the claim: the fencing number of orders given under it. */
+  /** Offset of the claim, which is the fencing token of the orders that are given under it. */
   readonly claimOffset: number;
-  /** Offset of the claim or of its last renewal. */
+  /** Offset of the claim, its last renewal or its release. */
   readonly lastSignOffset: number;
-  /** The holder gave the lease up; the next one need not wait. */
+  /** Whether the holder released the lease. The next holder then need not wait for its expiry. */
   readonly released: boolean;
 }
 
-/** An order that has been announced and not yet concluded. */
+/** An order that is announced and not yet concluded. */
 export interface OpenIntent {
   readonly intentId: string;
   readonly target: string;
@@ -43,11 +43,11 @@
   readonly detail: string;
 }
 
-/** State of one availability zone's control at one offset. */
+/** State of the control stream of one availability zone at one offset. */
 export interface ControlState {
   readonly offset: number;
   readonly claim: LeaseClaim | null;
-  /** Open intents by target; at most one each. */
+  /** Open intents by target, at most one for each target. */
   readonly open: Readonly<Record<string, OpenIntent>>;
   readonly recent: readonly ClosedIntent[];
   readonly roleChanges: number;
@@ -65,13 +65,14 @@
 });
 
 const MAX_RECENT_INTENTS = 50;
+/** Number of recent record ids that are kept to recognize repeated records. */
 const MAX_SEEN_IDS = 200;
 
 type MutableControlState = {
   -readonly [Key in keyof ControlState]: ControlState[Key];
 };
 
-/** Applies the record that follows `state`. */
+/** Applies the record that follows `state`, and returns the new state. */
 export function applyControlRecord(
   state: ControlState,
   record: OffsetRecord,
@@ -173,23 +174,27 @@
   }
 }
 
-/** Loads the best snapshot among records that start at the oldest kept offset. */
+/**
+ * Loads the newest valid snapshot among `records`, which start at the oldest retained offset, and
+ * applies the records after it. Returns undefined if no snapshot covers the trimmed records.
+ */
 export function loadControlSnapshot(
   records: readonly OffsetRecord[],
 ): ControlState | undefined {
-  const first = records[0]?.offset ?? 0;
-  let best: ControlState | undefined;
+  const firstOffset = records[0]?.offset ?? 0;
+  let newest: ControlState | undefined;
   for (const record of records) {
     const parsed = parseControlRecord(record.data);
     if (parsed?.type !== "snapshot") continue;
     if (
-      parsed.coversOffset < first - 1 || parsed.coversOffset >= record.offset
+      parsed.coversOffset < firstOffset - 1 ||
+      parsed.coversOffset >= record.offset
     ) continue;
     const state = parsed.state as ControlState | null;
-    if (state?.offset === parsed.coversOffset) best = state;
+    if (state?.offset === parsed.coversOffset) newest = state;
   }
-  if (best === undefined) return undefined;
-  let state: ControlState = best;
+  if (newest === undefined) return undefined;
+  let state: ControlState = newest;
   for (const record of records) {
     if (record.offset > state.offset) state = applyControlRecord(state, record);
   }
--- a/packages/heatherarch-lease/control_records.ts
+++ b/packages/heatherarch-lease/control_records.ts
@@ -9,7 +9,7 @@
 /** Version of the record format that this program writes. */
 export const CONTROL_FORMAT = 1;
 
-/** Name of the control stream of an availability zone. */
+/** Returns the name of the control stream of an availability zone. */
 export function buildControlStreamName(availabilityZone: string): string {
   return `control.${availabilityZone}`;
 }
@@ -36,7 +36,7 @@
     incarnation: z.string(),
     /** Offset of the claim that this one replaces; -1 for none. */
     replaces: z.int(),
-    /** Offset of the last sign of life of that claim which the claimant has read. */
+    /** Offset of the last record of that claim (claim, renewal or release) that the claimant read. */
     seenRenewal: z.int(),
   }),
   z.object({ ...BASE, type: z.literal("renew"), claimOffset: z.int() }),
@@ -66,16 +66,16 @@
 
 /** A record of a control stream. */
 export type ControlRecord = z.infer<typeof CONTROL_RECORD>;
-/** How an order ended. */
+/** Result of an order. */
 export type OrderResult = Extract<ControlRecord, { type: "outcome" }>["result"];
 
-/** Reads a record's content; undefined for garbage or an unknown format. */
+/** Parses a record; returns undefined for invalid data or an unknown format. */
 export function parseControlRecord(data: unknown): ControlRecord | undefined {
   const parsed = CONTROL_RECORD.safeParse(data);
   return parsed.success ? parsed.data : undefined;
 }
 
-/** Describes an order in a few words. */
+/** Returns a short description of an order for logs. */
 export function describeOrder(order: EngineOrder): string {
   return order.kind === "setRole"
     ? `set role ${order.role}`
--- a/packages/heatherarch-lease/lease_state_machine.ts
+++ b/packages/heatherarch-lease/lease_state_machine.ts
@@ -1,7 +1,7 @@
 /**
- * When one VM may claim, renew and act under the lease of its availability zone. Pure: it
- * sees only records read from the log and monotonic time, and it answers with records to
- * append. A wall clock plays no part.
+ * State machine that decides when one VM may claim, renew and act under the lease of its
+ * availability zone. It is pure: its inputs are records read from the log and monotonic time, and
+ * its outputs are records to append. It does not use the wall clock.
  *
  * @module
  */
@@ -13,21 +13,23 @@
 } from "./control_fold.ts";
 import { CONTROL_FORMAT, type ControlRecord } from "./control_records.ts";
 
-/** Options of {@linkcode LeaseStateMachine}. All times are milliseconds. */
+/** Options of {@linkcode LeaseStateMachine}. */
 export interface LeaseOptions {
   readonly vm: string;
   readonly incarnation: string;
+  /** Duration of the lease after a claim or renewal. */
   readonly durationMs: number;
-  /** Bound on how far monotonic clocks of two VMs drift apart within one lease. */
+  /** Upper bound on the drift between the monotonic clocks of two VMs within one lease. */
   readonly driftMs: number;
+  /** Interval between renewals. */
   readonly renewMs: number;
-  /** Source of record ids. */
+  /** Creates record ids. */
   readonly createId: () => string;
-  /** Guards switched off, to show that the proofs catch their absence. Empty in production. */
+  /** Guards that the proofs disable to show that each is needed. Empty in production. */
   readonly disabledGuards?: ReadonlySet<LeaseGuard>;
 }
 
-/** The guards that make the lease safe. */
+/** Safety rules of the lease. */
 export const LEASE_GUARDS = [
   "leaseWait",
   "countFromSend",
@@ -39,7 +41,7 @@
 /** Name of a guard. */
 export type LeaseGuard = typeof LEASE_GUARDS[number];
 
-/** What the machine wants done after a tick. */
+/** Action that the caller carries out for the state machine. */
 export interface LeaseAction {
   readonly kind: "append";
   readonly record: ControlRecord;
@@ -50,19 +52,20 @@
   readonly sentAtMs: number;
 }
 
-/** Appends that are not confirmed after this many lease times are forgotten. */
+/** Sent appends are dropped after this many lease durations. */
 const SENT_RETENTION_LEASE_TIMES = 4;
 
-/** The lease as one VM sees it. */
+/** The lease from the point of view of one VM. */
 export class LeaseStateMachine {
   readonly #options: LeaseOptions;
   readonly #disabledGuards: ReadonlySet<LeaseGuard>;
   #state: ControlState = EMPTY_CONTROL_STATE;
   #sentAppends: SentAppend[] = [];
-  /** Monotonic time at which the present claim's last sign was read. */
+  /** Monotonic time at which the last record of the current claim was read. */
   #holderSeenAtMs = -Infinity;
-  /** Own authority lasts until then; -Infinity without one. */
+  /** Monotonic time at which the own authority ends; -Infinity without authority. */
   #authorityUntilMs = -Infinity;
+  /** Monotonic time at which the own authority begins; Infinity without authority. */
   #authorityFromMs = Infinity;
   #lastRenewalSentMs = -Infinity;
   #lastClaimSentMs = -Infinity;
@@ -77,7 +80,7 @@
     return this.#state;
   }
 
-  /** The fencing number of orders: the offset of the own claim. */
+  /** Fencing token of orders: the offset of the current claim, -1 for none. */
   get fencing(): number {
     return this.#state.claim?.claimOffset ?? -1;
   }
@@ -90,12 +93,15 @@
       claim.incarnation === this.#options.incarnation;
   }
 
-  /** Monotonic time until which the lease surely lasts. */
+  /** Monotonic time until which the lease is guaranteed to be held. */
   get authorityUntilMs(): number {
     return this.#authorityUntilMs;
   }
 
-  /** Whether an order may be given at `nowMs`. To be asked in the turn that writes it. */
+  /**
+   * Whether an order may be given at `nowMs`. The caller must check this in the event loop turn that
+   * writes the order.
+   */
   hasAuthority(nowMs: number): boolean {
     if (!this.isHolder && !this.#disabledGuards.has("displacedEndsAuthority")) {
       return false;
@@ -109,7 +115,7 @@
     return nowMs < this.#authorityUntilMs;
   }
 
-  /** Replaces the state by one from a snapshot; never goes back. */
+  /** Replaces the state by a newer one from a snapshot; ignores an older one. */
   loadState(state: ControlState, nowMs: number): void {
     if (state.offset <= this.#state.offset) return;
     const wasHolder = this.isHolder;
@@ -118,32 +124,32 @@
     if (wasHolder && !this.isHolder) this.#revokeAuthority();
   }
 
-  /** Takes in the next record of the stream, read at `nowMs`. */
+  /** Applies the next record of the stream, which was read at `nowMs`. */
   applyRecord(record: OffsetRecord, nowMs: number): void {
     const before = this.#state.claim;
     this.#state = applyControlRecord(this.#state, record);
     const { claim } = this.#state;
     if (claim === null || claim === before) return;
     this.#holderSeenAtMs = nowMs;
-    const vacant = before === null || before.released;
+    const wasVacant = before === null || before.released;
     if (claim.claimOffset !== before?.claimOffset) {
-      this.#handleNewClaim(record, nowMs, vacant);
+      this.#handleNewClaim(record, nowMs, wasVacant);
     } else if (this.isHolder) this.#extendAuthority(record);
     if (claim.released) this.#revokeAuthority();
   }
 
   /**
-   * Asks for what is to be appended now. `logReadAtMs` is the monotonic time at which the
-   * last read that reached the end of the stream was *sent*.
+   * Returns the records to append now. `logReadAtMs` is the monotonic time at which the last read
+   * that reached the end of the stream was *sent*.
    */
   tick(nowMs: number, logReadAtMs: number): LeaseAction[] {
-    this.#dropOldSends(nowMs);
+    this.#dropOldAppends(nowMs);
     if (!this.#wantsLease) return [];
     if (this.isHolder) return this.#buildRenewal(nowMs);
     return this.#buildClaim(nowMs, logReadAtMs);
   }
 
-  /** Gives the lease up for good, as a graceful shutdown does. */
+  /** Releases the lease permanently, for a graceful shutdown. */
   resign(): LeaseAction[] {
     this.#wantsLease = false;
     const wasHolder = this.isHolder;
@@ -176,10 +182,10 @@
   #buildClaim(nowMs: number, logReadAtMs: number): LeaseAction[] {
     const { claim } = this.#state;
     const { durationMs, vm, incarnation, createId } = this.#options;
-    const vacant = claim === null || claim.released;
-    // The silence must have been observed: the reading has to be recent.
+    const isVacant = claim === null || claim.released;
+    // The absence of renewals must have been observed, so the last read of the log must be recent.
     if (nowMs - logReadAtMs > durationMs / 2) return [];
-    if (!vacant && logReadAtMs - this.#holderSeenAtMs < durationMs) return [];
+    if (!isVacant && logReadAtMs - this.#holderSeenAtMs < durationMs) return [];
     if (nowMs - this.#lastClaimSentMs < durationMs / 2) return [];
     this.#lastClaimSentMs = nowMs;
     const id = createId();
@@ -201,14 +207,19 @@
     return { kind: "append", record };
   }
 
-  /** A claim has taken effect: ours or another's. */
-  #handleNewClaim(record: OffsetRecord, nowMs: number, vacant: boolean): void {
+  /** Handles a claim of this or another VM that took effect. */
+  #handleNewClaim(
+    record: OffsetRecord,
+    nowMs: number,
+    wasVacant: boolean,
+  ): void {
     if (!this.isHolder) return this.#revokeAuthority();
     const { durationMs, driftMs } = this.#options;
-    this.#authorityFromMs = vacant ? nowMs : nowMs + durationMs + driftMs;
+    this.#authorityFromMs = wasVacant ? nowMs : nowMs + durationMs + driftMs;
     this.#extendAuthority(record);
   }
 
+  /** Extends the own authority if the record is a claim or renewal that this VM sent. */
   #extendAuthority(record: OffsetRecord): void {
     const id = (record.data as { id?: string } | null)?.id;
     const sent = this.#sentAppends.find((entry) => entry.id === id);
@@ -228,10 +239,11 @@
     this.#authorityFromMs = Infinity;
   }
 
-  #dropOldSends(nowMs: number): void {
-    const limit = nowMs - this.#options.durationMs * SENT_RETENTION_LEASE_TIMES;
+  #dropOldAppends(nowMs: number): void {
+    const oldestMs = nowMs -
+      this.#options.durationMs * SENT_RETENTION_LEASE_TIMES;
     this.#sentAppends = this.#sentAppends.filter((entry) =>
-      entry.sentAtMs >= limit
+      entry.sentAtMs >= oldestMs
     );
   }
 }
--- a/packages/heatherarch-lease/mod.ts
+++ b/packages/heatherarch-lease/mod.ts
@@ -1,5 +1,5 @@
 /**
- * The lease of an availability zone and the orders given under it.
+ * The lease of an availability zone, and the orders that its holder gives.
  *
  * @module
  */
