--- a/packages/heatherarch-forward/beliefs/prompt_holders.ts
+++ b/packages/heatherarch-forward/beliefs/prompt_holders.ts
@@ -4,7 +4,7 @@
  * @module
  */
 import type { EngineTraits, Target } from "../model.ts";
-import type { PlacementView } from "../decisions/prompt_placement.ts";
+import type { PlacementContext } from "../scheduling/prompt_placement.ts";
 import type { Serving } from "../serving.ts";
 
 /** A beginning is fetched only from engines that used it in this part of the time it is kept. */
@@ -12,8 +12,8 @@
 
 /** What a placement has to know of a beginning's whereabouts. */
 export type HolderView = Pick<
-  PlacementView,
-  "holders" | "sources" | "lastHolder"
+  PlacementContext,
+  "prefixHolders" | "prefixSources" | "lastPrefixHolder"
 >;
 
 /** Engines among `readers` that hold the beginning with this key, as far as is known. */
@@ -44,5 +44,9 @@
     if (holder.state === "reading") continue;
     if (unusedMs <= keptMs * SOURCE_PART) sources.unshift(target);
   }
-  return { holders, sources, lastHolder };
+  return {
+    prefixHolders: holders,
+    prefixSources: sources,
+    lastPrefixHolder: lastHolder,
+  };
 }
--- a/packages/heatherarch-forward/fleet/config_exchange.ts
+++ b/packages/heatherarch-forward/fleet/config_exchange.ts
@@ -6,7 +6,7 @@
 import { sleep } from "heatherarch-core";
 import type { MeshNode } from "heatherarch-mesh";
 import type { ConfigView } from "../beliefs/config_view.ts";
-import type { ConfigReads } from "../decisions/config_reads.ts";
+import type { ConfigReadTiming } from "../scheduling/config_reads.ts";
 import type { EventLog } from "../event_log.ts";
 import type { RoutingConfig } from "../model.ts";
 
@@ -15,7 +15,10 @@
   readonly node: Pick<MeshNode, "call" | "registerCall">;
   readonly configs: ConfigView;
   readonly log: EventLog;
-  readonly configReads: Pick<ConfigReads, "askPeerAfterMs" | "peerTimeoutMs">;
+  readonly configReads: Pick<
+    ConfigReadTiming,
+    "askPeerAfterMs" | "peerTimeoutMs"
+  >;
   /** Whether this VM reads the store's topics by itself. */
   readonly hasToRead: () => boolean;
   /** Reads the configuration from the store, once. */
--- a/packages/heatherarch-forward/fleet/fleet_mesh.ts
+++ b/packages/heatherarch-forward/fleet/fleet_mesh.ts
@@ -13,7 +13,7 @@
   type Standstill,
 } from "heatherarch-mesh";
 import type { ConfigView } from "../beliefs/config_view.ts";
-import type { ConfigReads } from "../decisions/config_reads.ts";
+import type { ConfigReadTiming } from "../scheduling/config_reads.ts";
 import type { EventLog } from "../event_log.ts";
 import type { VmRecord } from "../model.ts";
 import type { WritableTopicPort } from "../ports.ts";
@@ -57,7 +57,7 @@
   readonly prompts: PromptIndex;
   readonly quarantine: RequestQuarantine;
   readonly configs: ConfigView;
-  readonly configReads: ConfigReads;
+  readonly configReads: ConfigReadTiming;
   /** Reads the configuration from the store, once. */
   readonly loadConfig: () => Promise<void>;
   /** Called when the number of VMs that share the fleet's limits has changed. */
--- a/packages/heatherarch-forward/life/generation_life.ts
+++ b/packages/heatherarch-forward/life/generation_life.ts
@@ -8,21 +8,30 @@
 import { type RelayEnd, StreamRelay } from "./answer_relay.ts";
 import type { CallRun } from "./call_run.ts";
 import {
-  type EngineUse,
-  findEngineRestMs,
-  listEngines,
-} from "../decisions/engine_choice.ts";
-import { computeEnginePriority, computeLane } from "../decisions/lanes.ts";
+  findEngineBackoffMs,
+  type InferencePhase,
+  listAvailableEngines,
+} from "../scheduling/engine_selection.ts";
+import {
+  computeEnginePriority,
+  computeLane,
+} from "../scheduling/priority_lanes.ts";
 import type { EngineTraits, GenerationFacts, Target } from "../model.ts";
-import { sumShared } from "../decisions/prompt_placement.ts";
+import { sumPrefixTokens } from "../scheduling/prompt_placement.ts";
 import {
   PromptReading,
   type ReadEnd,
   type ReadPrompt,
 } from "./prompt_reading.ts";
-import { computeReturnMs } from "../decisions/return_time.ts";
-import { pickRunner, type RunCandidate } from "../decisions/run_placement.ts";
-import { isWorthWaiting, predictRunnerMs } from "../decisions/runner_return.ts";
+import { computeRetryAfterMs } from "../scheduling/retry_after.ts";
+import {
+  pickLeastLoaded,
+  type TargetCandidate,
+} from "../scheduling/least_loaded_target.ts";
+import {
+  isWorthWaiting,
+  predictDecodeReadyMs,
+} from "../scheduling/decode_wait.ts";
 import type { TargetExchange } from "./target_exchange.ts";
 import { awaitHead, isSuccess, type TryEnd } from "./try_judge.ts";
 
@@ -223,9 +232,9 @@
   }
 
   /** Ends the call where all engines for a use rest; returns whether it did. */
-  #endIfResting(use: EngineUse): boolean {
+  #endIfResting(use: InferencePhase): boolean {
     const run = this.#run;
-    const restMs = findEngineRestMs(run, use);
+    const restMs = findEngineBackoffMs(run, use);
     if (restMs === undefined) return false;
     if (run.mayHaveRun) run.fail("answerIncomplete", "all engines rest");
     else run.refuseResting(restMs);
@@ -250,9 +259,10 @@
   }
 
   /** Ends a call at once that can't begin in its time. */
-  #refuseLate({ placement, readByMs }: TooLate): void {
+  #refuseLate({ placement, prefillDeadlineMs: readByMs }: TooLate): void {
     const run = this.#run;
-    const { target, readyMs, costMs, aloneMs, backlogMs, isCold } = placement;
+    const { target, readyMs, costMs, unloadedMs: aloneMs, backlogMs, isCold } =
+      placement;
     if (run.mayHaveRun) {
       return run.fail("answerIncomplete", "no time to go on elsewhere");
     }
@@ -260,11 +270,11 @@
     const excessMs = readyMs - run.route.aimMs;
     const { drawUnit } = run.serving;
     run.refuse("overloaded", "the prompt can't be read in the time left", {
-      retryAfterMs: computeReturnMs(waitedMs, excessMs, drawUnit),
+      retryAfterMs: computeRetryAfterMs(waitedMs, excessMs, drawUnit),
       detail: {
         target: target.id,
         tokens: this.#prompt.promptTokens,
-        sharedTokens: sumShared(this.#prompt),
+        sharedTokens: sumPrefixTokens(this.#prompt),
         isCold,
         factor: Number(run.serving.readModel.getFactor(target.id).toFixed(2)),
         waitedMs: Math.round(waitedMs),
@@ -308,19 +318,23 @@
       .filter((engine) => engine.role === "prefill")
       .map((engine) => directory.findChangingSince(engine.id, nowMs))
       .filter((sinceMs) => sinceMs !== undefined);
-    return predictRunnerMs(since, this.#traits.roleChangeMs, nowMs);
+    return predictDecodeReadyMs(since, this.#traits.roleChangeMs, nowMs);
   }
 
   #pickRunner(zone: string | undefined): Target | undefined {
     const { ledger, drawUnit } = this.#run.serving;
     const nowMs = this.#run.nowMs;
     const kvRoom = this.#traits.kvTokens;
-    const candidates = listEngines(this.#run, "generating", this.#tried)
-      .map((target): RunCandidate => {
+    const candidates = listAvailableEngines(
+      this.#run,
+      "generating",
+      this.#tried,
+    )
+      .map((target): TargetCandidate => {
         const { runs, kvTokens } = ledger.getRuns(target.id, nowMs);
-        return { target, runs, kvTokens, kvRoom };
+        return { target, runs, kvTokens, kvCapacityTokens: kvRoom };
       });
-    return pickRunner(candidates, zone, drawUnit)?.target;
+    return pickLeastLoaded(candidates, zone, drawUnit)?.target;
   }
 
   #getSilenceMs(): number | undefined {
--- a/packages/heatherarch-forward/life/plain_life.ts
+++ b/packages/heatherarch-forward/life/plain_life.ts
@@ -12,8 +12,14 @@
 } from "./answer_relay.ts";
 import type { CallRun } from "./call_run.ts";
 import type { Target } from "../model.ts";
-import { pickRunner, type RunCandidate } from "../decisions/run_placement.ts";
-import { findRestMs, listOpenTargets } from "../decisions/target_choice.ts";
+import {
+  pickLeastLoaded,
+  type TargetCandidate,
+} from "../scheduling/least_loaded_target.ts";
+import {
+  findBackoffMs,
+  listAvailableTargets,
+} from "../scheduling/target_selection.ts";
 import { ExchangeError } from "./target_exchange.ts";
 import { awaitHead, isSuccess } from "./try_judge.ts";
 
@@ -139,7 +145,7 @@
     if (run.isOver) return;
     if (this.#failure !== undefined) return this.#deliver(this.#failure);
     if (run.mayHaveRun) return run.fail("targetFailed", this.#reason);
-    const restMs = findRestMs(run);
+    const restMs = findBackoffMs(run);
     if (restMs !== undefined) return run.refuseResting(restMs);
     const spread = 1 + run.serving.drawUnit();
     run.refuse("noTarget", "no target took the call", {
@@ -160,13 +166,16 @@
   #pickTarget(): Target | undefined {
     const { ledger, drawUnit } = this.#run.serving;
     const nowMs = this.#run.nowMs;
-    const candidates = listOpenTargets({ run: this.#run, tried: this.#tried })
-      .map((target): RunCandidate => ({
+    const candidates = listAvailableTargets({
+      run: this.#run,
+      tried: this.#tried,
+    })
+      .map((target): TargetCandidate => ({
         target,
         runs: ledger.getRuns(target.id, nowMs).runs,
         kvTokens: 0,
-        kvRoom: 0,
+        kvCapacityTokens: 0,
       }));
-    return pickRunner(candidates, undefined, drawUnit)?.target;
+    return pickLeastLoaded(candidates, undefined, drawUnit)?.target;
   }
 }
--- a/packages/heatherarch-forward/life/prompt_reading.ts
+++ b/packages/heatherarch-forward/life/prompt_reading.ts
@@ -5,17 +5,23 @@
  * @module
  */
 import type { CallRun } from "./call_run.ts";
-import { computeWaitLimits } from "../decisions/caller_patience.ts";
-import { listEngines } from "../decisions/engine_choice.ts";
-import { computeEnginePriority, computeLane } from "../decisions/lanes.ts";
+import { computeWaitLimits } from "../scheduling/caller_timeout.ts";
+import { listAvailableEngines } from "../scheduling/engine_selection.ts";
+import {
+  computeEnginePriority,
+  computeLane,
+} from "../scheduling/priority_lanes.ts";
 import type { EngineTraits, GenerationFacts, Target } from "../model.ts";
 import type { KvHandle } from "../ports.ts";
 import { findHolders } from "../beliefs/prompt_holders.ts";
 import {
   type PromptPlacement,
-  sumShared,
-} from "../decisions/prompt_placement.ts";
-import type { LanePlacement, ReadVerdict } from "../decisions/read_queue.ts";
+  sumPrefixTokens,
+} from "../scheduling/prompt_placement.ts";
+import type {
+  LanePlacement,
+  PrefillOutcome,
+} from "../scheduling/prefill_queue.ts";
 import { ExchangeError, type TargetExchange } from "./target_exchange.ts";
 import { awaitHead, isSuccess } from "./try_judge.ts";
 
@@ -45,7 +51,7 @@
   /** No engine reads prompts apart now. */
   | { readonly kind: "noReader" }
   /** No engine can be done with it in the time that the call has left. */
-  | Extract<ReadVerdict, { kind: "tooLate" }>
+  | Extract<PrefillOutcome, { kind: "tooLate" }>
   /** The fleet's allowance for further tries is spent. */
   | { readonly kind: "noAllowance" }
   | { readonly kind: "failed"; readonly reason: string }
@@ -83,7 +89,7 @@
     this.#run = options.run;
     this.#prompt = options.prompt;
     this.#traits = options.traits;
-    this.#key = options.run.serving.placer.findKey(options.prompt);
+    this.#key = options.run.serving.placer.findPrefixKey(options.prompt);
   }
 
   /** Whether a next send to an engine repeats one that reached an engine. */
@@ -203,24 +209,25 @@
     const run = this.#run;
     const { readQueue, readModel } = run.serving;
     const { aimMs, priority } = run.route;
-    const { sinceMs, leavesAtMs } = computeWaitLimits({
-      arrivedAtMs: run.call.arrivedAtMs,
-      endAtMs: run.endAtMs,
-      aimMs,
-      ...(isResumed ? { brokeAtMs: run.nowMs } : {}),
-    });
+    const { waitStartedAtMs: sinceMs, timeoutAtMs: leavesAtMs } =
+      computeWaitLimits({
+        arrivedAtMs: run.call.arrivedAtMs,
+        deadlineAtMs: run.endAtMs,
+        aimMs,
+        ...(isResumed ? { interruptedAtMs: run.nowMs } : {}),
+      });
     return new Promise((resolve) => {
       const undo = readQueue.enqueue({
         lane: computeLane(priority),
         kind: run.route.name,
         tokens: this.#prompt.promptTokens,
-        sinceMs,
+        waitStartedAtMs: sinceMs,
         aimMs,
-        leavesAtMs,
-        tailMs: FIRST_TOKEN_MS + readModel.latencyMs,
-        place: () => this.#place(),
-        mayReadLate: () => this.#mayReadLate(),
-        onVerdict: (verdict) =>
+        timeoutAtMs: leavesAtMs,
+        firstTokenDelayMs: FIRST_TOKEN_MS + readModel.latencyMs,
+        findPlacement: () => this.#place(),
+        mayPrefillLate: () => this.#mayReadLate(),
+        onOutcome: (verdict) =>
           resolve(
             verdict.kind === "placed" ? this.#begin(verdict.placed) : verdict,
           ),
@@ -249,7 +256,7 @@
   #mayReadLate(): boolean {
     const { ledger } = this.#run.serving;
     const nowMs = this.#run.nowMs;
-    const readers = listEngines(this.#run, "reading", this.#tried);
+    const readers = listAvailableEngines(this.#run, "reading", this.#tried);
     const busy = readers.filter(({ id }) => ledger.isReadingLate(id, nowMs));
     return busy.length < Math.max(1, Math.floor(readers.length * LATE_SHARE));
   }
@@ -260,16 +267,16 @@
     const { readerBoard, placer, spread } = run.serving;
     const nowMs = run.nowMs;
     const candidates = readerBoard.listCandidates(run, this.#tried);
-    const readers = readerBoard.listReaders(run);
+    const readers = readerBoard.listPrefillEngines(run);
     const holders = this.#key === undefined
-      ? { holders: [], sources: [] }
+      ? { prefixHolders: [], prefixSources: [] }
       : findHolders(run.serving, this.#key, readers, this.#traits, nowMs);
-    return placer.pickReader(this.#prompt, {
+    return placer.pickEngine(this.#prompt, {
       candidates,
-      readers,
+      prefillEngines: readers,
       ...holders,
       traits: this.#traits,
-      drawSpreadMs: (target) => spread.drawMs(target),
+      drawJitterMs: (target) => spread.drawMs(target),
     });
   }
 
@@ -282,7 +289,14 @@
   /** Notes who holds the beginning now, and how fast the engine was. */
   #noteReading({ placement, lane }: LanePlacement, startedAtMs: number): void {
     const { readModel, retention, log } = this.#run.serving;
-    const { target, costMs, aloneMs, backlogMs, isCold, fetchFrom } = placement;
+    const {
+      target,
+      costMs,
+      unloadedMs: aloneMs,
+      backlogMs,
+      isCold,
+      fetchFrom,
+    } = placement;
     const nowMs = this.#run.nowMs;
     const tookMs = nowMs - startedAtMs;
     this.#noteHolder(target, "read");
@@ -294,14 +308,14 @@
     }
     const { promptTokens } = this.#prompt;
     const isHeld = !isCold && fetchFrom === undefined;
-    const heldTokens = isHeld ? sumShared(this.#prompt) : 0;
+    const heldTokens = isHeld ? sumPrefixTokens(this.#prompt) : 0;
     retention.noteRead(promptTokens - heldTokens, nowMs);
     log.write("info", "promptRead", {
       call: this.#run.call.id,
       target: target.id,
       route: this.#run.route.name,
       tokens: promptTokens,
-      sharedTokens: sumShared(this.#prompt),
+      sharedTokens: sumPrefixTokens(this.#prompt),
       lane,
       isCold,
       fetchFrom: fetchFrom?.id,
--- a/packages/heatherarch-forward/decisions/caller_patience.ts
+++ b/packages/heatherarch-forward/scheduling/caller_timeout.ts
@@ -13,7 +13,7 @@
 const CALLER_PATIENCE = { leastMs: 2000, aims: 4, marginMs: 250 };
 
 /** Time for which a caller waits for an event of a stream, milliseconds. */
-export function computeCallerPatienceMs(aimMs: number): number {
+export function computeCallerTimeoutMs(aimMs: number): number {
   const { leastMs, aims, marginMs } = CALLER_PATIENCE;
   return Math.max(leastMs, aims * aimMs) - marginMs;
 }
@@ -22,16 +22,16 @@
 export interface WaitOptions {
   readonly arrivedAtMs: number;
   /** Time at which neither caller nor route waits any longer. */
-  readonly endAtMs: number;
+  readonly deadlineAtMs: number;
   readonly aimMs: number;
   /** Time at which a stream that had begun broke off; undefined before the first event. */
-  readonly brokeAtMs?: number;
+  readonly interruptedAtMs?: number;
 }
 
 /** From when and until when a call waits; monotonic milliseconds. */
 export interface WaitLimits {
-  readonly sinceMs: number;
-  readonly leavesAtMs: number;
+  readonly waitStartedAtMs: number;
+  readonly timeoutAtMs: number;
 }
 
 /**
@@ -39,8 +39,16 @@
  * that broke off is not late because its call is old.
  */
 export function computeWaitLimits(options: WaitOptions): WaitLimits {
-  const { arrivedAtMs, endAtMs, aimMs, brokeAtMs } = options;
+  const {
+    arrivedAtMs,
+    deadlineAtMs: endAtMs,
+    aimMs,
+    interruptedAtMs: brokeAtMs,
+  } = options;
   const sinceMs = brokeAtMs ?? arrivedAtMs;
-  const leavesAtMs = sinceMs + computeCallerPatienceMs(aimMs);
-  return { sinceMs, leavesAtMs: Math.min(endAtMs, leavesAtMs) };
+  const leavesAtMs = sinceMs + computeCallerTimeoutMs(aimMs);
+  return {
+    waitStartedAtMs: sinceMs,
+    timeoutAtMs: Math.min(endAtMs, leavesAtMs),
+  };
 }
--- a/packages/heatherarch-forward/decisions/config_reads.ts
+++ b/packages/heatherarch-forward/scheduling/config_reads.ts
@@ -9,7 +9,7 @@
  */
 
 /** What the times follow from. */
-export interface ConfigReadsOptions {
+export interface ConfigReadTimingOptions {
   /** Time within which a change is in force, milliseconds. */
   readonly configBoundMs: number;
   /** How long the store may hold a read, milliseconds. */
@@ -19,7 +19,7 @@
 }
 
 /** Times of one VM's reads, milliseconds. */
-export interface ConfigReads {
+export interface ConfigReadTiming {
   /** How long the store may hold a read until there is a newer configuration. */
   readonly waitMs: number;
   /** Longest wait for the answer to a long poll, beyond the time for which it is held. */
@@ -45,7 +45,9 @@
 const PEER_TIMEOUT_PART = 0.2;
 
 /** Plans the reads of one VM. */
-export function planConfigReads(options: ConfigReadsOptions): ConfigReads {
+export function planConfigReads(
+  options: ConfigReadTimingOptions,
+): ConfigReadTiming {
   const { configBoundMs, configWaitMs, requestTimeoutMs } = options;
   const computePart = (part: number): number =>
     Math.round(configBoundMs * part);
@@ -64,7 +66,7 @@
  * Longest time from the moment at which the store answers again to the answer that brings a change,
  * without the time that the store takes over it, milliseconds.
  */
-export function computeConfigDelayMs(reads: ConfigReads): number {
+export function computeMaxConfigDelayMs(reads: ConfigReadTiming): number {
   const { waitMs, answerMs, timeoutMs, retryMs } = reads;
   return Math.max(waitMs + answerMs, timeoutMs + retryMs);
 }
--- a/packages/heatherarch-forward/decisions/runner_return.ts
+++ b/packages/heatherarch-forward/scheduling/decode_wait.ts
@@ -10,7 +10,7 @@
  *
  * @module
  */
-import { computeCallerPatienceMs } from "./caller_patience.ts";
+import { computeCallerTimeoutMs } from "./caller_timeout.ts";
 
 /** From the end of a change until the list tells it: an entry, a reading of it, milliseconds. */
 const LIST_LAG_MS = 500;
@@ -19,7 +19,7 @@
  * Time until the first of the engines generates, milliseconds; `changingSince` are the times at
  * which engines began to take the role. Undefined where none does. 0 where one is overdue.
  */
-export function predictRunnerMs(
+export function predictDecodeReadyMs(
   changingSince: readonly number[],
   roleChangeMs: number,
   nowMs: number,
@@ -36,5 +36,5 @@
   aimMs: number,
 ): boolean {
   if (comesInMs === undefined) return false;
-  return waitedMs + comesInMs <= computeCallerPatienceMs(aimMs);
+  return waitedMs + comesInMs <= computeCallerTimeoutMs(aimMs);
 }
--- a/packages/heatherarch-forward/decisions/engine_spread.ts
+++ b/packages/heatherarch-forward/scheduling/engine_jitter.ts
@@ -13,13 +13,13 @@
  */
 import { computeRendezvousWeight } from "heatherarch-core";
 
-/** Options of {@linkcode EngineSpread}. */
-export interface EngineSpreadOptions {
+/** Options of {@linkcode EngineJitter}. */
+export interface EngineJitterOptions {
   readonly vmId: string;
   /** Uniform in [0, 1). */
   readonly drawUnit: () => number;
   /** Longest added wait, milliseconds. */
-  readonly mostMs?: number;
+  readonly maxMs?: number;
 }
 
 /** About a short prompt: where engines are few, more leaves the idle ones to others. */
@@ -29,17 +29,17 @@
 const LASTING_PART = 0.5;
 
 /** The waits that one VM adds. */
-export class EngineSpread {
-  readonly #options: Required<EngineSpreadOptions>;
+export class EngineJitter {
+  readonly #options: Required<EngineJitterOptions>;
   readonly #lasting = new Map<string, number>();
 
-  constructor(options: EngineSpreadOptions) {
-    this.#options = { mostMs: DEFAULT_MOST_MS, ...options };
+  constructor(options: EngineJitterOptions) {
+    this.#options = { maxMs: DEFAULT_MOST_MS, ...options };
   }
 
   /** Wait that is added to an engine in the choice for one prompt, milliseconds. */
   drawMs(target: string): number {
-    const { mostMs, drawUnit } = this.#options;
+    const { maxMs: mostMs, drawUnit } = this.#options;
     const lasting = this.#getLasting(target) * LASTING_PART;
     return mostMs * (lasting + drawUnit() * (1 - LASTING_PART));
   }
--- a/packages/heatherarch-forward/decisions/engine_choice.ts
+++ b/packages/heatherarch-forward/scheduling/engine_selection.ts
@@ -5,18 +5,18 @@
  */
 import type { CallRun } from "../life/call_run.ts";
 import type { Target } from "../model.ts";
-import { findRestMs, listOpenTargets } from "./target_choice.ts";
+import { findBackoffMs, listAvailableTargets } from "./target_selection.ts";
 
 /** What an engine is needed for. */
-export type EngineUse = "reading" | "generating";
+export type InferencePhase = "reading" | "generating";
 
 /** Engines that may be tried now; avoided ones only where there is no other. */
-export function listEngines(
+export function listAvailableEngines(
   run: CallRun,
-  use: EngineUse,
+  use: InferencePhase,
   tried: ReadonlySet<string>,
 ): Target[] {
-  return listOpenTargets({
+  return listAvailableTargets({
     run,
     tried,
     accepts: (target) => isOf(target, use),
@@ -27,13 +27,13 @@
  * Time until the first rest ends, milliseconds, if all engines for the use rest; undefined
  * otherwise.
  */
-export function findEngineRestMs(
+export function findEngineBackoffMs(
   run: CallRun,
-  use: EngineUse,
+  use: InferencePhase,
 ): number | undefined {
-  return findRestMs(run, (target) => isOf(target, use));
+  return findBackoffMs(run, (target) => isOf(target, use));
 }
 
-function isOf({ role }: Target, use: EngineUse): boolean {
+function isOf({ role }: Target, use: InferencePhase): boolean {
   return (role === "prefill") === (use === "reading");
 }
--- a/packages/heatherarch-forward/decisions/run_placement.ts
+++ b/packages/heatherarch-forward/scheduling/least_loaded_target.ts
@@ -6,14 +6,14 @@
 import type { Target } from "../model.ts";
 
 /** A target that could run a call. */
-export interface RunCandidate {
+export interface TargetCandidate {
   readonly target: Target;
   /** Runs in progress, over all VMs. */
   readonly runs: number;
   /** KV tokens in use by those runs; 0 for a plain target. */
   readonly kvTokens: number;
   /** KV tokens that the target has room for; 0 for a plain target. */
-  readonly kvRoom: number;
+  readonly kvCapacityTokens: number;
 }
 
 /**
@@ -25,18 +25,19 @@
 const USE_STEP = 0.02;
 
 /** The target with the most room; near ones first. Undefined where there is none. */
-export function pickRunner(
-  candidates: readonly RunCandidate[],
+export function pickLeastLoaded(
+  candidates: readonly TargetCandidate[],
   zone: string | undefined,
   drawUnit: () => number,
-): RunCandidate | undefined {
-  let best: RunCandidate | undefined;
+): TargetCandidate | undefined {
+  let best: TargetCandidate | undefined;
   let bestScore = Infinity;
   for (const candidate of candidates) {
     const isFar = zone !== undefined &&
       candidate.target.availabilityZone !== zone;
     const handicap = isFar ? OTHER_ZONE_HANDICAP : 0;
-    const score = computeUse(candidate) + handicap + drawUnit() * USE_STEP;
+    const score = computeUtilization(candidate) + handicap +
+      drawUnit() * USE_STEP;
     if (score >= bestScore) continue;
     best = candidate;
     bestScore = score;
@@ -45,8 +46,8 @@
 }
 
 /** Share of a target's places or KV cache in use, whichever is higher. */
-export function computeUse(candidate: RunCandidate): number {
+export function computeUtilization(candidate: TargetCandidate): number {
   const places = candidate.runs / Math.max(1, candidate.target.slots);
-  if (candidate.kvRoom === 0) return places;
-  return Math.max(places, candidate.kvTokens / candidate.kvRoom);
+  if (candidate.kvCapacityTokens === 0) return places;
+  return Math.max(places, candidate.kvTokens / candidate.kvCapacityTokens);
 }
--- a/packages/heatherarch-forward/decisions/reader_board.ts
+++ b/packages/heatherarch-forward/scheduling/prefill_candidate_cache.ts
@@ -8,9 +8,9 @@
  * @module
  */
 import type { CallRun } from "../life/call_run.ts";
-import { listEngines } from "./engine_choice.ts";
+import { listAvailableEngines } from "./engine_selection.ts";
 import type { Target } from "../model.ts";
-import type { ReadCandidate } from "./prompt_placement.ts";
+import type { PrefillCandidate } from "./prompt_placement.ts";
 
 /** A board as it was seen at some time. */
 interface Seen {
@@ -19,7 +19,7 @@
   /** Version of the ledger that the backlogs follow from. */
   readonly version: number;
   readonly serving: readonly Target[];
-  readonly candidates: readonly ReadCandidate[];
+  readonly candidates: readonly PrefillCandidate[];
   readonly readers: readonly Target[];
 }
 
@@ -28,14 +28,14 @@
 const NONE: ReadonlySet<string> = new Set();
 
 /** The board of one VM. */
-export class ReaderBoard {
+export class PrefillCandidateCache {
   #seen: Seen | undefined;
 
   /** Engines that may read the prompt of `run` now, but for those in `tried`. */
   listCandidates(
     run: CallRun,
     tried: ReadonlySet<string>,
-  ): readonly ReadCandidate[] {
+  ): readonly PrefillCandidate[] {
     const { candidates } = this.#look(run);
     if (!candidates.some(({ target }) => tried.has(target.id))) {
       return candidates;
@@ -44,7 +44,7 @@
   }
 
   /** All engines of the service that read, also those that may get nothing now. */
-  listReaders(run: CallRun): readonly Target[] {
+  listPrefillEngines(run: CallRun): readonly Target[] {
     return this.#look(run).readers;
   }
 
@@ -72,10 +72,10 @@
 function buildCandidates(
   run: CallRun,
   tried: ReadonlySet<string>,
-): ReadCandidate[] {
+): PrefillCandidate[] {
   const { ledger } = run.serving;
   const nowMs = run.nowMs;
-  return listEngines(run, "reading", tried).map((target) => ({
+  return listAvailableEngines(run, "reading", tried).map((target) => ({
     target,
     backlogMs: ledger.getReadMs(target.id, nowMs),
   }));
--- a/packages/heatherarch-forward/decisions/read_queue.ts
+++ b/packages/heatherarch-forward/scheduling/prefill_queue.ts
@@ -13,9 +13,9 @@
  * @module
  */
 import type { Clock } from "heatherarch-core";
-import { LATE_LANE } from "./lanes.ts";
+import { LATE_LANE } from "./priority_lanes.ts";
 import type { PromptPlacement } from "./prompt_placement.ts";
-import { type SizeClass, SizeShares } from "./size_shares.ts";
+import { type SizeClass, SizeFairness } from "./size_fairness.ts";
 
 /** A placement in the lane that it was made for. */
 export interface LanePlacement {
@@ -24,7 +24,7 @@
 }
 
 /** What becomes of a waiting prompt. */
-export type ReadVerdict =
+export type PrefillOutcome =
   | { readonly kind: "placed"; readonly placed: LanePlacement }
   /** No engine reads prompts apart now. */
   | { readonly kind: "noReader" }
@@ -33,41 +33,41 @@
     readonly kind: "tooLate";
     readonly placement: PromptPlacement;
     /** Time by which the reading had to be over, monotonic milliseconds. */
-    readonly readByMs: number;
+    readonly prefillDeadlineMs: number;
   };
 
 /** A prompt that is to be read. Times are monotonic milliseconds. */
-export interface ReadRequest {
+export interface PrefillRequest {
   /** Lane by the rank of its route. */
   readonly lane: number;
   /** Kind of request; the sizes of its prompts are served in like shares. */
   readonly kind: string;
   readonly tokens: number;
   /** When its caller began to wait: the arrival, or the last event of a stream that broke off. */
-  readonly sinceMs: number;
+  readonly waitStartedAtMs: number;
   /** Time from then within which the first token earns full worth. */
   readonly aimMs: number;
   /** Its caller has left by then. */
-  readonly leavesAtMs: number;
+  readonly timeoutAtMs: number;
   /** From the end of the reading to the first token at the caller. */
-  readonly tailMs: number;
+  readonly firstTokenDelayMs: number;
   /** The engine that would read it soonest; undefined where none reads. */
-  place(): PromptPlacement | undefined;
+  findPlacement(): PromptPlacement | undefined;
   /** Whether the fleet has an engine to spare for the prompt of a late call. */
-  mayReadLate(): boolean;
+  mayPrefillLate(): boolean;
   /** Called once, unless the wait is given up. What is placed has to be booked at once. */
-  onVerdict(verdict: ReadVerdict): void;
+  onOutcome(verdict: PrefillOutcome): void;
 }
 
-/** Options of {@linkcode ReadQueue}. */
-export interface ReadQueueOptions {
+/** Options of {@linkcode PrefillQueue}. */
+export interface PrefillQueueOptions {
   readonly clock: Clock;
   /** An engine gets a further prompt while it has less than this to read, milliseconds. */
-  readonly windowMs?: number;
+  readonly maxBacklogMs?: number;
   /** The same for prompts of late calls. */
-  readonly lateWindowMs?: number;
-  /** Whether the queue looks by itself while prompts wait; models call {@linkcode ReadQueue.look}. */
-  readonly isTimed?: boolean;
+  readonly maxLateBacklogMs?: number;
+  /** Whether the queue looks by itself while prompts wait; models call {@linkcode PrefillQueue.dispatch}. */
+  readonly isTimerEnabled?: boolean;
 }
 
 /**
@@ -110,12 +110,12 @@
 const LARGE_PART = 0.5;
 
 /** Prompts that wait at one VM. */
-export class ReadQueue {
+export class PrefillQueue {
   readonly #clock: Clock;
   readonly #windowMs: number;
   readonly #lateWindowMs: number;
   readonly #isTimed: boolean;
-  readonly #shares = new SizeShares();
+  readonly #shares = new SizeFairness();
   /** Calls that can be on time, in the order in which they go. */
   #waiting: WaitingRequest[] = [];
   /** In the order in which they turned late. */
@@ -125,11 +125,11 @@
   #roomInMs = 0;
   #timer: NodeJS.Timeout | undefined;
 
-  constructor(options: ReadQueueOptions) {
+  constructor(options: PrefillQueueOptions) {
     this.#clock = options.clock;
-    this.#windowMs = options.windowMs ?? DEFAULT_WINDOW_MS;
-    this.#lateWindowMs = options.lateWindowMs ?? DEFAULT_LATE_WINDOW_MS;
-    this.#isTimed = options.isTimed ?? true;
+    this.#windowMs = options.maxBacklogMs ?? DEFAULT_WINDOW_MS;
+    this.#lateWindowMs = options.maxLateBacklogMs ?? DEFAULT_LATE_WINDOW_MS;
+    this.#isTimed = options.isTimerEnabled ?? true;
   }
 
   /** Prompts that wait now. */
@@ -138,34 +138,34 @@
   }
 
   /** Lets a prompt wait; returns what gives the wait up. */
-  enqueue(request: ReadRequest): () => void {
+  enqueue(request: PrefillRequest): () => void {
     const waiting = this.#wrap(request);
     const at = this.#waiting.findIndex((other) => isBefore(waiting, other));
     if (at < 0) this.#waiting.push(waiting);
     else this.#waiting.splice(at, 0, waiting);
-    this.look();
+    this.dispatch();
     return () => {
       if (!this.#remove(waiting)) return;
-      this.#shares.noteEnd(request.kind, waiting.size, false);
+      this.#shares.recordEnd(request.kind, waiting.size, false);
     };
   }
 
   /** Counts a prompt among those of its size, and its verdict. */
-  #wrap(request: ReadRequest): WaitingRequest {
-    const { kind, tokens, onVerdict } = request;
-    const size = this.#shares.noteAsked(kind, tokens);
+  #wrap(request: PrefillRequest): WaitingRequest {
+    const { kind, tokens, onOutcome: onVerdict } = request;
+    const size = this.#shares.recordArrival(kind, tokens);
     return {
       ...request,
       size,
-      onVerdict: (verdict) => {
-        this.#shares.noteEnd(kind, size, verdict.kind === "placed");
+      onOutcome: (verdict) => {
+        this.#shares.recordEnd(kind, size, verdict.kind === "placed");
         onVerdict(verdict);
       },
     };
   }
 
   /** Places what may be placed now. */
-  look(): void {
+  dispatch(): void {
     const nowMs = this.#clock.readMonotonicMs();
     this.#roomInMs = MAX_LOOK_MS;
     this.#placeBehind(nowMs);
@@ -177,7 +177,7 @@
     if (this.size === 0 || !this.#isTimed) return;
     this.#timer ??= setTimeout(() => {
       this.#timer = undefined;
-      this.look();
+      this.dispatch();
     }, Math.max(LOOK_MS, this.#roomInMs));
   }
 
@@ -190,7 +190,7 @@
     const looks = [...this.#waiting, ...this.#late]
       .filter((request) => this.#isBehind(request))
       .slice(0, MAX_LOOKED)
-      .map((request) => ({ request, placement: request.place() }))
+      .map((request) => ({ request, placement: request.findPlacement() }))
       .filter((look): look is Look => look.placement !== undefined)
       .sort((a, b) => a.placement.costMs - b.placement.costMs);
     for (const look of looks) {
@@ -199,11 +199,16 @@
   }
 
   #isBehind({ kind, size }: WaitingRequest): boolean {
-    return this.#shares.isBehind(kind, size);
+    return this.#shares.isUnderserved(kind, size);
   }
 
   #placeAhead({ request, placement }: Look, nowMs: number): void {
-    const { sinceMs, aimMs, leavesAtMs, tailMs } = request;
+    const {
+      waitStartedAtMs: sinceMs,
+      aimMs,
+      timeoutAtMs: leavesAtMs,
+      firstTokenDelayMs: tailMs,
+    } = request;
     if (nowMs + computeSoonestMs(placement) > leavesAtMs - tailMs) return;
     if (placement.backlogMs > this.#windowMs) {
       this.#noteRoom(placement.backlogMs - this.#windowMs);
@@ -212,7 +217,7 @@
     const isLate = nowMs + placement.readyMs > sinceMs + aimMs - tailMs;
     this.#remove(request);
     const lane = isLate ? LATE_LANE : request.lane;
-    request.onVerdict({ kind: "placed", placed: { placement, lane } });
+    request.onOutcome({ kind: "placed", placed: { placement, lane } });
   }
 
   #placeWaiting(nowMs: number): void {
@@ -230,10 +235,11 @@
 
   /** Whether a call that may be on time has to wait on; otherwise it is placed, or turns late. */
   #mayKeep(request: WaitingRequest, nowMs: number): boolean {
-    const { sinceMs, aimMs, tailMs, lane } = request;
-    const placement = request.place();
+    const { waitStartedAtMs: sinceMs, aimMs, firstTokenDelayMs: tailMs, lane } =
+      request;
+    const placement = request.findPlacement();
     if (placement === undefined) {
-      request.onVerdict({ kind: "noReader" });
+      request.onOutcome({ kind: "noReader" });
       return false;
     }
     const readByMs = sinceMs + aimMs - tailMs;
@@ -245,7 +251,7 @@
       this.#noteRoom(placement.backlogMs - this.#windowMs);
       return true;
     }
-    request.onVerdict({ kind: "placed", placed: { placement, lane } });
+    request.onOutcome({ kind: "placed", placed: { placement, lane } });
     return false;
   }
 
@@ -256,7 +262,7 @@
   /** Large prompts go first, then the calls that turned late last: their callers stay longest. */
   #placeLate(nowMs: number): void {
     const looks = this.#late.splice(0).reverse()
-      .map((request) => ({ request, placement: request.place() }));
+      .map((request) => ({ request, placement: request.findPlacement() }));
     const ordered = [
       ...looks.filter(isLarge),
       ...looks.filter((look) => !isLarge(look)),
@@ -272,24 +278,28 @@
 
   #mayKeepLate({ request, placement }: LateLook, nowMs: number): boolean {
     if (placement === undefined) {
-      request.onVerdict({ kind: "noReader" });
+      request.onOutcome({ kind: "noReader" });
       return false;
     }
-    const readByMs = findEnd(request, placement) - request.tailMs;
+    const readByMs = findEnd(request, placement) - request.firstTokenDelayMs;
     const readyMs = this.#isBehind(request)
       ? computeSoonestMs(placement)
       : placement.readyMs;
     if (nowMs + readyMs > readByMs) {
-      request.onVerdict({ kind: "tooLate", placement, readByMs });
+      request.onOutcome({
+        kind: "tooLate",
+        placement,
+        prefillDeadlineMs: readByMs,
+      });
       return false;
     }
     if (placement.backlogMs > this.#lateWindowMs) {
       this.#noteRoom(placement.backlogMs - this.#lateWindowMs);
       return true;
     }
-    if (!request.mayReadLate()) return true;
+    if (!request.mayPrefillLate()) return true;
     const placed = { placement, lane: LATE_LANE };
-    request.onVerdict({ kind: "placed", placed });
+    request.onOutcome({ kind: "placed", placed });
     return false;
   }
 
@@ -302,7 +312,7 @@
   }
 }
 
-interface WaitingRequest extends ReadRequest {
+interface WaitingRequest extends PrefillRequest {
   readonly size: SizeClass;
 }
 
@@ -325,22 +335,26 @@
  * Time in which a prompt can be read. What is booked is longer by the waits of others, for a large
  * prompt by seconds: judged by that, one that could be read in time is refused as it comes.
  */
-function computeSoonestMs({ backlogMs, aloneMs }: PromptPlacement): number {
+function computeSoonestMs(
+  { backlogMs, unloadedMs: aloneMs }: PromptPlacement,
+): number {
   return backlogMs + aloneMs;
 }
 
 /** Time up to which a late call is worth keeping. */
 function findEnd(request: WaitingRequest, placement: PromptPlacement): number {
-  const { sinceMs, leavesAtMs } = request;
+  const { waitStartedAtMs: sinceMs, timeoutAtMs: leavesAtMs } = request;
   if (isLarge({ request, placement })) return leavesAtMs;
   return sinceMs + (leavesAtMs - sinceMs) * LATE_PART;
 }
 
-function isBefore(a: ReadRequest, b: ReadRequest): boolean {
+function isBefore(a: PrefillRequest, b: PrefillRequest): boolean {
   return computeTurn(a) < computeTurn(b);
 }
 
 /** Time by which a waiting call is put in order: its aim, later by its rank. */
-function computeTurn({ sinceMs, aimMs, lane }: ReadRequest): number {
+function computeTurn(
+  { waitStartedAtMs: sinceMs, aimMs, lane }: PrefillRequest,
+): number {
   return sinceMs + aimMs + lane * RANK_MS;
 }
--- a/packages/heatherarch-forward/decisions/prompt_placement.ts
+++ b/packages/heatherarch-forward/scheduling/prompt_placement.ts
@@ -15,7 +15,7 @@
 import type { ReadModel } from "../beliefs/read_model.ts";
 
 /** An engine that could read a prompt. */
-export interface ReadCandidate {
+export interface PrefillCandidate {
   readonly target: Target;
   /** Time until it has read what it was given so far, milliseconds. */
   readonly backlogMs: number;
@@ -31,7 +31,7 @@
   /** Time to be booked for the reading, milliseconds. */
   readonly costMs: number;
   /** Time of the reading by itself, without waits that can't be foreseen. */
-  readonly aloneMs: number;
+  readonly unloadedMs: number;
   /** Time until the engine has read what it was given before, milliseconds. */
   readonly backlogMs: number;
   /** Time until the prompt has been read, the backlog included. */
@@ -39,31 +39,31 @@
 }
 
 /** What is known of the engines when a prompt is placed. */
-export interface PlacementView {
+export interface PlacementContext {
   /** Engines that may read it. */
-  readonly candidates: readonly ReadCandidate[];
+  readonly candidates: readonly PrefillCandidate[];
   /** Engines among which homes are dealt out; may hold more than the candidates. */
-  readonly readers: readonly Target[];
+  readonly prefillEngines: readonly Target[];
   /** Engines known to hold the shared parts, or that are reading them now. */
-  readonly holders: readonly Target[];
+  readonly prefixHolders: readonly Target[];
   /** Engines from which the shared parts can be fetched, the last used one first. */
-  readonly sources: readonly Target[];
+  readonly prefixSources: readonly Target[];
   /** The engine that held the shared parts last, where that was too long ago to count on it. */
-  readonly lastHolder?: Target;
+  readonly lastPrefixHolder?: Target;
   readonly traits: EngineTraits;
   /** Wait that is added to an engine in the choice alone, milliseconds; none by default. */
-  readonly drawSpreadMs?: (target: string) => number;
+  readonly drawJitterMs?: (target: string) => number;
 }
 
 /** Options of {@linkcode PromptPlacer}. */
 export interface PromptPlacerOptions {
   readonly model: ReadModel;
   /** Shared parts below this many tokens have no home: reading them takes less than a fetch. */
-  readonly minHomeTokens?: number;
+  readonly minPrefixTokens?: number;
   /** Wait that a fetch must save before it is worth its price, milliseconds. */
   readonly fetchMarginMs?: number;
   /** Wait that reading a part away from its home must save, milliseconds. */
-  readonly awayMarginMs?: number;
+  readonly nonOwnerMarginMs?: number;
   /** Fixed time of a fetch, milliseconds. */
   readonly fetchSetupMs?: number;
 }
@@ -85,27 +85,29 @@
 
   constructor(options: PromptPlacerOptions) {
     this.#options = {
-      minHomeTokens: DEFAULT_MIN_HOME_TOKENS,
+      minPrefixTokens: DEFAULT_MIN_HOME_TOKENS,
       fetchMarginMs: DEFAULT_FETCH_MARGIN_MS,
-      awayMarginMs: DEFAULT_AWAY_MARGIN_MS,
+      nonOwnerMarginMs: DEFAULT_AWAY_MARGIN_MS,
       fetchSetupMs: DEFAULT_FETCH_SETUP_MS,
       ...options,
     };
   }
 
   /** Key of a prompt's shared beginning; undefined where it is too short to have a home. */
-  findKey(prompt: GenerationFacts): string | undefined {
-    if (sumShared(prompt) < this.#options.minHomeTokens) return undefined;
+  findPrefixKey(prompt: GenerationFacts): string | undefined {
+    if (sumPrefixTokens(prompt) < this.#options.minPrefixTokens) {
+      return undefined;
+    }
     return prompt.parts.at(-2)?.id;
   }
 
   /** The best of the candidates, or undefined where there is none. */
-  pickReader(
+  pickEngine(
     prompt: GenerationFacts,
-    view: PlacementView,
+    view: PlacementContext,
   ): PromptPlacement | undefined {
-    const key = this.findKey(prompt);
-    const { drawSpreadMs = () => 0 } = view;
+    const key = this.findPrefixKey(prompt);
+    const { drawJitterMs: drawSpreadMs = () => 0 } = view;
     let best: PromptPlacement | undefined;
     let bestScore = Infinity;
     for (const candidate of view.candidates) {
@@ -125,24 +127,32 @@
 
   #judgeShort(
     { promptTokens }: GenerationFacts,
-    { target, backlogMs }: ReadCandidate,
+    { target, backlogMs }: PrefillCandidate,
   ): PromptPlacement {
     const { model } = this.#options;
     const costMs = model.predictMs(target.id, promptTokens, 0);
     const aloneMs = model.predictAloneMs(target.id, promptTokens, 0);
     const readyMs = backlogMs + costMs;
-    return { target, isCold: false, costMs, aloneMs, backlogMs, readyMs };
+    return {
+      target,
+      isCold: false,
+      costMs,
+      unloadedMs: aloneMs,
+      backlogMs,
+      readyMs,
+    };
   }
 
   /** A placement, and the wait that it must save over others. */
   #judge(
     prompt: GenerationFacts,
     key: string,
-    { target, backlogMs }: ReadCandidate,
-    view: PlacementView,
+    { target, backlogMs }: PrefillCandidate,
+    view: PlacementContext,
   ): [PromptPlacement, number] {
-    const { model, fetchMarginMs, awayMarginMs } = this.#options;
-    const shared = sumShared(prompt);
+    const { model, fetchMarginMs, nonOwnerMarginMs: awayMarginMs } =
+      this.#options;
+    const shared = sumPrefixTokens(prompt);
     const fresh = Math.max(0, prompt.promptTokens - shared);
     const build = (
       isCold: boolean,
@@ -155,20 +165,27 @@
       const costMs = fetchMs + model.predictMs(target.id, ...size);
       const aloneMs = fetchMs + model.predictAloneMs(target.id, ...size);
       const readyMs = backlogMs + costMs;
-      const placement = { target, isCold, costMs, aloneMs, backlogMs, readyMs };
+      const placement = {
+        target,
+        isCold,
+        costMs,
+        unloadedMs: aloneMs,
+        backlogMs,
+        readyMs,
+      };
       return fetchFrom === undefined ? placement : { ...placement, fetchFrom };
     };
-    if (view.holders.some((holder) => holder.id === target.id)) {
+    if (view.prefixHolders.some((holder) => holder.id === target.id)) {
       return [build(false), 0];
     }
-    const source = pickNear(view.sources, target);
+    const source = pickNear(view.prefixSources, target);
     if (source !== undefined) {
       const fetchMs = this.#predictFetchMs(shared, source, target, view.traits);
       return [build(false, fetchMs, source), fetchMarginMs];
     }
-    const homeId = view.holders.length > 0
+    const homeId = view.prefixHolders.length > 0
       ? undefined
-      : view.lastHolder?.id ?? findHome(key, view.readers);
+      : view.lastPrefixHolder?.id ?? findHome(key, view.prefillEngines);
     return [build(true), homeId === target.id ? 0 : awayMarginMs];
   }
 
@@ -187,7 +204,7 @@
 }
 
 /** Tokens of all parts but the last, which is the call's own. */
-export function sumShared(prompt: GenerationFacts): number {
+export function sumPrefixTokens(prompt: GenerationFacts): number {
   return prompt.parts.slice(0, -1).reduce((sum, part) => sum + part.tokens, 0);
 }
 
--- a/packages/heatherarch-forward/decisions/return_time.ts
+++ b/packages/heatherarch-forward/scheduling/retry_after.ts
@@ -17,7 +17,7 @@
 const SPREAD = 0.5;
 
 /** Time after which a caller should come back, milliseconds. */
-export function computeReturnMs(
+export function computeRetryAfterMs(
   /** Time that it waited in vain. */
   waitedMs: number,
   /** Time by which its answer would be later than its aim. */
--- a/packages/heatherarch-forward/decisions/role_plan.ts
+++ b/packages/heatherarch-forward/scheduling/role_plan.ts
@@ -23,9 +23,9 @@
   /** Whether an engine that is still listed answers; all do by default. */
   readonly isReachable?: (engine: Target) => boolean;
   /** Share of the engines that should generate. */
-  readonly runnerShare?: number;
+  readonly decodeShare?: number;
   /** Engines that should generate at least, where there are enough: one may be lost. */
-  readonly minRunners?: number;
+  readonly minDecodeEngines?: number;
   /** Places of one engine; unknown by default. */
   readonly slots?: number;
 }
@@ -44,12 +44,12 @@
  */
 const RUNS_PER_READER = 7;
 /** Number of engines out of `count` that should generate. */
-export function computeRunnerGoal(
+export function computeDecodeEngineCount(
   count: number,
   options: RolePlanOptions = {},
 ): number {
-  const { minRunners = DEFAULT_MIN_RUNNERS, slots } = options;
-  const { runnerShare = computeShare(slots) } = options;
+  const { minDecodeEngines: minRunners = DEFAULT_MIN_RUNNERS, slots } = options;
+  const { decodeShare: runnerShare = computeShare(slots) } = options;
   if (count < 2) return count;
   const spare = count >= SPARE_RUNNER_ENGINES ? 1 : 0;
   const byShare = Math.round(count * runnerShare);
@@ -74,9 +74,9 @@
   options: RolePlanOptions = {},
 ): RoleChange[] {
   const { isReachable = () => true } = options;
-  const { minRunners = DEFAULT_MIN_RUNNERS } = options;
+  const { minDecodeEngines: minRunners = DEFAULT_MIN_RUNNERS } = options;
   const usable = engines.filter((engine) => !engine.leaving);
-  const goal = computeRunnerGoal(usable.length, options);
+  const goal = computeDecodeEngineCount(usable.length, options);
   const runners = usable.filter((engine) => engine.role === "decode");
   const answering = runners.filter(isReachable).length;
   const urgent = Math.min(goal, minRunners) - answering;
--- a/packages/heatherarch-forward/decisions/size_shares.ts
+++ b/packages/heatherarch-forward/scheduling/size_fairness.ts
@@ -15,10 +15,10 @@
 /** Sizes of prompts among those of one kind: the largest tenth, the fifth below it, the others. */
 export type SizeClass = "largest" | "large" | "usual";
 
-/** Options of {@linkcode SizeShares}. */
-export interface SizeSharesOptions {
+/** Options of {@linkcode SizeFairness}. */
+export interface SizeFairnessOptions {
   /** Least share of large prompts that is placed, as a part of the share of all of their kind. */
-  readonly leastPart?: number;
+  readonly minRelativeShare?: number;
 }
 
 interface Count {
@@ -49,16 +49,16 @@
 const SIZE_CLASSES: readonly SizeClass[] = ["largest", "large", "usual"];
 
 /** The shares at one VM. */
-export class SizeShares {
+export class SizeFairness {
   readonly #leastPart: number;
   readonly #kinds = new Map<string, Kind>();
 
-  constructor(options: SizeSharesOptions = {}) {
-    this.#leastPart = options.leastPart ?? DEFAULT_LEAST_PART;
+  constructor(options: SizeFairnessOptions = {}) {
+    this.#leastPart = options.minRelativeShare ?? DEFAULT_LEAST_PART;
   }
 
   /** A prompt has come; returns its size among those of its kind. */
-  noteAsked(name: string, tokens: number): SizeClass {
+  recordArrival(name: string, tokens: number): SizeClass {
     const kind = this.#open(name);
     const size = judgeSize(kind.sizes, tokens);
     kind.sizes[kind.next] = tokens;
@@ -69,14 +69,14 @@
   }
 
   /** A prompt's wait has ended. */
-  noteEnd(name: string, size: SizeClass, isPlaced: boolean): void {
+  recordEnd(name: string, size: SizeClass, isPlaced: boolean): void {
     const count = this.#open(name).counts[size];
     count.ended++;
     if (isPlaced) count.placed++;
   }
 
   /** Whether too few prompts of this size have been placed, those that still wait included. */
-  isBehind(name: string, size: SizeClass): boolean {
+  isUnderserved(name: string, size: SizeClass): boolean {
     if (size === "usual") return false;
     const kind = this.#open(name);
     const all = sumCounts(kind);
--- a/packages/heatherarch-forward/decisions/target_choice.ts
+++ b/packages/heatherarch-forward/scheduling/target_selection.ts
@@ -6,8 +6,8 @@
 import type { CallRun } from "../life/call_run.ts";
 import type { Target } from "../model.ts";
 
-/** Options of {@linkcode listOpenTargets}. */
-export interface TargetChoice {
+/** Options of {@linkcode listAvailableTargets}. */
+export interface TargetSelectionOptions {
   readonly run: CallRun;
   /** Targets that the call has tried already. */
   readonly tried: ReadonlySet<string>;
@@ -16,8 +16,8 @@
 }
 
 /** Targets that may be tried now; avoided ones only if there is no other. */
-export function listOpenTargets(
-  { run, tried, accepts = acceptAny }: TargetChoice,
+export function listAvailableTargets(
+  { run, tried, accepts = acceptAny }: TargetSelectionOptions,
 ): Target[] {
   const { directory, health, rests, connections } = run.serving;
   const { name, maxConnections } = run.service;
@@ -36,7 +36,7 @@
  * Time until the first rest ends, milliseconds, if all targets that could serve the call rest;
  * undefined otherwise.
  */
-export function findRestMs(
+export function findBackoffMs(
   run: CallRun,
   accepts: (target: Target) => boolean = acceptAny,
 ): number | undefined {
--- a/packages/heatherarch-forward/serving.ts
+++ b/packages/heatherarch-forward/serving.ts
@@ -6,17 +6,17 @@
 import type { Clock } from "heatherarch-core";
 import type { CacheRetention } from "./beliefs/cache_retention.ts";
 import type { ConfigView } from "./beliefs/config_view.ts";
-import type { EngineSpread } from "./decisions/engine_spread.ts";
+import type { EngineJitter } from "./scheduling/engine_jitter.ts";
 import type { EventLog } from "./event_log.ts";
 import type { LossInquiry } from "heatherarch-quarantine";
 import type { ForwardMetrics } from "./metrics.ts";
 import type { CallCodec } from "./ports.ts";
 import type { PromptIndex } from "./beliefs/prompt_index.ts";
-import type { PromptPlacer } from "./decisions/prompt_placement.ts";
+import type { PromptPlacer } from "./scheduling/prompt_placement.ts";
 import type { ReadModel } from "./beliefs/read_model.ts";
-import type { ReadQueue } from "./decisions/read_queue.ts";
+import type { PrefillQueue } from "./scheduling/prefill_queue.ts";
 import type { RequestQuarantine } from "heatherarch-quarantine";
-import type { ReaderBoard } from "./decisions/reader_board.ts";
+import type { PrefillCandidateCache } from "./scheduling/prefill_candidate_cache.ts";
 import type { RetryAllowance } from "./beliefs/retry_allowance.ts";
 import type { ListGuard } from "./life/list_guard.ts";
 import type { TargetConnections } from "./life/target_connections.ts";
@@ -40,14 +40,14 @@
   readonly quarantine: RequestQuarantine;
   readonly allowance: RetryAllowance;
   readonly placer: PromptPlacer;
-  readonly spread: EngineSpread;
+  readonly spread: EngineJitter;
   readonly prompts: PromptIndex;
   readonly retention: CacheRetention;
   /** Number of VMs that share the load. */
   readonly countVms: () => number;
   readonly readModel: ReadModel;
-  readonly readQueue: ReadQueue;
-  readonly readerBoard: ReaderBoard;
+  readonly readQueue: PrefillQueue;
+  readonly readerBoard: PrefillCandidateCache;
   readonly log: EventLog;
   readonly metrics: ForwardMetrics;
   /** Uniform in [0, 1). */
--- a/packages/heatherarch-forward/tasks/role_keeper.ts
+++ b/packages/heatherarch-forward/tasks/role_keeper.ts
@@ -25,7 +25,7 @@
 import type { ForwardMetrics } from "../metrics.ts";
 import type { EngineReport, Target, TargetRole } from "../model.ts";
 import type { CallCodec, RoleOrder } from "../ports.ts";
-import { planRoles, type RoleChange } from "../decisions/role_plan.ts";
+import { planRoles, type RoleChange } from "../scheduling/role_plan.ts";
 import type { TargetConnections } from "../life/target_connections.ts";
 import type { TargetDirectory } from "../beliefs/target_directory.ts";
 import type { TargetHealth } from "../beliefs/target_health.ts";
--- a/packages/heatherarch-forward/tasks/store_reading.ts
+++ b/packages/heatherarch-forward/tasks/store_reading.ts
@@ -5,9 +5,9 @@
  * @module
  */
 import type { Clock } from "heatherarch-core";
-import type { ConfigReads } from "../decisions/config_reads.ts";
+import type { ConfigReadTiming } from "../scheduling/config_reads.ts";
 import type { ConfigView } from "../beliefs/config_view.ts";
-import type { EngineSpread } from "../decisions/engine_spread.ts";
+import type { EngineJitter } from "../scheduling/engine_jitter.ts";
 import type { EventLog } from "../event_log.ts";
 import type { ForwardMetrics } from "../metrics.ts";
 import type { RoutingConfig, Target } from "../model.ts";
@@ -25,7 +25,7 @@
 export interface StoreReadingOptions {
   readonly configTopic: KeyedTopicPort<RoutingConfig>;
   readonly targetTopic: KeyedTopicPort<Target>;
-  readonly configReads: ConfigReads;
+  readonly configReads: ConfigReadTiming;
   /** Pause between reads of the list of targets, milliseconds. */
   readonly targetPollMs: number;
   /** Monotonic time for which a hub's word on the list held; -Infinity without one. */
@@ -43,7 +43,7 @@
   readonly health: TargetHealth;
   readonly rests: TargetRests;
   readonly readModel: ReadModel;
-  readonly spread: EngineSpread;
+  readonly spread: EngineJitter;
 }
 
 /** Who said, or what showed, that a target leaves. */
--- a/packages/heatherarch-forward/tests/unit/runner_return_test.ts
+++ b/packages/heatherarch-forward/tests/unit/decode_wait_test.ts
@@ -1,13 +1,13 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { isWorthWaiting, predictRunnerMs } from "../../mod.ts";
+import { isWorthWaiting, predictDecodeReadyMs } from "../../mod.ts";
 
 const ROLE_CHANGE_MS = 3000;
 
 test("the engine that began to change first is expected first", () => {
-  assert.equal(predictRunnerMs([1000, 2000], ROLE_CHANGE_MS, 2000), 2500);
-  assert.equal(predictRunnerMs([1000], ROLE_CHANGE_MS, 9000), 0);
-  assert.equal(predictRunnerMs([], ROLE_CHANGE_MS, 0), undefined);
+  assert.equal(predictDecodeReadyMs([1000, 2000], ROLE_CHANGE_MS, 2000), 2500);
+  assert.equal(predictDecodeReadyMs([1000], ROLE_CHANGE_MS, 9000), 0);
+  assert.equal(predictDecodeReadyMs([], ROLE_CHANGE_MS, 0), undefined);
 });
 
 test("a call waits where the engine comes before its caller leaves, and is refused otherwise", () => {
--- a/packages/heatherarch-forward/tests/unit/engine_spread_test.ts
+++ b/packages/heatherarch-forward/tests/unit/engine_jitter_test.ts
@@ -1,7 +1,7 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { Random } from "heatherarch-core";
-import { EngineSpread, PromptPlacer, ReadModel } from "../../mod.ts";
+import { EngineJitter, PromptPlacer, ReadModel } from "../../mod.ts";
 import { buildEngine, buildPrompt, TRAITS } from "./fixtures.ts";
 
 const ENGINES = Array.from({ length: 40 }, (_, i) => buildEngine(`e${i}`));
@@ -10,23 +10,23 @@
 function pickAll(vms: number, mostMs: number, shared: number): string[] {
   const random = new Random(7);
   return Array.from({ length: vms }, (_, i) => {
-    const spread = new EngineSpread({
+    const spread = new EngineJitter({
       vmId: `vm-${i}`,
       drawUnit: () => random.drawUnit(),
-      mostMs,
+      maxMs: mostMs,
     });
-    const placement = new PromptPlacer({ model: new ReadModel() }).pickReader(
+    const placement = new PromptPlacer({ model: new ReadModel() }).pickEngine(
       buildPrompt("k", shared, 1110),
       {
         candidates: ENGINES.map((target, n) => ({
           target,
           backlogMs: n < 20 ? n / 10 : 100,
         })),
-        readers: ENGINES,
-        holders: [],
-        sources: [],
+        prefillEngines: ENGINES,
+        prefixHolders: [],
+        prefixSources: [],
         traits: TRAITS,
-        drawSpreadMs: (target) => spread.drawMs(target),
+        drawJitterMs: (target) => spread.drawMs(target),
       },
     );
     return placement?.target.id ?? "";
@@ -55,7 +55,7 @@
 test("half of the added wait is the VM's own and stays", () => {
   let unit = 0;
   const build = (vmId: string) =>
-    new EngineSpread({ vmId, drawUnit: () => unit, mostMs: 40 });
+    new EngineJitter({ vmId, drawUnit: () => unit, maxMs: 40 });
   const first = build("vm-1");
   const least = first.drawMs("e1");
   assert.equal(first.drawMs("e1"), least);
--- a/packages/heatherarch-forward/tests/unit/reader_board_test.ts
+++ b/packages/heatherarch-forward/tests/unit/prefill_candidate_cache_test.ts
@@ -2,7 +2,7 @@
 import { test } from "node:test";
 import {
   type CallRun,
-  ReaderBoard,
+  PrefillCandidateCache,
   type Target,
   TargetDirectory,
   WorkLedger,
@@ -39,7 +39,7 @@
       },
     },
   };
-  const board = new ReaderBoard();
+  const board = new PrefillCandidateCache();
   const look = (tried: string[] = []) =>
     board.listCandidates(run as unknown as CallRun, new Set(tried))
       .map(({ target, backlogMs }) => `${target.id} ${backlogMs}`);
@@ -66,7 +66,7 @@
   run.nowMs = 10;
   assert.deepEqual(look(), ["b 30", "c 20"]);
   assert.deepEqual(
-    board.listReaders(run as unknown as CallRun).map(({ id }) => id),
+    board.listPrefillEngines(run as unknown as CallRun).map(({ id }) => id),
     ["b", "c"],
   );
 });
--- a/packages/heatherarch-forward/tests/unit/read_queue_test.ts
+++ b/packages/heatherarch-forward/tests/unit/prefill_queue_test.ts
@@ -4,10 +4,10 @@
 import {
   type LanePlacement,
   LATE_LANE,
+  type PrefillOutcome,
+  PrefillQueue,
+  type PrefillRequest,
   type PromptPlacement,
-  ReadQueue,
-  type ReadRequest,
-  type ReadVerdict,
   WorkLedger,
 } from "../../mod.ts";
 import { buildEngine } from "./fixtures.ts";
@@ -22,32 +22,39 @@
 function buildPlacement(costMs: number, backlogMs: number): PromptPlacement {
   const readyMs = backlogMs + costMs;
   const aloneMs = costMs;
-  return { target: ENGINE, isCold: false, costMs, aloneMs, backlogMs, readyMs };
+  return {
+    target: ENGINE,
+    isCold: false,
+    costMs,
+    unloadedMs: aloneMs,
+    backlogMs,
+    readyMs,
+  };
 }
 
 /** A queue in front of one engine whose backlog the test sets, and what became of each call. */
 function createBench() {
   const clock = new ManualClock();
-  const queue = new ReadQueue({ clock });
+  const queue = new PrefillQueue({ clock });
   const engine = { backlogMs: 0, hasLate: false };
-  const verdicts = new Map<string, ReadVerdict>();
+  const verdicts = new Map<string, PrefillOutcome>();
   const order: string[] = [];
   const enqueue = (
     name: string,
     costMs: number,
-    overrides: Partial<ReadRequest> = {},
+    overrides: Partial<PrefillRequest> = {},
   ) =>
     queue.enqueue({
       lane: 0,
       kind: "k",
       tokens: costMs * 50,
-      sinceMs: clock.readMonotonicMs(),
+      waitStartedAtMs: clock.readMonotonicMs(),
       aimMs: 600,
-      leavesAtMs: clock.readMonotonicMs() + 2150,
-      tailMs: 50,
-      place: () => buildPlacement(costMs, engine.backlogMs),
-      mayReadLate: () => !engine.hasLate,
-      onVerdict: (verdict) => {
+      timeoutAtMs: clock.readMonotonicMs() + 2150,
+      firstTokenDelayMs: 50,
+      findPlacement: () => buildPlacement(costMs, engine.backlogMs),
+      mayPrefillLate: () => !engine.hasLate,
+      onOutcome: (verdict) => {
         verdicts.set(name, verdict);
         order.push(name);
         if (verdict.kind === "placed") engine.backlogMs += costMs;
@@ -57,7 +64,7 @@
   const advance = (ms: number, backlogMs = engine.backlogMs): void => {
     clock.advance(ms);
     engine.backlogMs = backlogMs;
-    queue.look();
+    queue.dispatch();
   };
   const findLane = (name: string): number | undefined => {
     const verdict = verdicts.get(name);
@@ -147,7 +154,7 @@
 
 test("where no engine reads, calls are told at once", () => {
   const { verdicts, enqueue } = createBench();
-  enqueue("a", 10, { place: () => undefined });
+  enqueue("a", 10, { findPlacement: () => undefined });
   assert.equal(verdicts.get("a")?.kind, "noReader");
 });
 
@@ -171,9 +178,9 @@
   // Booked at 2.5 s by an engine behind which others wait, read in 1 s by itself.
   const place = (): PromptPlacement => ({
     ...buildPlacement(2500, engine.backlogMs),
-    aloneMs: 1000,
+    unloadedMs: 1000,
   });
-  enqueue("large", 2500, { place });
+  enqueue("large", 2500, { findPlacement: place });
   advance(300, 60);
   assert.equal(findLane("large"), LATE_LANE);
 });
@@ -199,7 +206,7 @@
 /** Calls on time at one engine that reads in the order of arrival; the window bounds what it holds. */
 function countOnTime(jobs: readonly Job[], windowMs: number): number {
   const clock = new ManualClock();
-  const queue = new ReadQueue({ clock, windowMs });
+  const queue = new PrefillQueue({ clock, maxBacklogMs: windowMs });
   const ledger = new WorkLedger();
   let onTime = 0;
   let next = 0;
@@ -219,17 +226,18 @@
         lane: 0,
         kind: "k",
         tokens: job.costMs * 50,
-        sinceMs: job.arriveMs,
+        waitStartedAtMs: job.arriveMs,
         aimMs: windowMs === Infinity ? Infinity : 600,
-        leavesAtMs: windowMs === Infinity ? Infinity : job.arriveMs + 2150,
-        tailMs: 50,
-        place: () =>
+        timeoutAtMs: windowMs === Infinity ? Infinity : job.arriveMs + 2150,
+        firstTokenDelayMs: 50,
+        findPlacement: () =>
           buildPlacement(
             job.costMs,
             ledger.getReadMs("e", clock.readMonotonicMs()),
           ),
-        mayReadLate: () => !ledger.isReadingLate("e", clock.readMonotonicMs()),
-        onVerdict: (verdict) => {
+        mayPrefillLate: () =>
+          !ledger.isReadingLate("e", clock.readMonotonicMs()),
+        onOutcome: (verdict) => {
           if (verdict.kind === "placed") begin(job, verdict.placed);
         },
       });
@@ -240,7 +248,7 @@
       if (isDone) end();
       return !isDone;
     });
-    queue.look();
+    queue.dispatch();
   }
   return onTime;
 }
@@ -257,8 +265,8 @@
 test("no engine is asked for before it is known to have room, nor long after", () => {
   const { queue, engine, order, enqueue } = createBench();
   let asked = 0;
-  const build = (backlogMs: () => number): Partial<ReadRequest> => ({
-    place: () => {
+  const build = (backlogMs: () => number): Partial<PrefillRequest> => ({
+    findPlacement: () => {
       asked++;
       return buildPlacement(10, backlogMs());
     },
--- a/packages/heatherarch-forward/tests/unit/prompt_placement_test.ts
+++ b/packages/heatherarch-forward/tests/unit/prompt_placement_test.ts
@@ -2,7 +2,7 @@
 import { test } from "node:test";
 import {
   CacheRetention,
-  type PlacementView,
+  type PlacementContext,
   PromptIndex,
   PromptPlacer,
   ReadModel,
@@ -20,23 +20,23 @@
   backlogs: Readonly<Record<string, number>>,
   sources: readonly Target[] = [],
   holders: readonly Target[] = sources,
-): PlacementView {
+): PlacementContext {
   return {
     candidates: ENGINES.map((target) => ({
       target,
       backlogMs: backlogs[target.id] ?? 0,
     })),
-    readers: ENGINES,
-    holders,
-    sources,
+    prefillEngines: ENGINES,
+    prefixHolders: holders,
+    prefixSources: sources,
     traits: TRAITS,
   };
 }
 
 test("a beginning that nobody holds has one home for all VMs", () => {
   const prompt = buildPrompt("k1");
-  const first = createPlacer().pickReader(prompt, buildView({}));
-  const second = createPlacer().pickReader(prompt, buildView({ x: 5 }));
+  const first = createPlacer().pickEngine(prompt, buildView({}));
+  const second = createPlacer().pickEngine(prompt, buildView({ x: 5 }));
   assert.equal(first?.isCold, true);
   assert.equal(first?.target.id, second?.target.id);
 });
@@ -45,7 +45,7 @@
   const placer = createPlacer();
   const homes = new Set<string>();
   for (let i = 0; i < 60; i++) {
-    const placement = placer.pickReader(buildPrompt(`k${i}`), buildView({}));
+    const placement = placer.pickEngine(buildPrompt(`k${i}`), buildView({}));
     homes.add(placement?.target.id ?? "");
   }
   assert.equal(homes.size, ENGINES.length);
@@ -53,7 +53,7 @@
 
 test("a holder without much backlog reads the rest only", () => {
   const view = buildView({ b: 30 }, [ENGINES[1]]);
-  const placement = createPlacer().pickReader(buildPrompt("k"), view);
+  const placement = createPlacer().pickEngine(buildPrompt("k"), view);
   assert.equal(placement?.target.id, "b");
   assert.equal(placement?.fetchFrom, undefined);
   assert.ok((placement?.costMs ?? 0) < 120, `${placement?.costMs} ms`);
@@ -61,7 +61,7 @@
 
 test("behind a backlog another engine fetches the beginning from the holder", () => {
   const view = buildView({ b: 400 }, [ENGINES[1]]);
-  const placement = createPlacer().pickReader(buildPrompt("k"), view);
+  const placement = createPlacer().pickEngine(buildPrompt("k"), view);
   assert.notEqual(placement?.target.id, "b");
   assert.equal(placement?.fetchFrom?.id, "b");
   assert.ok((placement?.readyMs ?? 0) < 140, `${placement?.readyMs} ms`);
@@ -70,7 +70,7 @@
 test("a short prompt goes where it is read soonest", () => {
   const prompt = buildPrompt("k", 350, 1110);
   const view = buildView({ a: 50, b: 20, c: 90, d: 70 });
-  assert.equal(createPlacer().pickReader(prompt, view)?.target.id, "b");
+  assert.equal(createPlacer().pickEngine(prompt, view)?.target.id, "b");
 });
 
 test("a slow engine is left to others once it is known to be slow", () => {
@@ -83,7 +83,7 @@
   const placer = new PromptPlacer({ model });
   const prompt = buildPrompt("k", 350, 1110);
   const view = buildView({ b: 30, c: 30, d: 30 });
-  assert.notEqual(placer.pickReader(prompt, view)?.target.id, "a");
+  assert.notEqual(placer.pickEngine(prompt, view)?.target.id, "a");
 });
 
 test("readings behind others do not make an engine look slow", () => {
@@ -143,19 +143,19 @@
 
 test("no engine, no placement", () => {
   const view = { ...buildView({}), candidates: [] };
-  assert.equal(createPlacer().pickReader(buildPrompt("k"), view), undefined);
+  assert.equal(createPlacer().pickEngine(buildPrompt("k"), view), undefined);
 });
 
 test("a beginning that is being read is waited for, not read twice or fetched", () => {
   const view = buildView({ b: 300 }, [], [ENGINES[1]]);
-  const placement = createPlacer().pickReader(buildPrompt("k"), view);
+  const placement = createPlacer().pickEngine(buildPrompt("k"), view);
   assert.equal(placement?.target.id, "b");
   assert.equal(placement?.isCold, false);
 });
 
 test("a beginning that was used too long ago is read again where it was", () => {
-  const view = { ...buildView({}), lastHolder: ENGINES[2] };
-  const placement = createPlacer().pickReader(buildPrompt("k"), view);
+  const view = { ...buildView({}), lastPrefixHolder: ENGINES[2] };
+  const placement = createPlacer().pickEngine(buildPrompt("k"), view);
   assert.equal(placement?.target.id, "c");
   assert.equal(placement?.isCold, true);
 });
--- a/packages/heatherarch-forward/tests/unit/return_time_test.ts
+++ b/packages/heatherarch-forward/tests/unit/retry_after_test.ts
@@ -1,19 +1,19 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { computeReturnMs } from "../../mod.ts";
+import { computeRetryAfterMs } from "../../mod.ts";
 
 const first = () => 0;
 const last = () => 0.999;
 
 test("who waited long in an overload comes back later than who was refused at once", () => {
-  assert.equal(computeReturnMs(0, 0, first), 200);
-  assert.equal(computeReturnMs(1800, 0, first), 900);
-  assert.equal(computeReturnMs(100, 700, first), 700);
+  assert.equal(computeRetryAfterMs(0, 0, first), 200);
+  assert.equal(computeRetryAfterMs(1800, 0, first), 900);
+  assert.equal(computeRetryAfterMs(100, 700, first), 700);
 });
 
 test("callers refused together do not come back together", () => {
-  assert.ok(computeReturnMs(1800, 0, last) > 1300);
-  assert.ok(computeReturnMs(1800, 0, last) < 1350);
+  assert.ok(computeRetryAfterMs(1800, 0, last) > 1300);
+  assert.ok(computeRetryAfterMs(1800, 0, last) < 1350);
 });
 
 test("of callers refused in an overload of three seconds, fewer meet it again", () => {
@@ -22,7 +22,7 @@
   const countAgain = (waitedMs: number): number =>
     refusedAt.filter((atMs, i) => {
       const drawUnit = () => (i * 37 % 100) / 100;
-      return atMs + computeReturnMs(waitedMs, 0, drawUnit) < 3000;
+      return atMs + computeRetryAfterMs(waitedMs, 0, drawUnit) < 3000;
     }).length;
   assert.ok(countAgain(1800) < countAgain(0) / 3, `${countAgain(1800)}`);
 });
--- a/packages/heatherarch-forward/tests/unit/role_plan_test.ts
+++ b/packages/heatherarch-forward/tests/unit/role_plan_test.ts
@@ -1,6 +1,6 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { computeRunnerGoal, planRoles, type Target } from "../../mod.ts";
+import { computeDecodeEngineCount, planRoles, type Target } from "../../mod.ts";
 import { buildEngine } from "./fixtures.ts";
 
 const ZONES = ["zone-a", "zone-b", "zone-c"];
@@ -30,27 +30,27 @@
   for (const [readers, runners] of [[5, 8], [13, 0], [0, 13], [40, 58]]) {
     const planned = apply(buildFleet(readers, runners));
     const generating = planned.filter((engine) => engine.role === "decode");
-    assert.equal(generating.length, computeRunnerGoal(planned.length));
+    assert.equal(generating.length, computeDecodeEngineCount(planned.length));
     assert.deepEqual(planRoles(planned), []);
   }
 });
 
 test("a small fleet keeps a spare generating engine, a large one a share", () => {
   assert.deepEqual(
-    [1, 2, 8, 11, 12, 13, 98].map((count) => computeRunnerGoal(count)),
+    [1, 2, 8, 11, 12, 13, 98].map((count) => computeDecodeEngineCount(count)),
     [1, 1, 2, 2, 3, 3, 15],
   );
 });
 
 test("engines with few places generate in greater number", () => {
-  assert.equal(computeRunnerGoal(42, { slots: 16 }), 13);
-  assert.equal(computeRunnerGoal(42, { slots: 64 }), 6);
-  assert.equal(computeRunnerGoal(6, { slots: 64 }), 2);
+  assert.equal(computeDecodeEngineCount(42, { slots: 16 }), 13);
+  assert.equal(computeDecodeEngineCount(42, { slots: 64 }), 6);
+  assert.equal(computeDecodeEngineCount(6, { slots: 64 }), 2);
 });
 
 test("the fewest orders are given", () => {
   const fleet = buildFleet(5, 8);
-  assert.equal(planRoles(fleet).length, 8 - computeRunnerGoal(13));
+  assert.equal(planRoles(fleet).length, 8 - computeDecodeEngineCount(13));
 });
 
 test("generating engines stay in different zones", () => {
@@ -64,7 +64,7 @@
   const planned = apply(buildFleet(5, 8));
   const runners = planned.filter((engine) => engine.role === "decode");
   const left = planned.filter((engine) => engine !== runners[0]);
-  const missing = computeRunnerGoal(12) - (runners.length - 1);
+  const missing = computeDecodeEngineCount(12) - (runners.length - 1);
   assert.equal(planRoles(left).length, missing);
   assert.deepEqual(planRoles([buildEngine("only")]), []);
 });
--- a/packages/heatherarch-forward/vm_beliefs.ts
+++ b/packages/heatherarch-forward/vm_beliefs.ts
@@ -15,10 +15,10 @@
 import { TargetHealth } from "./beliefs/target_health.ts";
 import { TargetRests } from "./beliefs/target_rests.ts";
 import { WorkLedger } from "./beliefs/work_ledger.ts";
-import { EngineSpread } from "./decisions/engine_spread.ts";
-import { PromptPlacer } from "./decisions/prompt_placement.ts";
-import { ReaderBoard } from "./decisions/reader_board.ts";
-import { ReadQueue } from "./decisions/read_queue.ts";
+import { EngineJitter } from "./scheduling/engine_jitter.ts";
+import { PromptPlacer } from "./scheduling/prompt_placement.ts";
+import { PrefillCandidateCache } from "./scheduling/prefill_candidate_cache.ts";
+import { PrefillQueue } from "./scheduling/prefill_queue.ts";
 import type { EventLog } from "./event_log.ts";
 import { AnswerNotices } from "./life/answer_notices.ts";
 import { ListGuard } from "./life/list_guard.ts";
@@ -96,12 +96,12 @@
     }),
     listGuard: buildListGuard(options, metrics),
     allowance: buildAllowance(settings),
-    readQueue: new ReadQueue({ clock }),
-    readerBoard: new ReaderBoard(),
+    readQueue: new PrefillQueue({ clock }),
+    readerBoard: new PrefillCandidateCache(),
     prompts: new PromptIndex(),
     retention: new CacheRetention(),
     placer: new PromptPlacer({ model: readModel }),
-    spread: new EngineSpread({
+    spread: new EngineJitter({
       vmId: settings.vm.id,
       drawUnit: Math.random,
     }),
--- a/packages/heatherarch-forward/vm_tasks.ts
+++ b/packages/heatherarch-forward/vm_tasks.ts
@@ -13,7 +13,7 @@
 import { RoleKeeper } from "./tasks/role_keeper.ts";
 import type { StatusServer } from "./tasks/status_server.ts";
 import { StoreReading } from "./tasks/store_reading.ts";
-import { planConfigReads } from "./decisions/config_reads.ts";
+import { planConfigReads } from "./scheduling/config_reads.ts";
 import { computeMaxListAgeMs } from "./vm_beliefs.ts";
 
 /** What an adapter brings. */
--- a/packages/heatherarch-lab/bench/decide_world.ts
+++ b/packages/heatherarch-lab/bench/decide_world.ts
@@ -10,13 +10,13 @@
  */
 import { ManualClock, Random } from "heatherarch-core";
 import {
-  EngineSpread,
+  EngineJitter,
   type GenerationFacts,
+  type PrefillCandidate,
+  PrefillQueue,
   type PromptPlacement,
   PromptPlacer,
-  type ReadCandidate,
   ReadModel,
-  ReadQueue,
   type Target,
 } from "heatherarch-forward";
 
@@ -107,8 +107,8 @@
   readonly #readings: Reading[][];
   #seen: { atMs: number; readings: Reading[][] }[] = [];
   readonly #snapshotOf: Reading[][][];
-  readonly #queues: ReadQueue[];
-  readonly #spreads: EngineSpread[];
+  readonly #queues: PrefillQueue[];
+  readonly #spreads: EngineJitter[];
   /** Engines that hold a beginning, with the time of its last use. */
   readonly #held = new Map<string, Map<string, number>>();
   readonly #readMs: number[];
@@ -139,13 +139,13 @@
     this.#snapshotOf = Array.from({ length: vms }, () => this.#readings);
     this.#queues = Array.from(
       { length: vms },
-      () => new ReadQueue({ clock: this.#clock, isTimed: false }),
+      () => new PrefillQueue({ clock: this.#clock, isTimerEnabled: false }),
     );
     this.#spreads = Array.from({ length: vms }, (_, i) =>
-      new EngineSpread({
+      new EngineJitter({
         vmId: `vm-${i}`,
         drawUnit: () => this.#random.drawUnit(),
-        mostMs: options.spreadMs,
+        maxMs: options.spreadMs,
       }));
   }
 
@@ -157,7 +157,7 @@
       this.#endReadings();
       this.#tellSums();
       if (this.#nowMs < endMs) this.#drawArrivals();
-      for (const queue of this.#queues) if (queue.size > 0) queue.look();
+      for (const queue of this.#queues) if (queue.size > 0) queue.dispatch();
     }
     return this.#report();
   }
@@ -229,13 +229,13 @@
       lane: kind.lane,
       kind: kind.name,
       tokens: prompt.promptTokens,
-      sinceMs: atMs,
+      waitStartedAtMs: atMs,
       aimMs: kind.aimMs,
-      leavesAtMs: atMs + PATIENCE_MS,
-      tailMs: TAIL_MS,
-      place: () => this.#place(job),
-      mayReadLate: () => true,
-      onVerdict: (verdict) => {
+      timeoutAtMs: atMs + PATIENCE_MS,
+      firstTokenDelayMs: TAIL_MS,
+      findPlacement: () => this.#place(job),
+      mayPrefillLate: () => true,
+      onOutcome: (verdict) => {
         if (verdict.kind === "placed") {
           this.#read(job, verdict.placed.placement);
         } else this.#refused++;
@@ -244,22 +244,22 @@
   }
 
   #place({ vm, prompt }: Job): PromptPlacement | undefined {
-    const candidates = this.#engines.map((target, i): ReadCandidate => ({
+    const candidates = this.#engines.map((target, i): PrefillCandidate => ({
       target,
       backlogMs: this.#estimateBacklog(vm, i),
     }));
-    const key = this.#placer.findKey(prompt) ?? "";
+    const key = this.#placer.findPrefixKey(prompt) ?? "";
     const held = this.#held.get(key) ?? new Map<string, number>();
     const holders = this.#engines.filter(({ id }) =>
       this.#nowMs - (held.get(id) ?? -Infinity) < KEPT_MS
     );
-    return this.#placer.pickReader(prompt, {
+    return this.#placer.pickEngine(prompt, {
       candidates,
-      readers: this.#engines,
-      holders,
-      sources: holders,
+      prefillEngines: this.#engines,
+      prefixHolders: holders,
+      prefixSources: holders,
       traits: TRAITS,
-      drawSpreadMs: (target) => this.#spreads[vm].drawMs(target),
+      drawJitterMs: (target) => this.#spreads[vm].drawMs(target),
     });
   }
 
@@ -287,7 +287,7 @@
   }
 
   #noteHeld(placement: PromptPlacement, prompt: GenerationFacts): void {
-    const key = this.#placer.findKey(prompt);
+    const key = this.#placer.findPrefixKey(prompt);
     if (key === undefined) return;
     this.#long++;
     if (placement.isCold) this.#cold++;
--- a/packages/heatherarch-lab/bench/overload_world.ts
+++ b/packages/heatherarch-lab/bench/overload_world.ts
@@ -12,16 +12,16 @@
  */
 import { ManualClock, Random } from "heatherarch-core";
 import {
-  computeCallerPatienceMs,
-  computeReturnMs,
-  EngineSpread,
+  computeCallerTimeoutMs,
+  computeRetryAfterMs,
+  EngineJitter,
   type EngineTraits,
   type LanePlacement,
+  PrefillQueue,
   type PromptPlacement,
   PromptPlacer,
   ReadModel,
-  ReadQueue,
-  sumShared,
+  sumPrefixTokens,
   type Target,
   WorkLedger,
 } from "heatherarch-forward";
@@ -70,11 +70,11 @@
 }
 
 interface Vm {
-  readonly queue: ReadQueue;
+  readonly queue: PrefillQueue;
   readonly model: ReadModel;
   readonly placer: PromptPlacer;
   readonly ledger: WorkLedger;
-  readonly spread: EngineSpread;
+  readonly spread: EngineJitter;
   hasNews: boolean;
   toldAtMs: number;
 }
@@ -150,11 +150,11 @@
     const model = new ReadModel();
     const ledger = new WorkLedger();
     const built: Vm = {
-      queue: new ReadQueue({ clock: this.#clock, isTimed: false }),
+      queue: new PrefillQueue({ clock: this.#clock, isTimerEnabled: false }),
       model,
       placer: new PromptPlacer({ model }),
       ledger,
-      spread: new EngineSpread({
+      spread: new EngineJitter({
         vmId: `vm-${vm}`,
         drawUnit: () => this.#random.drawUnit(),
       }),
@@ -182,7 +182,7 @@
     this.#tellWork();
     this.#drawArrivals(load);
     if (this.#nowMs % LOOK_MS !== 0) return;
-    for (const { queue } of this.#vms) if (queue.size > 0) queue.look();
+    for (const { queue } of this.#vms) if (queue.size > 0) queue.dispatch();
   }
 
   #runDue(): void {
@@ -233,13 +233,13 @@
       lane: kind.lane,
       kind: kind.name,
       tokens: prompt.promptTokens,
-      sinceMs: call.atMs,
+      waitStartedAtMs: call.atMs,
       aimMs: kind.aimMs,
-      leavesAtMs: findLeaving(call),
-      tailMs: FIRST_TOKEN_MS + model.latencyMs,
-      place: () => this.#place(call),
-      mayReadLate: () => this.#mayReadLate(vm),
-      onVerdict: (verdict) => {
+      timeoutAtMs: findLeaving(call),
+      firstTokenDelayMs: FIRST_TOKEN_MS + model.latencyMs,
+      findPlacement: () => this.#place(call),
+      mayPrefillLate: () => this.#mayReadLate(vm),
+      onOutcome: (verdict) => {
         if (verdict.kind === "placed") this.#read(call, verdict.placed);
         else if (verdict.kind === "tooLate") {
           this.#refuse(call, verdict.placement);
@@ -253,7 +253,7 @@
     const { aimMs, deadlineMs } = wish.kind;
     const waitedMs = this.#nowMs - atMs;
     const draw = (): number => this.#random.drawUnit();
-    const toldMs = computeReturnMs(waitedMs, readyMs - aimMs, draw);
+    const toldMs = computeRetryAfterMs(waitedMs, readyMs - aimMs, draw);
     const mostMs = (deadlineMs - waitedMs) * MOST_RETURN_PART;
     this.#due.push({
       atMs: this.#nowMs + Math.min(toldMs, mostMs),
@@ -263,18 +263,18 @@
 
   #place({ vm, wish: { prompt } }: Call): PromptPlacement | undefined {
     const { ledger, placer, spread } = this.#vms[vm];
-    const key = placer.findKey(prompt);
+    const key = placer.findPrefixKey(prompt);
     const holders = key === undefined ? [] : this.#listHolders(key);
-    return placer.pickReader(prompt, {
+    return placer.pickEngine(prompt, {
       candidates: this.#targets.map((target) => ({
         target,
         backlogMs: ledger.getReadMs(target.id, this.#nowMs),
       })),
-      readers: this.#targets,
-      holders,
-      sources: holders,
+      prefillEngines: this.#targets,
+      prefixHolders: holders,
+      prefixSources: holders,
       traits: TRAITS,
-      drawSpreadMs: (target) => spread.drawMs(target),
+      drawJitterMs: (target) => spread.drawMs(target),
     });
   }
 
@@ -298,7 +298,14 @@
   }
 
   #read(call: Call, { placement, lane }: LanePlacement): void {
-    const { target, costMs, aloneMs, backlogMs, isCold, fetchFrom } = placement;
+    const {
+      target,
+      costMs,
+      unloadedMs: aloneMs,
+      backlogMs,
+      isCold,
+      fetchFrom,
+    } = placement;
     const { ledger, model, placer } = this.#vms[call.vm];
     const startMs = this.#nowMs;
     const latencyMs = model.latencyMs + ANSWER_SLACK_MS;
@@ -308,8 +315,10 @@
       startMs,
     );
     const { prompt } = call.wish;
-    const key = placer.findKey(prompt);
-    const heldTokens = key === undefined || isCold ? 0 : sumShared(prompt);
+    const key = placer.findPrefixKey(prompt);
+    const heldTokens = key === undefined || isCold
+      ? 0
+      : sumPrefixTokens(prompt);
     const freshTokens = prompt.promptTokens - heldTokens;
     const i = this.#targets.indexOf(target);
     this.#taken[i] += prompt.promptTokens - (fetchFrom ? 0 : heldTokens);
@@ -371,6 +380,6 @@
 
 /** When the caller of a try leaves, unless its first token has come. */
 function findLeaving({ atMs, wish: { kind, atMs: wishedAtMs } }: Call): number {
-  const patienceMs = computeCallerPatienceMs(kind.aimMs);
+  const patienceMs = computeCallerTimeoutMs(kind.aimMs);
   return Math.min(atMs + patienceMs, wishedAtMs + kind.deadlineMs);
 }
--- a/packages/heatherarch-lab/proofs/config_reads_proof.ts
+++ b/packages/heatherarch-lab/proofs/config_reads_proof.ts
@@ -5,7 +5,7 @@
  * @module
  */
 import fc from "fast-check";
-import { type ConfigReads, planConfigReads } from "heatherarch-forward";
+import { type ConfigReadTiming, planConfigReads } from "heatherarch-forward";
 import {
   measureDelays,
   REQUEST_TIMEOUT_MS,
@@ -20,7 +20,9 @@
 /** Part of the bound in which a reader has the change; the rest is for hubs. */
 const READ_PART = 0.75;
 /** Times as they are where they don't follow from the bound, milliseconds. */
-const UNBOUND: Readonly<Record<typeof GUARDS[number], Partial<ConfigReads>>> = {
+const UNBOUND: Readonly<
+  Record<typeof GUARDS[number], Partial<ConfigReadTiming>>
+> = {
   holdFromBound: { waitMs: 2000 },
   limitFromBound: { timeoutMs: REQUEST_TIMEOUT_MS },
   pauseFromBound: { retryMs: 1000 },
--- a/packages/heatherarch-lab/proofs/config_reads_world.ts
+++ b/packages/heatherarch-lab/proofs/config_reads_world.ts
@@ -6,7 +6,7 @@
 import { mock } from "node:test";
 import { ManualClock } from "heatherarch-core";
 import {
-  type ConfigReads,
+  type ConfigReadTiming,
   TopicFollower,
   type TopicSlice,
 } from "heatherarch-forward";
@@ -19,7 +19,7 @@
 
 /** Options of {@linkcode measureDelays}. */
 export interface ConfigReadsWorldOptions {
-  readonly reads: ConfigReads;
+  readonly reads: ConfigReadTiming;
   /** Silences of each reader's store, in the order of their times. */
   readonly stores: readonly (readonly Silence[])[];
   /** Time for which a reader is followed after the last silence, milliseconds. */
--- a/packages/heatherarch-lab/tests/unit/config_reads_test.ts
+++ b/packages/heatherarch-lab/tests/unit/config_reads_test.ts
@@ -1,6 +1,6 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { computeConfigDelayMs, planConfigReads } from "heatherarch-forward";
+import { computeMaxConfigDelayMs, planConfigReads } from "heatherarch-forward";
 import {
   measureDelays,
   REQUEST_TIMEOUT_MS,
@@ -55,7 +55,7 @@
       requestTimeoutMs: REQUEST_TIMEOUT_MS,
     });
     assert.ok(
-      computeConfigDelayMs(reads) <= configBoundMs * (1 - HUB_PART),
+      computeMaxConfigDelayMs(reads) <= configBoundMs * (1 - HUB_PART),
       `${configBoundMs} ms`,
     );
   }
