--- a/packages/heatherarch-forward/decisions/lanes.ts
+++ b/packages/heatherarch-forward/decisions/lanes.ts
@@ -9,10 +9,10 @@
  *
  * @module
  */
-import { LANES } from "../beliefs/work_ledger.ts";
+import { LANE_COUNT } from "../state/work_tracker.ts";
 
 /** Lane of calls that miss their aim in any case. */
-export const LATE_LANE = LANES - 1;
+export const LATE_LANE = LANE_COUNT - 1;
 
 /** Engine priorities run from 0 (first) to 9; the default of calls without one is 5. */
 const FIRST_ENGINE_PRIORITY = 2;
--- a/packages/heatherarch-forward/decisions/prompt_placement.ts
+++ b/packages/heatherarch-forward/decisions/prompt_placement.ts
@@ -12,7 +12,7 @@
  */
 import { pickRendezvous } from "heatherarch-core";
 import type { EngineTraits, GenerationFacts, Target } from "../model.ts";
-import type { ReadModel } from "../beliefs/read_model.ts";
+import type { PrefillTimeModel } from "../state/prefill_time_model.ts";
 
 /** An engine that could read a prompt. */
 export interface ReadCandidate {
@@ -57,7 +57,7 @@
 
 /** Options of {@linkcode PromptPlacer}. */
 export interface PromptPlacerOptions {
-  readonly model: ReadModel;
+  readonly model: PrefillTimeModel;
   /** Shared parts below this many tokens have no home: reading them takes less than a fetch. */
   readonly minHomeTokens?: number;
   /** Wait that a fetch must save before it is worth its price, milliseconds. */
@@ -129,7 +129,7 @@
   ): PromptPlacement {
     const { model } = this.#options;
     const costMs = model.predictMs(target.id, promptTokens, 0);
-    const aloneMs = model.predictAloneMs(target.id, promptTokens, 0);
+    const aloneMs = model.predictUnloadedMs(target.id, promptTokens, 0);
     const readyMs = backlogMs + costMs;
     return { target, isCold: false, costMs, aloneMs, backlogMs, readyMs };
   }
@@ -153,7 +153,7 @@
         ? [prompt.promptTokens, 0]
         : [fresh, shared];
       const costMs = fetchMs + model.predictMs(target.id, ...size);
-      const aloneMs = fetchMs + model.predictAloneMs(target.id, ...size);
+      const aloneMs = fetchMs + model.predictUnloadedMs(target.id, ...size);
       const readyMs = backlogMs + costMs;
       const placement = { target, isCold, costMs, aloneMs, backlogMs, readyMs };
       return fetchFrom === undefined ? placement : { ...placement, fetchFrom };
--- a/packages/heatherarch-forward/decisions/reader_board.ts
+++ b/packages/heatherarch-forward/decisions/reader_board.ts
@@ -77,6 +77,6 @@
   const nowMs = run.nowMs;
   return listEngines(run, "reading", tried).map((target) => ({
     target,
-    backlogMs: ledger.getReadMs(target.id, nowMs),
+    backlogMs: ledger.getPrefillBacklogMs(target.id, nowMs),
   }));
 }
--- a/packages/heatherarch-forward/decisions/target_choice.ts
+++ b/packages/heatherarch-forward/decisions/target_choice.ts
@@ -25,8 +25,8 @@
   const open = directory.listServing(name)
     .filter(accepts)
     .filter(({ id }) => !tried.has(id))
-    .filter(({ id }) => !rests.isResting(id, nowMs))
-    .filter(({ id }) => !directory.isChanging(id, nowMs))
+    .filter(({ id }) => !rests.isInBackoff(id, nowMs))
+    .filter(({ id }) => !directory.isChangingRole(id, nowMs))
     .filter((target) => connections.hasRoom(target, maxConnections));
   const sound = open.filter(({ id }) => !health.isAvoided(id, nowMs));
   return sound.length > 0 ? sound : open;
@@ -44,7 +44,7 @@
   const nowMs = run.nowMs;
   const targets = directory.listServing(run.service.name)
     .filter(accepts)
-    .filter(({ id }) => !directory.isChanging(id, nowMs));
+    .filter(({ id }) => !directory.isChangingRole(id, nowMs));
   if (targets.length === 0) return undefined;
   const restMs = Math.min(
     ...targets.map(({ id }) => rests.getEndMs(id) - nowMs),
--- a/packages/heatherarch-forward/fleet/config_exchange.ts
+++ b/packages/heatherarch-forward/fleet/config_exchange.ts
@@ -5,7 +5,7 @@
  */
 import { sleep } from "heatherarch-core";
 import type { MeshNode } from "heatherarch-mesh";
-import type { ConfigView } from "../beliefs/config_view.ts";
+import type { ActiveConfig } from "../state/active_config.ts";
 import type { ConfigReads } from "../decisions/config_reads.ts";
 import type { EventLog } from "../event_log.ts";
 import type { RoutingConfig } from "../model.ts";
@@ -13,7 +13,7 @@
 /** Options of {@linkcode ConfigExchange}. */
 export interface ConfigExchangeOptions {
   readonly node: Pick<MeshNode, "call" | "registerCall">;
-  readonly configs: ConfigView;
+  readonly configs: ActiveConfig;
   readonly log: EventLog;
   readonly configReads: Pick<ConfigReads, "askPeerAfterMs" | "peerTimeoutMs">;
   /** Whether this VM reads the store's topics by itself. */
--- a/packages/heatherarch-forward/fleet/fleet_mesh.ts
+++ b/packages/heatherarch-forward/fleet/fleet_mesh.ts
@@ -12,7 +12,7 @@
   MeshNode,
   type Standstill,
 } from "heatherarch-mesh";
-import type { ConfigView } from "../beliefs/config_view.ts";
+import type { ActiveConfig } from "../state/active_config.ts";
 import type { ConfigReads } from "../decisions/config_reads.ts";
 import type { EventLog } from "../event_log.ts";
 import type { VmRecord } from "../model.ts";
@@ -21,9 +21,9 @@
 import { FleetNews } from "./fleet_news.ts";
 import { HubExchange, type HubExchangeOptions } from "./hub_exchange.ts";
 import { VmListFollower } from "./vm_list_follower.ts";
-import type { PromptIndex } from "../beliefs/prompt_index.ts";
+import type { PrefixIndex } from "../state/prefix_index.ts";
 import type { RequestQuarantine } from "heatherarch-quarantine";
-import type { WorkLedger } from "../beliefs/work_ledger.ts";
+import type { WorkTracker } from "../state/work_tracker.ts";
 
 /** Options of {@linkcode FleetMesh}. */
 export interface FleetMeshOptions extends
@@ -53,10 +53,10 @@
   readonly vms: WritableTopicPort<VmRecord>;
   readonly clock: Clock;
   readonly log: EventLog;
-  readonly ledger: WorkLedger;
-  readonly prompts: PromptIndex;
+  readonly ledger: WorkTracker;
+  readonly prompts: PrefixIndex;
   readonly quarantine: RequestQuarantine;
-  readonly configs: ConfigView;
+  readonly configs: ActiveConfig;
   readonly configReads: ConfigReads;
   /** Reads the configuration from the store, once. */
   readonly loadConfig: () => Promise<void>;
@@ -158,7 +158,7 @@
     await this.#node.start();
     const { ledger } = this.#options;
     this.#undoListeners.push(
-      ledger.registerOwnListener(() => {
+      ledger.registerOwnWorkListener(() => {
         // A hub tells sums of many VMs, which change all the time.
         if (!this.#membership.isHub) this.#node.noteNews();
       }),
@@ -286,7 +286,9 @@
   #buildMeshParts(link: Link): Partial<Heartbeat> {
     const { ledger, prompts, clock, listChanging } = this.#options;
     const changing = listChanging();
-    const { notes, cursor } = prompts.listNotes(this.#told.get(link) ?? 0);
+    const { updates: notes, cursor } = prompts.listUpdates(
+      this.#told.get(link) ?? 0,
+    );
     this.#told.set(link, cursor);
     return {
       work: ledger.listOwnRows(clock.readMonotonicMs())
@@ -322,10 +324,10 @@
     const { ledger, prompts, clock } = this.#options;
     const nowMs = clock.readMonotonicMs();
     if (heartbeat.prompts !== undefined) {
-      prompts.notePeer(heartbeat.prompts, nowMs);
+      prompts.applyPeerUpdates(heartbeat.prompts, nowMs);
     }
     if (heartbeat.work !== undefined) {
-      ledger.notePeer(from.id, heartbeat.work, nowMs);
+      ledger.setPeerWork(from.id, heartbeat.work, nowMs);
     }
   }
 
--- a/packages/heatherarch-forward/fleet/fleet_news.ts
+++ b/packages/heatherarch-forward/fleet/fleet_news.ts
@@ -8,7 +8,7 @@
 import type { Clock } from "heatherarch-core";
 import type { Heartbeat, Link } from "heatherarch-mesh";
 import type { RequestQuarantine } from "heatherarch-quarantine";
-import type { TargetDirectory } from "../beliefs/target_directory.ts";
+import type { TargetDirectory } from "../state/target_directory.ts";
 import type { EventLog } from "../event_log.ts";
 
 /** Options of {@linkcode FleetNews}. */
@@ -89,8 +89,8 @@
   }
 
   #buildLeaving(cursors: LinkCursors): NewsParts {
-    const { lives, cursor } = this.#options.directory
-      .listSaidLeaving(cursors.leaving);
+    const { targetIds: lives, cursor } = this.#options.directory
+      .listAnnouncedLeaving(cursors.leaving);
     cursors.leaving = cursor;
     if (lives.length === 0) return {};
     return {
--- a/packages/heatherarch-forward/fleet/hub_exchange.ts
+++ b/packages/heatherarch-forward/fleet/hub_exchange.ts
@@ -26,23 +26,23 @@
 import { copyRows, HubSums } from "./hub_sums.ts";
 import { ListRelief } from "./list_relief.ts";
 import type {
-  NoteScope,
-  PromptIndex,
-  PromptNote,
-} from "../beliefs/prompt_index.ts";
+  PrefixIndex,
+  PrefixUpdate,
+  UpdateScope,
+} from "../state/prefix_index.ts";
 import { FeedSource } from "./feed_source.ts";
 import {
   subtractRows,
-  type WorkLedger,
   type WorkRow,
-} from "../beliefs/work_ledger.ts";
+  type WorkTracker,
+} from "../state/work_tracker.ts";
 
 /** Options of {@linkcode HubExchange}. */
 export interface HubExchangeOptions extends HubListOptions {
   readonly self: LinkIdentity;
   readonly membership: Membership;
-  readonly ledger: WorkLedger;
-  readonly prompts: PromptIndex;
+  readonly ledger: WorkTracker;
+  readonly prompts: PrefixIndex;
   /** Engines that change their role by an order of this VM. */
   readonly listChanging: () => readonly string[];
   /** The source says that it can't read the list of targets. */
@@ -157,7 +157,7 @@
     const { directory, listChanging } = this.#options;
     // Two hubs that passed on to each other what they hear would never forget it.
     const changing = parts.digest?.scope === "fleet"
-      ? directory.listChanging(this.#nowMs)
+      ? directory.listChangingRole(this.#nowMs)
       : listChanging();
     return changing.length === 0
       ? parts
@@ -231,7 +231,11 @@
       this.#list.takeFeed(relief, heartbeat.targets, nowMs - this.#waitedMs);
     }
     if (heartbeat.prompts !== undefined) {
-      prompts.notePeer(heartbeat.prompts, nowMs, isNear ? "zone" : "fleet");
+      prompts.applyPeerUpdates(
+        heartbeat.prompts,
+        nowMs,
+        isNear ? "zone" : "fleet",
+      );
     }
     if (!isNear) {
       if (heartbeat.digest !== undefined) {
@@ -240,7 +244,7 @@
       return;
     }
     if (heartbeat.work === undefined) return;
-    ledger.notePeer(from.id, heartbeat.work, nowMs);
+    ledger.setPeerWork(from.id, heartbeat.work, nowMs);
     this.#peers.noteCounted(from.incarnation, heartbeat.beat);
   }
 
@@ -254,7 +258,7 @@
       digest.vms > known.vms;
     if (!isBetter) return;
     this.#zones.set(zone, { peer: from.id, vms: digest.vms, atMs: nowMs });
-    this.#options.ledger.notePeer(
+    this.#options.ledger.setPeerWork(
       nameZone(zone),
       digest.work,
       nowMs,
@@ -270,14 +274,14 @@
     const { ledger, prompts } = this.#options;
     source.noteHeard(nowMs);
     if (heartbeat.prompts !== undefined) {
-      prompts.notePeer(heartbeat.prompts, nowMs);
+      prompts.applyPeerUpdates(heartbeat.prompts, nowMs);
     }
     const { digest, targets } = heartbeat;
     if (digest !== undefined) {
       this.#fleetVms = digest.vms;
       const own = this.#sent.get(digest.counted) ?? [];
       const rows = subtractRows(digest.work, own);
-      ledger.notePeer(FLEET, rows, nowMs, "gathered");
+      ledger.setPeerWork(FLEET, rows, nowMs, "gathered");
     }
     if (targets === undefined) return;
     const wasLost = source.isListLost;
@@ -322,9 +326,9 @@
     };
   }
 
-  #buildNotes(link: Link, scope: NoteScope): Pick<HubParts, "prompts"> {
-    const { notes, cursor } = this.#options.prompts
-      .listNotes(this.#told.get(link) ?? 0, scope);
+  #buildNotes(link: Link, scope: UpdateScope): Pick<HubParts, "prompts"> {
+    const { updates: notes, cursor } = this.#options.prompts
+      .listUpdates(this.#told.get(link) ?? 0, scope);
     this.#told.set(link, cursor);
     return notes.length === 0 ? {} : { prompts: notes.map(copyNote) };
   }
@@ -388,6 +392,6 @@
   return `hub sum of zone ${zone}`;
 }
 
-function copyNote(note: PromptNote): [string, string, number] {
+function copyNote(note: PrefixUpdate): [string, string, number] {
   return [...note];
 }
--- a/packages/heatherarch-forward/fleet/hub_list.ts
+++ b/packages/heatherarch-forward/fleet/hub_list.ts
@@ -6,7 +6,7 @@
  */
 import type { Clock } from "heatherarch-core";
 import type { Link, TargetFeed } from "heatherarch-mesh";
-import type { TargetDirectory } from "../beliefs/target_directory.ts";
+import type { TargetDirectory } from "../state/target_directory.ts";
 import type { Target } from "../model.ts";
 import type { KeyedEntry } from "../ports.ts";
 import type { FeedSource } from "./feed_source.ts";
@@ -62,7 +62,7 @@
   /** Takes in the list as `source` told it at `toldAtMs`. */
   takeFeed(source: FeedSource, feed: TargetFeed, toldAtMs: number): void {
     const { directory, applyTargets } = this.#options;
-    const news = source.take(feed, toldAtMs, directory.holdsAtMs);
+    const news = source.take(feed, toldAtMs, directory.validAtMs);
     if (news === undefined) return;
     this.#atMs = news.atMs;
     if (news.isFull || news.entries.length > 0) {
--- a/packages/heatherarch-forward/fleet/hub_sums.ts
+++ b/packages/heatherarch-forward/fleet/hub_sums.ts
@@ -5,11 +5,11 @@
  * @module
  */
 import type { WorkDigest } from "heatherarch-mesh";
-import type { WorkLedger, WorkRow } from "../beliefs/work_ledger.ts";
+import type { WorkRow, WorkTracker } from "../state/work_tracker.ts";
 
 /** Options of {@linkcode HubSums}. */
 export interface HubSumsOptions {
-  readonly ledger: WorkLedger;
+  readonly ledger: WorkTracker;
   /** Live VMs of the hub's zone, itself included. */
   readonly countZoneVms: () => number;
   /** Live VMs of the fleet. */
--- a/packages/heatherarch-forward/fleet/target_feed.ts
+++ b/packages/heatherarch-forward/fleet/target_feed.ts
@@ -7,7 +7,7 @@
 import type { TargetFeed, TargetRow } from "heatherarch-mesh";
 import type { Target } from "../model.ts";
 import type { KeyedEntry } from "../ports.ts";
-import type { DirectoryChanges } from "../beliefs/target_directory.ts";
+import type { DirectoryChanges } from "../state/target_directory.ts";
 
 /** Age of a feed whose source can't read the store. */
 const LOST_AGE = -1;
--- a/packages/heatherarch-forward/forward_vm.ts
+++ b/packages/heatherarch-forward/forward_vm.ts
@@ -221,7 +221,7 @@
 
   #watchConfig(): void {
     const { configs, ingress, metrics, clock } = this.#parts;
-    configs.registerListener(({ table, before, source }) => {
+    configs.registerListener(({ table, previousVersion: before, source }) => {
       ingress.applyLimits(table.config.limits);
       metrics.configVersion.set(table.version);
       this.#log.write("info", "configApplied", {
@@ -288,7 +288,7 @@
   #noteChanging(targets: readonly string[]): void {
     const nowMs = this.#clock.readMonotonicMs();
     for (const id of targets) {
-      this.#parts.directory.markChanging(id, nowMs + CHANGING_MS, nowMs);
+      this.#parts.directory.markChangingRole(id, nowMs + CHANGING_MS, nowMs);
     }
   }
 
@@ -303,7 +303,7 @@
     metrics.configAge.set(configs.getAgeMs(clock.readMonotonicMs()) / 1000);
     this.#sweepQuarantine();
     reading.forgetDropped("otherIncarnation");
-    const gone = directory.expire(this.#clock.readMonotonicMs());
+    const gone = directory.dropExpired(this.#clock.readMonotonicMs());
     metrics.targets.set(directory.size);
     reading.forgetDropped("grace");
     for (const id of gone) {
--- a/packages/heatherarch-forward/life/answer_notices.ts
+++ b/packages/heatherarch-forward/life/answer_notices.ts
@@ -5,8 +5,8 @@
  * @module
  */
 import type { Clock } from "heatherarch-core";
-import type { TargetDirectory } from "../beliefs/target_directory.ts";
-import type { TargetRests } from "../beliefs/target_rests.ts";
+import type { TargetDirectory } from "../state/target_directory.ts";
+import type { TargetBackoffs } from "../state/target_backoffs.ts";
 import type { EventLog } from "../event_log.ts";
 import type { Target } from "../model.ts";
 import type { CallCodec } from "../ports.ts";
@@ -16,7 +16,7 @@
 export interface AnswerNoticesOptions {
   readonly codec: Pick<CallCodec, "decodeAnswer">;
   readonly directory: Pick<TargetDirectory, "markLeaving">;
-  readonly rests: TargetRests;
+  readonly rests: TargetBackoffs;
   readonly clock: Clock;
   readonly log: EventLog;
 }
@@ -50,7 +50,7 @@
   #noteRest(target: string, restMs: number): void {
     const { rests, clock, log } = this.#options;
     // Requests in flight get the same answer; the first one is logged.
-    if (!rests.note(target, restMs, clock.readMonotonicMs())) return;
+    if (!rests.recordBackoff(target, restMs, clock.readMonotonicMs())) return;
     log.write("info", "targetResting", { target, restMs });
   }
 }
--- a/packages/heatherarch-forward/life/call_run.ts
+++ b/packages/heatherarch-forward/life/call_run.ts
@@ -95,7 +95,7 @@
       onHeld: (held) => this.#holdBack(held),
     });
     this.#undoGone = this.caller.registerGone(() => this.#leave());
-    this.serving.allowance.noteCall(this.service.name, this.nowMs);
+    this.serving.allowance.recordCall(this.service.name, this.nowMs);
   }
 
   get nowMs(): number {
@@ -194,7 +194,7 @@
 
   /** Spends one further try of the fleet's allowance. */
   spendTry(): boolean {
-    return this.serving.allowance.spendTry(this.service.name, this.nowMs);
+    return this.serving.allowance.spendRetry(this.service.name, this.nowMs);
   }
 
   /** Ends the call with an answer that the lives have delivered. */
--- a/packages/heatherarch-forward/life/call_server.ts
+++ b/packages/heatherarch-forward/life/call_server.ts
@@ -16,7 +16,7 @@
   ServiceSpec,
 } from "../model.ts";
 import { PlainLife } from "./plain_life.ts";
-import type { RouteTable } from "../beliefs/route_table.ts";
+import type { RouteTable } from "../state/route_table.ts";
 import type { Serving } from "../serving.ts";
 
 /** A call that says nothing of its prompt. */
--- a/packages/heatherarch-forward/life/generation_life.ts
+++ b/packages/heatherarch-forward/life/generation_life.ts
@@ -191,7 +191,7 @@
       return;
     }
     this.#tried.add(target.id);
-    run.serving.health.noteOutcome(target.id, "failed", run.nowMs);
+    run.serving.health.recordOutcome(target.id, "failed", run.nowMs);
     run.serving.log.write("info", "streamBroken", {
       call: run.call.id,
       target: target.id,
@@ -266,7 +266,7 @@
         tokens: this.#prompt.promptTokens,
         sharedTokens: sumShared(this.#prompt),
         isCold,
-        factor: Number(run.serving.readModel.getFactor(target.id).toFixed(2)),
+        factor: Number(run.serving.readModel.getSlowdown(target.id).toFixed(2)),
         waitedMs: Math.round(waitedMs),
         costMs: Math.round(costMs),
         aloneMs: Math.round(aloneMs),
@@ -306,7 +306,7 @@
     const { directory } = serving;
     const since = directory.listServing(service.name)
       .filter((engine) => engine.role === "prefill")
-      .map((engine) => directory.findChangingSince(engine.id, nowMs))
+      .map((engine) => directory.findRoleChangeStartMs(engine.id, nowMs))
       .filter((sinceMs) => sinceMs !== undefined);
     return predictRunnerMs(since, this.#traits.roleChangeMs, nowMs);
   }
@@ -317,7 +317,7 @@
     const kvRoom = this.#traits.kvTokens;
     const candidates = listEngines(this.#run, "generating", this.#tried)
       .map((target): RunCandidate => {
-        const { runs, kvTokens } = ledger.getRuns(target.id, nowMs);
+        const { runs, kvTokens } = ledger.getRunLoad(target.id, nowMs);
         return { target, runs, kvTokens, kvRoom };
       });
     return pickRunner(candidates, zone, drawUnit)?.target;
--- a/packages/heatherarch-forward/life/plain_life.ts
+++ b/packages/heatherarch-forward/life/plain_life.ts
@@ -163,7 +163,7 @@
     const candidates = listOpenTargets({ run: this.#run, tried: this.#tried })
       .map((target): RunCandidate => ({
         target,
-        runs: ledger.getRuns(target.id, nowMs).runs,
+        runs: ledger.getRunLoad(target.id, nowMs).runs,
         kvTokens: 0,
         kvRoom: 0,
       }));
--- a/packages/heatherarch-forward/life/prompt_reading.ts
+++ b/packages/heatherarch-forward/life/prompt_reading.ts
@@ -10,7 +10,7 @@
 import { computeEnginePriority, computeLane } from "../decisions/lanes.ts";
 import type { EngineTraits, GenerationFacts, Target } from "../model.ts";
 import type { KvHandle } from "../ports.ts";
-import { findHolders } from "../beliefs/prompt_holders.ts";
+import { findHolders } from "../state/prefix_holders.ts";
 import {
   type PromptPlacement,
   sumShared,
@@ -241,7 +241,7 @@
     this.#noteHolder(target, "reading");
     const latencyMs = readModel.latencyMs + ANSWER_SLACK_MS;
     const read = { costMs, lane, latencyMs };
-    const endRead = ledger.beginRead(target.id, read, startedAtMs);
+    const endRead = ledger.beginPrefill(target.id, read, startedAtMs);
     return { kind: "turn", placed, startedAtMs, endRead };
   }
 
@@ -250,7 +250,7 @@
     const { ledger } = this.#run.serving;
     const nowMs = this.#run.nowMs;
     const readers = listEngines(this.#run, "reading", this.#tried);
-    const busy = readers.filter(({ id }) => ledger.isReadingLate(id, nowMs));
+    const busy = readers.filter(({ id }) => ledger.hasLatePrefill(id, nowMs));
     return busy.length < Math.max(1, Math.floor(readers.length * LATE_SHARE));
   }
 
@@ -276,7 +276,7 @@
   #noteHolder(target: Target, state: "reading" | "read"): void {
     if (this.#key === undefined) return;
     const { prompts } = this.#run.serving;
-    prompts.noteHolder(this.#key, target.id, state, this.#run.nowMs);
+    prompts.recordHolder(this.#key, target.id, state, this.#run.nowMs);
   }
 
   /** Notes who holds the beginning now, and how fast the engine was. */
@@ -290,12 +290,16 @@
     if (this.#key === undefined) {
       readModel.learn(target.id, { costMs, backlogMs, tookMs });
     } else {
-      readModel.learnAlone(target.id, { aloneMs, backlogMs, tookMs });
+      readModel.learnUnloaded(target.id, {
+        unloadedMs: aloneMs,
+        backlogMs,
+        tookMs,
+      });
     }
     const { promptTokens } = this.#prompt;
     const isHeld = !isCold && fetchFrom === undefined;
     const heldTokens = isHeld ? sumShared(this.#prompt) : 0;
-    retention.noteRead(promptTokens - heldTokens, nowMs);
+    retention.recordPrefill(promptTokens - heldTokens, nowMs);
     log.write("info", "promptRead", {
       call: this.#run.call.id,
       target: target.id,
@@ -310,7 +314,7 @@
       costMs: Math.round(costMs),
       aloneMs: Math.round(aloneMs),
       tookMs: Math.round(tookMs),
-      factor: Number(readModel.getFactor(target.id).toFixed(2)),
+      factor: Number(readModel.getSlowdown(target.id).toFixed(2)),
       latencyMs: Math.round(readModel.latencyMs),
     });
   }
--- a/packages/heatherarch-forward/life/try_judge.ts
+++ b/packages/heatherarch-forward/life/try_judge.ts
@@ -11,7 +11,7 @@
   ExchangeError,
   type TargetExchange,
 } from "./target_exchange.ts";
-import type { TryOutcome } from "../beliefs/target_health.ts";
+import type { TryOutcome } from "../state/target_health.ts";
 
 /** How a try ended, up to the head of its answer. */
 export type TryEnd =
@@ -92,7 +92,7 @@
   const sentAtMs = run.nowMs;
   let timer: NodeJS.Timeout;
   const look = (): void => {
-    const heardAtMs = run.serving.health.getHeardAtMs(target.id);
+    const heardAtMs = run.serving.health.getLastAnswerAtMs(target.id);
     if (isPatient && run.nowMs - heardAtMs < ALIVE_MS) {
       timer = setTimeout(look, ALIVE_MS);
       return;
@@ -170,11 +170,11 @@
     losses.noteEnded(target.id, "replaced");
   }
   if (end.kind === "notRun" && end.refusal === "otherRole") {
-    health.rest(target.id, nowMs + OTHER_ROLE_REST_MS);
+    health.avoidUntil(target.id, nowMs + OTHER_ROLE_REST_MS);
   }
   const isWithheld = end.kind === "notSent" && end.isWithheld;
   const isNowAvoided = !isWithheld &&
-    health.noteOutcome(target.id, rateEnd(end), nowMs);
+    health.recordOutcome(target.id, rateEnd(end), nowMs);
   if (isNowAvoided) {
     log.write("warn", "targetAvoided", {
       call: run.call.id,
--- a/packages/heatherarch-forward/serving.ts
+++ b/packages/heatherarch-forward/serving.ts
@@ -4,48 +4,48 @@
  * @module
  */
 import type { Clock } from "heatherarch-core";
-import type { CacheRetention } from "./beliefs/cache_retention.ts";
-import type { ConfigView } from "./beliefs/config_view.ts";
+import type { CacheRetention } from "./state/cache_retention.ts";
+import type { ActiveConfig } from "./state/active_config.ts";
 import type { EngineSpread } from "./decisions/engine_spread.ts";
 import type { EventLog } from "./event_log.ts";
 import type { LossInquiry } from "heatherarch-quarantine";
 import type { ForwardMetrics } from "./metrics.ts";
 import type { CallCodec } from "./ports.ts";
-import type { PromptIndex } from "./beliefs/prompt_index.ts";
+import type { PrefixIndex } from "./state/prefix_index.ts";
 import type { PromptPlacer } from "./decisions/prompt_placement.ts";
-import type { ReadModel } from "./beliefs/read_model.ts";
+import type { PrefillTimeModel } from "./state/prefill_time_model.ts";
 import type { ReadQueue } from "./decisions/read_queue.ts";
 import type { RequestQuarantine } from "heatherarch-quarantine";
 import type { ReaderBoard } from "./decisions/reader_board.ts";
-import type { RetryAllowance } from "./beliefs/retry_allowance.ts";
+import type { RetryBudget } from "./state/retry_budget.ts";
 import type { ListGuard } from "./life/list_guard.ts";
 import type { TargetConnections } from "./life/target_connections.ts";
-import type { TargetDirectory } from "./beliefs/target_directory.ts";
-import type { TargetHealth } from "./beliefs/target_health.ts";
-import type { TargetRests } from "./beliefs/target_rests.ts";
-import type { WorkLedger } from "./beliefs/work_ledger.ts";
+import type { TargetDirectory } from "./state/target_directory.ts";
+import type { TargetHealth } from "./state/target_health.ts";
+import type { TargetBackoffs } from "./state/target_backoffs.ts";
+import type { WorkTracker } from "./state/work_tracker.ts";
 
 /** Parts of one VM that serve calls. */
 export interface Serving {
   readonly clock: Clock;
   readonly codec: CallCodec;
-  readonly configs: ConfigView;
+  readonly configs: ActiveConfig;
   readonly directory: TargetDirectory;
   readonly health: TargetHealth;
-  readonly rests: TargetRests;
-  readonly ledger: WorkLedger;
+  readonly rests: TargetBackoffs;
+  readonly ledger: WorkTracker;
   readonly connections: TargetConnections;
   readonly listGuard: ListGuard;
   readonly losses: LossInquiry;
   readonly quarantine: RequestQuarantine;
-  readonly allowance: RetryAllowance;
+  readonly allowance: RetryBudget;
   readonly placer: PromptPlacer;
   readonly spread: EngineSpread;
-  readonly prompts: PromptIndex;
+  readonly prompts: PrefixIndex;
   readonly retention: CacheRetention;
   /** Number of VMs that share the load. */
   readonly countVms: () => number;
-  readonly readModel: ReadModel;
+  readonly readModel: PrefillTimeModel;
   readonly readQueue: ReadQueue;
   readonly readerBoard: ReaderBoard;
   readonly log: EventLog;
--- a/packages/heatherarch-forward/beliefs/config_view.ts
+++ b/packages/heatherarch-forward/state/active_config.ts
@@ -10,7 +10,7 @@
 export interface ConfigChange {
   readonly table: RouteTable;
   /** Version in force before; -1 without one. */
-  readonly before: number;
+  readonly previousVersion: number;
   /** Who told it: `store`, or `peer` and its id. */
   readonly source: string;
 }
@@ -19,7 +19,7 @@
 export type ConfigListener = (change: ConfigChange) => void;
 
 /** Holds the newest configuration seen, from whichever source. */
-export class ConfigView {
+export class ActiveConfig {
   #table: RouteTable | undefined;
   #checkedAtMs = -Infinity;
   readonly #listeners = new Set<ConfigListener>();
@@ -39,12 +39,14 @@
     if (config.version <= before) return false;
     const table = new RouteTable(config);
     this.#table = table;
-    for (const listener of this.#listeners) listener({ table, before, source });
+    for (const listener of this.#listeners) {
+      listener({ table, previousVersion: before, source });
+    }
     return true;
   }
 
   /** This VM has read the store without fault, with a read that was sent at `atMs`. */
-  noteChecked(atMs: number): void {
+  recordStoreRead(atMs: number): void {
     this.#checkedAtMs = Math.max(this.#checkedAtMs, atMs);
   }
 
--- a/packages/heatherarch-forward/beliefs/cache_retention.ts
+++ b/packages/heatherarch-forward/state/cache_retention.ts
@@ -24,7 +24,7 @@
   #atMs: number | undefined;
 
   /** A prompt brought `tokens` that an engine did not hold. */
-  noteRead(tokens: number, nowMs: number): void {
+  recordPrefill(tokens: number, nowMs: number): void {
     this.#decay(nowMs);
     this.#tokensPerMs += tokens / RATE_WINDOW_MS;
   }
--- a/packages/heatherarch-forward/beliefs/read_model.ts
+++ b/packages/heatherarch-forward/state/prefill_time_model.ts
@@ -4,8 +4,8 @@
  * @module
  */
 
-/** Options of {@linkcode ReadModel}. */
-export interface ReadModelOptions {
+/** Options of {@linkcode PrefillTimeModel}. */
+export interface PrefillTimeModelOptions {
   /** Prompt tokens an engine reads in a millisecond. */
   readonly tokensPerMs?: number;
   /** Time of attention over a million pairs of tokens, milliseconds. */
@@ -17,7 +17,7 @@
 }
 
 /** A reading as it was predicted and as it went. Times are milliseconds. */
-export interface ReadSample {
+export interface PrefillSample {
   /** Time for which the prompt itself was to occupy the engine. */
   readonly costMs: number;
   /** Wait for what the engine had been given before. */
@@ -27,9 +27,9 @@
 }
 
 /** A long reading as it was predicted and as it went. Times are milliseconds. */
-export interface AloneSample {
+export interface UnloadedSample {
   /** Time that it was to take by itself. */
-  readonly aloneMs: number;
+  readonly unloadedMs: number;
   readonly backlogMs: number;
   readonly tookMs: number;
 }
@@ -87,15 +87,15 @@
  * VM does not know of: it is booked, so that engines are not given too much. The other, from long
  * prompts, is the engine's own.
  */
-export class ReadModel {
-  readonly #options: Required<ReadModelOptions>;
+export class PrefillTimeModel {
+  readonly #options: Required<PrefillTimeModelOptions>;
   readonly #factors = new Map<string, number>();
   readonly #ownFactors = new Map<string, number>();
   #commonFactor = 1;
   #commonOwnFactor = 1;
   #latencyMs: number;
 
-  constructor(options: ReadModelOptions = {}) {
+  constructor(options: PrefillTimeModelOptions = {}) {
     this.#options = { ...DEFAULTS, ...options };
     this.#latencyMs = this.#options.latencyMs;
   }
@@ -105,12 +105,15 @@
    * foresee are in it, so that an engine is not given more than it reads.
    */
   predictMs(target: string, fresh: number, cached: number): number {
-    return this.#computePlainMs(fresh, cached) * this.getFactor(target);
+    return this.#computePlainMs(fresh, cached) * this.getSlowdown(target);
   }
 
   /** Time for which an engine that has nothing else to do reads. */
-  predictAloneMs(target: string, fresh: number, cached: number): number {
-    const factor = Math.min(this.getOwnFactor(target), this.getFactor(target));
+  predictUnloadedMs(target: string, fresh: number, cached: number): number {
+    const factor = Math.min(
+      this.getUnloadedSlowdown(target),
+      this.getSlowdown(target),
+    );
     return this.#computePlainMs(fresh, cached) * factor;
   }
 
@@ -120,12 +123,12 @@
   }
 
   /** How much longer than predicted a reading takes, unforeseen waits included. */
-  getFactor(target: string): number {
+  getSlowdown(target: string): number {
     return this.#factors.get(target) ?? this.#commonFactor;
   }
 
   /** How much longer than predicted an engine takes by itself. */
-  getOwnFactor(target: string): number {
+  getUnloadedSlowdown(target: string): number {
     return this.#ownFactors.get(target) ?? this.#commonOwnFactor;
   }
 
@@ -133,8 +136,8 @@
    * Takes in a long reading, alone on its engine as far as is known. How much of the prompt the
    * engine held is a belief.
    */
-  learnAlone(target: string, sample: AloneSample): void {
-    const { aloneMs, backlogMs, tookMs } = sample;
+  learnUnloaded(target: string, sample: UnloadedSample): void {
+    const { unloadedMs: aloneMs, backlogMs, tookMs } = sample;
     if (backlogMs > aloneMs) return;
     const readMs = Math.max(1, tookMs - this.#latencyMs - backlogMs);
     if (readMs < aloneMs * HELD_PART) return;
@@ -143,20 +146,20 @@
     const step = Math.exp(error * weight);
     this.#ownFactors.set(
       target,
-      limit(this.getOwnFactor(target) * step, FACTOR_BOUNDS),
+      limit(this.getUnloadedSlowdown(target) * step, FACTOR_BOUNDS),
     );
     this.#commonOwnFactor = limit(this.#commonOwnFactor * step, FACTOR_BOUNDS);
   }
 
   /** Takes in a reading. */
-  learn(target: string, sample: ReadSample): void {
+  learn(target: string, sample: PrefillSample): void {
     const { costMs, backlogMs, tookMs } = sample;
     const predictedMs = backlogMs + costMs;
     if (backlogMs <= MAX_LATENCY_BACKLOG_MS) {
       this.#learnLatency(tookMs - predictedMs);
     }
     if (predictedMs < MIN_SPEED_SAMPLE_MS) return;
-    const before = this.getFactor(target);
+    const before = this.getSlowdown(target);
     const found = before * (tookMs - this.#latencyMs) / predictedMs;
     const bounded = limit(found, FACTOR_BOUNDS);
     const weight = bounded < before ? FASTER_WEIGHT : SLOWER_WEIGHT;
--- a/packages/heatherarch-forward/beliefs/prompt_holders.ts
+++ b/packages/heatherarch-forward/state/prefix_holders.ts
@@ -11,7 +11,7 @@
 const SOURCE_PART = 0.6;
 
 /** What a placement has to know of a beginning's whereabouts. */
-export type HolderView = Pick<
+export type KnownHolders = Pick<
   PlacementView,
   "holders" | "sources" | "lastHolder"
 >;
@@ -23,7 +23,7 @@
   readers: readonly Target[],
   traits: EngineTraits,
   nowMs: number,
-): HolderView {
+): KnownHolders {
   const { prompts, retention, countVms } = serving;
   const keptMs = retention.estimateMs(
     traits.kvTokens,
--- a/packages/heatherarch-forward/beliefs/prompt_index.ts
+++ b/packages/heatherarch-forward/state/prefix_index.ts
@@ -9,27 +9,27 @@
  */
 
 /** How an engine holds a beginning: it is being read there, or has been. */
-export type HoldState = "reading" | "read";
+export type HolderState = "reading" | "read";
 
 /** Key of a beginning, id of an engine, and whether it has been read (1) or is being read (0). */
-export type PromptNote = readonly [string, string, number];
+export type PrefixUpdate = readonly [string, string, number];
 
 /**
  * From where a note came: this VM, a VM of its zone, or further away. A hub passes on to VMs of
  * its zone what came from anywhere, to other zones what came from its own.
  */
-export type NoteScope = "own" | "zone" | "fleet";
+export type UpdateScope = "own" | "zone" | "fleet";
 
 /** An engine that holds a beginning, or will soon. */
-export interface Holder {
+export interface PrefixHolder {
   readonly target: string;
-  readonly state: HoldState;
+  readonly state: HolderState;
   /** Monotonic time of its last known use. */
   readonly usedAtMs: number;
 }
 
-/** Options of {@linkcode PromptIndex}. */
-export interface PromptIndexOptions {
+/** Options of {@linkcode PrefixIndex}. */
+export interface PrefixIndexOptions {
   /** Beginnings that are remembered; the ones noted longest ago are forgotten first. */
   readonly maxKeys?: number;
 }
@@ -42,7 +42,7 @@
 const TELL_AGAIN_MS = 1000;
 /** Key of a note that says that the engine was asked for all that it keeps. */
 const SURVEY_KEY = "";
-const SCOPES: readonly NoteScope[] = ["own", "zone", "fleet"];
+const SCOPES: readonly UpdateScope[] = ["own", "zone", "fleet"];
 /**
  * Notes told at once at most: some 75 KB, a tenth of a second on the slowest links of the users'
  * sheets. What is older has mostly been told again since.
@@ -50,28 +50,28 @@
 const MAX_NOTES_TOLD = 3000;
 
 interface JournalEntry {
-  readonly note: PromptNote;
-  readonly scope: NoteScope;
+  readonly note: PrefixUpdate;
+  readonly scope: UpdateScope;
 }
 
 /** Holders of prompt beginnings. */
-export class PromptIndex {
+export class PrefixIndex {
   readonly #maxKeys: number;
-  readonly #holders = new Map<string, readonly Holder[]>();
+  readonly #holders = new Map<string, readonly PrefixHolder[]>();
   /** Notes in the order in which they became known, for peers. */
   readonly #journal: JournalEntry[] = [];
   readonly #surveyed = new Set<string>();
   #journalStart = 0;
 
-  constructor(options: PromptIndexOptions = {}) {
+  constructor(options: PrefixIndexOptions = {}) {
     this.#maxKeys = options.maxKeys ?? DEFAULT_MAX_KEYS;
   }
 
   /** An engine reads, or has read, the beginning, on this VM's order. */
-  noteHolder(
+  recordHolder(
     key: string,
     target: string,
-    state: HoldState,
+    state: HolderState,
     nowMs: number,
   ): void {
     if (!this.#add(key, target, state, nowMs)) return;
@@ -79,10 +79,10 @@
   }
 
   /** Takes in what a peer had read; with a scope it is passed on. */
-  notePeer(
-    notes: readonly PromptNote[],
+  applyPeerUpdates(
+    notes: readonly PrefixUpdate[],
     nowMs: number,
-    passOn?: Exclude<NoteScope, "own">,
+    passOn?: Exclude<UpdateScope, "own">,
   ): void {
     for (const note of notes) {
       if (!this.#takeNote(note, nowMs)) continue;
@@ -91,7 +91,7 @@
   }
 
   /** This VM has asked an engine for all that it keeps. */
-  noteSurveyed(target: string): void {
+  markSurveyed(target: string): void {
     if (this.#surveyed.has(target)) return;
     this.#surveyed.add(target);
     this.#record([SURVEY_KEY, target, 1], "own");
@@ -103,7 +103,7 @@
   }
 
   /** Holders of the beginning, the last used one last; those that have gone may be among them. */
-  listHolders(key: string): readonly Holder[] {
+  listHolders(key: string): readonly PrefixHolder[] {
     return this.#holders.get(key) ?? [];
   }
 
@@ -125,10 +125,10 @@
    * Notes from `cursor` on of up to `scope`, and the cursor behind them; 0 is the beginning. Of
    * many only the newest are listed.
    */
-  listNotes(
+  listUpdates(
     cursor: number,
-    scope: NoteScope = "own",
-  ): { notes: PromptNote[]; cursor: number } {
+    scope: UpdateScope = "own",
+  ): { updates: PrefixUpdate[]; cursor: number } {
     const end = this.#journalStart + this.#journal.length;
     const from = Math.max(0, cursor - this.#journalStart);
     const most = SCOPES.indexOf(scope);
@@ -137,15 +137,15 @@
       .map((entry) => entry.note);
     const newest = notes.slice(-MAX_NOTES_TOLD);
     const marks = cursor === 0 ? this.#listSurveyed() : [];
-    return { notes: [...marks, ...newest], cursor: end };
+    return { updates: [...marks, ...newest], cursor: end };
   }
 
-  #listSurveyed(): PromptNote[] {
+  #listSurveyed(): PrefixUpdate[] {
     return [...this.#surveyed].map((target) => [SURVEY_KEY, target, 1]);
   }
 
   /** Returns whether the note is worth passing on. */
-  #takeNote([key, target, isRead]: PromptNote, nowMs: number): boolean {
+  #takeNote([key, target, isRead]: PrefixUpdate, nowMs: number): boolean {
     if (key !== SURVEY_KEY) {
       return this.#add(key, target, isRead === 1 ? "read" : "reading", nowMs);
     }
@@ -154,7 +154,7 @@
     return true;
   }
 
-  #record(note: PromptNote, scope: NoteScope): void {
+  #record(note: PrefixUpdate, scope: UpdateScope): void {
     this.#journal.push({ note, scope });
     if (this.#journal.length <= this.#maxKeys) return;
     this.#journal.shift();
@@ -165,7 +165,7 @@
   #add(
     key: string,
     target: string,
-    state: HoldState,
+    state: HolderState,
     nowMs: number,
   ): boolean {
     const holders = this.listHolders(key);
--- a/packages/heatherarch-forward/beliefs/retry_allowance.ts
+++ b/packages/heatherarch-forward/state/retry_budget.ts
@@ -9,8 +9,8 @@
  * @module
  */
 
-/** Options of {@linkcode RetryAllowance}. */
-export interface RetryAllowanceOptions {
+/** Options of {@linkcode RetryBudget}. */
+export interface RetryBudgetOptions {
   /** Further tries in a window, for the whole fleet. */
   readonly fixedPerWindow: number;
   /** Further tries for each call. */
@@ -33,12 +33,12 @@
 const SHARE_PART = 0.7;
 
 /** The allowance of one VM. */
-export class RetryAllowance {
-  readonly #options: RetryAllowanceOptions;
+export class RetryBudget {
+  readonly #options: RetryBudgetOptions;
   readonly #buckets = new Map<string, Bucket>();
   #liveVms = 1;
 
-  constructor(options: RetryAllowanceOptions) {
+  constructor(options: RetryBudgetOptions) {
     this.#options = options;
   }
 
@@ -48,14 +48,14 @@
   }
 
   /** A call for a service earns a share of a further try. */
-  noteCall(service: string, nowMs: number): void {
+  recordCall(service: string, nowMs: number): void {
     const bucket = this.#fill(service, nowMs);
     const earned = this.#options.share * SHARE_PART;
     bucket.tokens = Math.min(this.#getMost(), bucket.tokens + earned);
   }
 
   /** Spends one further try; false where none is left. */
-  spendTry(service: string, nowMs: number): boolean {
+  spendRetry(service: string, nowMs: number): boolean {
     const bucket = this.#fill(service, nowMs);
     if (bucket.tokens < 1) return false;
     bucket.tokens -= 1;
--- a/packages/heatherarch-forward/beliefs/store_watch.ts
+++ b/packages/heatherarch-forward/state/store_outage_detector.ts
@@ -8,24 +8,24 @@
  */
 
 /** Guards of the judgement; the proofs switch them off one at a time. */
-export const STORE_WATCH_GUARDS = [
+export const STORE_OUTAGE_GUARDS = [
   "ownReadingFailed",
   "outageMakesLapse",
   "peersReadings",
 ] as const;
 /** Name of a guard. */
-export type StoreWatchGuard = typeof STORE_WATCH_GUARDS[number];
+export type StoreOutageGuard = typeof STORE_OUTAGE_GUARDS[number];
 
-/** Options of {@linkcode StoreWatch}. */
-export interface StoreWatchOptions {
+/** Options of {@linkcode StoreOutageDetector}. */
+export interface StoreOutageDetectorOptions {
   /** Time between the writes with which a live target keeps its entry, milliseconds. */
   readonly targetHeartbeatMs?: number;
   /**
    * How long an entry that went missing during an outage of the store is still used after the
    * store is back, milliseconds. A live target is listed again within two seconds of it.
    */
-  readonly returnGraceMs?: number;
-  readonly disabledGuards?: ReadonlySet<StoreWatchGuard>;
+  readonly recoveryGraceMs?: number;
+  readonly disabledGuards?: ReadonlySet<StoreOutageGuard>;
 }
 
 /** As the platform's targets write where it does not say otherwise. */
@@ -57,10 +57,10 @@
  * have lapsed. Without both, VMs called targets up to 3.3 s after these had left, where 3 s are
  * allowed (80 VMs, a release of engines while the store refused two hubs).
  */
-export class StoreWatch {
+export class StoreOutageDetector {
   readonly #heartbeatMs: number;
   readonly #returnGraceMs: number;
-  readonly #disabledGuards: ReadonlySet<StoreWatchGuard>;
+  readonly #disabledGuards: ReadonlySet<StoreOutageGuard>;
   #isFailing = false;
   /** Outages of the last heartbeats. */
   #gaps: Gap[] = [];
@@ -69,22 +69,22 @@
   #ownReadAtMs = -Infinity;
   #graceUntilMs = -Infinity;
 
-  constructor(options: StoreWatchOptions = {}) {
+  constructor(options: StoreOutageDetectorOptions = {}) {
     this.#heartbeatMs = options.targetHeartbeatMs ??
       DEFAULT_TARGET_HEARTBEAT_MS;
-    this.#returnGraceMs = options.returnGraceMs ?? DEFAULT_RETURN_GRACE_MS;
+    this.#returnGraceMs = options.recoveryGraceMs ?? DEFAULT_RETURN_GRACE_MS;
     this.#disabledGuards = options.disabledGuards ?? new Set();
   }
 
   /** This VM's own reading failed. Returns whether the one before had not. */
-  noteFailure(): boolean {
+  recordOwnFailure(): boolean {
     const isNews = !this.#isFailing;
     this.#isFailing = true;
     return isNews;
   }
 
   /** This VM has read the list without fault at `atMs`, or is told it as it was then. */
-  noteOwnRead(atMs: number): void {
+  recordOwnRead(atMs: number): void {
     const isNewest = atMs >= this.#readAtMs;
     this.#noteAnyRead(atMs);
     if (!isNewest) return;
@@ -93,7 +93,7 @@
   }
 
   /** A peer has read the list without fault at `atMs` of this VM's clock. */
-  notePeerRead(atMs: number): void {
+  recordPeerRead(atMs: number): void {
     if (!this.#isOff("peersReadings")) this.#noteAnyRead(atMs);
   }
 
@@ -129,13 +129,13 @@
   }
 
   /** Whether an entry that is missing at `nowMs` may belong to a live target. */
-  isGrace(nowMs: number): boolean {
+  isInGracePeriod(nowMs: number): boolean {
     if (nowMs < this.#graceUntilMs) return true;
     // This VM has not seen since whether they are back: it changes nothing until it reads.
     return this.#isFailing && this.#ownReadAtMs < this.#graceUntilMs;
   }
 
-  #isOff(guard: StoreWatchGuard): boolean {
+  #isOff(guard: StoreOutageGuard): boolean {
     return this.#disabledGuards.has(guard);
   }
 }
--- a/packages/heatherarch-forward/beliefs/target_rests.ts
+++ b/packages/heatherarch-forward/state/target_backoffs.ts
@@ -9,19 +9,19 @@
 const MAX_REST_MS = 300_000;
 
 /** Rests by target. */
-export class TargetRests {
+export class TargetBackoffs {
   readonly #untilMs = new Map<string, number>();
 
   /** A target asked for rest; returns whether it was not resting yet. */
-  note(target: string, restMs: number, nowMs: number): boolean {
-    const wasResting = this.isResting(target, nowMs);
+  recordBackoff(target: string, restMs: number, nowMs: number): boolean {
+    const wasResting = this.isInBackoff(target, nowMs);
     const untilMs = nowMs + Math.min(restMs, MAX_REST_MS);
     const before = this.#untilMs.get(target) ?? -Infinity;
     this.#untilMs.set(target, Math.max(before, untilMs));
     return !wasResting;
   }
 
-  isResting(target: string, nowMs: number): boolean {
+  isInBackoff(target: string, nowMs: number): boolean {
     return nowMs < this.getEndMs(target);
   }
 
--- a/packages/heatherarch-forward/beliefs/target_directory.ts
+++ b/packages/heatherarch-forward/state/target_directory.ts
@@ -6,14 +6,17 @@
  */
 import type { Target } from "../model.ts";
 import type { KeyedEntry } from "../ports.ts";
-import { StoreWatch, type StoreWatchOptions } from "./store_watch.ts";
+import {
+  StoreOutageDetector,
+  type StoreOutageDetectorOptions,
+} from "./store_outage_detector.ts";
 
 /** Options of {@linkcode TargetDirectory}. */
-export interface TargetDirectoryOptions extends StoreWatchOptions {
+export interface TargetDirectoryOptions extends StoreOutageDetectorOptions {
   /** Whether word of an earlier life counts; only for proofs, which must notice it. */
-  readonly takesEarlierLives?: boolean;
+  readonly acceptsEarlierIncarnations?: boolean;
   /** Whether word counts that is older than what is known; only for proofs as well. */
-  readonly takesOlderWord?: boolean;
+  readonly acceptsOlderUpdates?: boolean;
 }
 
 /** What changed in a directory since some point. */
@@ -46,7 +49,7 @@
 
 /** Targets by the id of their life. */
 export class TargetDirectory {
-  readonly #storeWatch: StoreWatch;
+  readonly #storeWatch: StoreOutageDetector;
   readonly #takesEarlierLives: boolean;
   readonly #takesOlderWord: boolean;
   readonly #targets = new Map<string, Target>();
@@ -70,24 +73,24 @@
   #byService = new Map<string, readonly Target[]>();
 
   constructor(options: TargetDirectoryOptions = {}) {
-    this.#storeWatch = new StoreWatch(options);
-    this.#takesEarlierLives = options.takesEarlierLives ?? false;
-    this.#takesOlderWord = options.takesOlderWord ?? false;
+    this.#storeWatch = new StoreOutageDetector(options);
+    this.#takesEarlierLives = options.acceptsEarlierIncarnations ?? false;
+    this.#takesOlderWord = options.acceptsOlderUpdates ?? false;
   }
 
   /** Latest monotonic time for which all that is known holds; -Infinity before the first list. */
-  get holdsAtMs(): number {
+  get validAtMs(): number {
     return this.#holdsAtMs;
   }
 
   /** This VM's own reading failed: the store may be away. Returns whether that is news. */
-  noteOutage(): boolean {
-    return this.#storeWatch.noteFailure();
+  recordReadFailure(): boolean {
+    return this.#storeWatch.recordOwnFailure();
   }
 
   /** A peer has read the list from the store at `atMs` of this VM's clock. */
-  notePeerRead(atMs: number): void {
-    this.#storeWatch.notePeerRead(atMs);
+  recordPeerRead(atMs: number): void {
+    this.#storeWatch.recordPeerRead(atMs);
   }
 
   /** Replaces the whole list by one just loaded, which was asked for at `askedAtMs`. */
@@ -173,8 +176,10 @@
   }
 
   /** Drops missing entries whose grace has ended; returns their ids. */
-  expire(nowMs: number): string[] {
-    if (this.#missing.size === 0 || this.#storeWatch.isGrace(nowMs)) return [];
+  dropExpired(nowMs: number): string[] {
+    if (this.#missing.size === 0 || this.#storeWatch.isInGracePeriod(nowMs)) {
+      return [];
+    }
     const gone = this.listMissing();
     for (const id of gone) this.#drop(id);
     this.#index();
@@ -208,13 +213,13 @@
   }
 
   /** Lives that have said that they leave, from `cursor` on, and the cursor behind them. */
-  listSaidLeaving(
+  listAnnouncedLeaving(
     cursor = 0,
-  ): { readonly lives: string[]; readonly cursor: number } {
+  ): { readonly targetIds: string[]; readonly cursor: number } {
     const end = this.#saidForgotten + this.#saidLeaving.size;
-    if (cursor >= end) return { lives: [], cursor: end };
+    if (cursor >= end) return { targetIds: [], cursor: end };
     const from = Math.max(0, cursor - this.#saidForgotten);
-    return { lives: [...this.#saidLeaving].slice(from), cursor: end };
+    return { targetIds: [...this.#saidLeaving].slice(from), cursor: end };
   }
 
   /** Whether a target leaves, by its own word or the list's. */
@@ -234,27 +239,27 @@
    * An engine was ordered to change its role: it takes no work for a while. A mark of a change
    * that the list has just shown comes late and changes nothing.
    */
-  markChanging(id: string, untilMs: number, nowMs: number): void {
+  markChangingRole(id: string, untilMs: number, nowMs: number): void {
     const shownAtMs = this.#roleShownAtMs.get(id) ?? -Infinity;
     if (nowMs - shownAtMs < LATE_MARK_MS) return;
-    const sinceMs = this.findChangingSince(id, nowMs) ?? nowMs;
+    const sinceMs = this.findRoleChangeStartMs(id, nowMs) ?? nowMs;
     this.#changing.set(id, { sinceMs, untilMs });
   }
 
   /** Monotonic time at which an engine that is changing its role was first known to do so. */
-  findChangingSince(id: string, nowMs: number): number | undefined {
-    return this.isChanging(id, nowMs)
+  findRoleChangeStartMs(id: string, nowMs: number): number | undefined {
+    return this.isChangingRole(id, nowMs)
       ? this.#changing.get(id)?.sinceMs
       : undefined;
   }
 
   /** Engines that are changing their role. */
-  listChanging(nowMs: number): string[] {
+  listChangingRole(nowMs: number): string[] {
     return [...this.#changing.keys()]
-      .filter((id) => this.isChanging(id, nowMs));
+      .filter((id) => this.isChangingRole(id, nowMs));
   }
 
-  isChanging(id: string, nowMs: number): boolean {
+  isChangingRole(id: string, nowMs: number): boolean {
     const change = this.#changing.get(id);
     if (change === undefined) return false;
     if (nowMs < change.untilMs) return true;
@@ -290,7 +295,7 @@
   }
 
   #noteOwnRead(nowMs: number, askedAtMs: number): void {
-    this.#storeWatch.noteOwnRead(nowMs);
+    this.#storeWatch.recordOwnRead(nowMs);
     this.#holdsAtMs = Math.max(this.#holdsAtMs, askedAtMs);
   }
 
@@ -339,7 +344,7 @@
   #remove(id: string, nowMs: number): boolean {
     const target = this.#targets.get(id);
     if (target === undefined) return false;
-    if (!target.leaving && this.#storeWatch.isGrace(nowMs)) {
+    if (!target.leaving && this.#storeWatch.isInGracePeriod(nowMs)) {
       this.#missing.add(id);
       return false;
     }
--- a/packages/heatherarch-forward/beliefs/target_health.ts
+++ b/packages/heatherarch-forward/state/target_health.ts
@@ -41,7 +41,7 @@
   readonly #beliefs = new Map<string, Belief>();
 
   /** Takes in the end of a try; returns true where the target is avoided from now on. */
-  noteOutcome(target: string, outcome: TryOutcome, nowMs: number): boolean {
+  recordOutcome(target: string, outcome: TryOutcome, nowMs: number): boolean {
     const belief = this.#open(target);
     const wasAvoided = belief.avoidUntilMs > nowMs;
     belief.samples++;
@@ -58,7 +58,7 @@
   }
 
   /** The target is avoided until then, whatever it answered before. */
-  rest(target: string, untilMs: number): void {
+  avoidUntil(target: string, untilMs: number): void {
     const belief = this.#open(target);
     belief.avoidUntilMs = Math.max(belief.avoidUntilMs, untilMs);
   }
@@ -74,7 +74,7 @@
   }
 
   /** Monotonic time of a target's last answer; -Infinity where there was none. */
-  getHeardAtMs(target: string): number {
+  getLastAnswerAtMs(target: string): number {
     return this.#beliefs.get(target)?.heardAtMs ?? -Infinity;
   }
 
--- a/packages/heatherarch-forward/beliefs/work_ledger.ts
+++ b/packages/heatherarch-forward/state/work_tracker.ts
@@ -11,14 +11,14 @@
  */
 
 /** Lanes of prompts; lower ones are given to engines first. The last one is for late calls. */
-export const LANES = 4;
-const LATE = LANES - 1;
+export const LANE_COUNT = 4;
+const LATE = LANE_COUNT - 1;
 
 /** Work of one VM at one target, as told to peers: id, runs, KV tokens, milliseconds by lane. */
 export type WorkRow = readonly [string, number, number, ...number[]];
 
 /** Runs in progress at one target. */
-export interface RunWork {
+export interface RunLoad {
   readonly runs: number;
   /** KV tokens that those runs hold. */
   readonly kvTokens: number;
@@ -33,7 +33,7 @@
 }
 
 /** A prompt that is given to a target. */
-export interface ReadWork {
+export interface PrefillWork {
   /** Time for which it occupies the target, milliseconds. */
   readonly costMs: number;
   readonly lane: number;
@@ -73,7 +73,7 @@
 const MAX_OVERDUE_MS = 400;
 
 /** The ledger of one VM. */
-export class WorkLedger {
+export class WorkTracker {
   readonly #own = new Map<string, OwnWork>();
   readonly #peers = new Map<string, PeerWork>();
   /** Rows by target and peer: a hub has some 40 peers, of which few work at one target. */
@@ -87,7 +87,7 @@
   }
 
   /** Registers a listener for changes of this VM's own work and returns its undo. */
-  registerOwnListener(listener: () => void): () => void {
+  registerOwnWorkListener(listener: () => void): () => void {
     this.#listeners.add(listener);
     return () => {
       this.#listeners.delete(listener);
@@ -95,9 +95,9 @@
   }
 
   /** A prompt was given to a target; returns what ends the entry. */
-  beginRead(target: string, read: ReadWork, nowMs: number): () => void {
+  beginPrefill(target: string, read: PrefillWork, nowMs: number): () => void {
     const { costMs, lane, latencyMs = 0 } = read;
-    const finishAtMs = nowMs + this.getReadMs(target, nowMs) + costMs;
+    const finishAtMs = nowMs + this.getPrefillBacklogMs(target, nowMs) + costMs;
     const answerAtMs = finishAtMs + latencyMs;
     const work = this.#open(target);
     const entry = { lane, costMs, finishAtMs, answerAtMs };
@@ -128,7 +128,7 @@
   }
 
   /** Takes in all that a peer has in progress, or has gathered. */
-  notePeer(
+  setPeerWork(
     peer: string,
     rows: readonly WorkRow[],
     nowMs: number,
@@ -147,7 +147,7 @@
   }
 
   /** Time until a target has read all that it was given, milliseconds. */
-  getReadMs(target: string, nowMs: number): number {
+  getPrefillBacklogMs(target: string, nowMs: number): number {
     let leftMs = 0;
     for (const entry of this.#own.get(target)?.reads ?? []) {
       leftMs += computeLeft(entry, nowMs);
@@ -159,7 +159,7 @@
   }
 
   /** Whether a target reads the prompt of a late call. */
-  isReadingLate(target: string, nowMs: number): boolean {
+  hasLatePrefill(target: string, nowMs: number): boolean {
     const own = this.#own.get(target)?.reads ?? [];
     if ([...own].some(({ lane }) => lane === LATE)) return true;
     return this.#listPeerRows(target, nowMs)
@@ -167,7 +167,7 @@
   }
 
   /** Runs in progress at a target, over all VMs. */
-  getRuns(target: string, nowMs: number): RunWork {
+  getRunLoad(target: string, nowMs: number): RunLoad {
     const own = this.#own.get(target);
     let runs = own?.runs ?? 0;
     let kvTokens = own?.kvTokens ?? 0;
@@ -182,7 +182,7 @@
   listOwnRows(nowMs: number): WorkRow[] {
     const rows: WorkRow[] = [];
     for (const [target, work] of this.#own) {
-      const lanes = new Array<number>(LANES).fill(0);
+      const lanes = new Array<number>(LANE_COUNT).fill(0);
       for (const entry of work.reads) {
         lanes[entry.lane] += computeLeft(entry, nowMs);
       }
--- a/packages/heatherarch-forward/tasks/cache_survey.ts
+++ b/packages/heatherarch-forward/tasks/cache_survey.ts
@@ -12,14 +12,14 @@
 import { askEngine, type InquiryMeans } from "./engine_inquiry.ts";
 import type { Target } from "../model.ts";
 import type { CallCodec } from "../ports.ts";
-import type { PromptIndex } from "../beliefs/prompt_index.ts";
+import type { PrefixIndex } from "../state/prefix_index.ts";
 
 /** Options of {@linkcode CacheSurvey}. */
 export interface CacheSurveyOptions extends InquiryMeans {
   readonly vmId: string;
   readonly clock: Clock;
   readonly codec: CallCodec;
-  readonly prompts: PromptIndex;
+  readonly prompts: PrefixIndex;
   readonly listReaders: () => readonly Target[];
   /** Ids of the live VMs that take part in surveys, this one included. */
   readonly listLiveVms: () => readonly string[];
@@ -64,10 +64,10 @@
     const answer = await askEngine(this.#options, engine, request);
     if (answer?.status !== HTTP_OK) return;
     const ids = codec.decodeCacheList(answer.body);
-    prompts.noteSurveyed(engine.id);
+    prompts.markSurveyed(engine.id);
     const nowMs = clock.readMonotonicMs();
     for (const id of ids ?? []) {
-      prompts.noteHolder(id, engine.id, "read", nowMs);
+      prompts.recordHolder(id, engine.id, "read", nowMs);
     }
     events.write("info", "cacheSurveyed", {
       target: engine.id,
--- a/packages/heatherarch-forward/tasks/role_keeper.ts
+++ b/packages/heatherarch-forward/tasks/role_keeper.ts
@@ -19,7 +19,7 @@
   LeaseMachine,
 } from "heatherarch-lease";
 import { judgeSlice, type LogPort } from "heatherarch-log";
-import type { ConfigView } from "../beliefs/config_view.ts";
+import type { ActiveConfig } from "../state/active_config.ts";
 import { askEngine } from "./engine_inquiry.ts";
 import type { EventLog } from "../event_log.ts";
 import type { ForwardMetrics } from "../metrics.ts";
@@ -27,8 +27,8 @@
 import type { CallCodec, RoleOrder } from "../ports.ts";
 import { planRoles, type RoleChange } from "../decisions/role_plan.ts";
 import type { TargetConnections } from "../life/target_connections.ts";
-import type { TargetDirectory } from "../beliefs/target_directory.ts";
-import type { TargetHealth } from "../beliefs/target_health.ts";
+import type { TargetDirectory } from "../state/target_directory.ts";
+import type { TargetHealth } from "../state/target_health.ts";
 
 /** Options of {@linkcode RoleKeeper}. */
 export interface RoleKeeperOptions {
@@ -37,7 +37,7 @@
   readonly log: LogPort;
   readonly leaseMs: number;
   readonly clock: Clock;
-  readonly configs: ConfigView;
+  readonly configs: ActiveConfig;
   readonly directory: TargetDirectory;
   readonly connections: TargetConnections;
   readonly health: TargetHealth;
@@ -193,7 +193,9 @@
 
   /** An engine that another VM has ordered to change counts in its new role. */
   #applyChanging(target: Target, nowMs: number): Target {
-    if (!this.#options.directory.isChanging(target.id, nowMs)) return target;
+    if (!this.#options.directory.isChangingRole(target.id, nowMs)) {
+      return target;
+    }
     return {
       ...target,
       role: target.role === "prefill" ? "decode" : "prefill",
--- a/packages/heatherarch-forward/tasks/store_reading.ts
+++ b/packages/heatherarch-forward/tasks/store_reading.ts
@@ -6,18 +6,18 @@
  */
 import type { Clock } from "heatherarch-core";
 import type { ConfigReads } from "../decisions/config_reads.ts";
-import type { ConfigView } from "../beliefs/config_view.ts";
+import type { ActiveConfig } from "../state/active_config.ts";
 import type { EngineSpread } from "../decisions/engine_spread.ts";
 import type { EventLog } from "../event_log.ts";
 import type { ForwardMetrics } from "../metrics.ts";
 import type { RoutingConfig, Target } from "../model.ts";
 import type { KeyedEntry, KeyedTopicPort } from "../ports.ts";
-import type { PromptIndex } from "../beliefs/prompt_index.ts";
-import type { ReadModel } from "../beliefs/read_model.ts";
+import type { PrefixIndex } from "../state/prefix_index.ts";
+import type { PrefillTimeModel } from "../state/prefill_time_model.ts";
 import type { TargetConnections } from "../life/target_connections.ts";
-import type { TargetDirectory } from "../beliefs/target_directory.ts";
-import type { TargetHealth } from "../beliefs/target_health.ts";
-import type { TargetRests } from "../beliefs/target_rests.ts";
+import type { TargetDirectory } from "../state/target_directory.ts";
+import type { TargetHealth } from "../state/target_health.ts";
+import type { TargetBackoffs } from "../state/target_backoffs.ts";
 import type { LossInquiry } from "heatherarch-quarantine";
 import { TopicFollower } from "./topic_follower.ts";
 
@@ -35,14 +35,14 @@
   readonly clock: Clock;
   readonly log: EventLog;
   readonly metrics: ForwardMetrics;
-  readonly configs: ConfigView;
+  readonly configs: ActiveConfig;
   readonly directory: TargetDirectory;
   readonly connections: TargetConnections;
   readonly losses: LossInquiry;
-  readonly prompts: PromptIndex;
+  readonly prompts: PrefixIndex;
   readonly health: TargetHealth;
-  readonly rests: TargetRests;
-  readonly readModel: ReadModel;
+  readonly rests: TargetBackoffs;
+  readonly readModel: PrefillTimeModel;
   readonly spread: EngineSpread;
 }
 
@@ -154,7 +154,7 @@
   /** A reading that timed out while the process stood still says nothing of the store. */
   #noteFailure(askedAtMs: number): void {
     const { directory, log, hasStoodStillSince } = this.#options;
-    if (hasStoodStillSince(askedAtMs) || !directory.noteOutage()) return;
+    if (hasStoodStillSince(askedAtMs) || !directory.recordReadFailure()) return;
     log.write("warn", "listNotRead", {
       ageMs: Math.round(this.getKnownAgeMs()),
     });
@@ -203,7 +203,7 @@
     for (const { value } of entries) {
       if (value !== undefined) configs.applyConfig(value, "store");
     }
-    configs.noteChecked(askedAtMs);
+    configs.recordStoreRead(askedAtMs);
   }
 
   /** Drops what was learned of targets that are gone, with a line for each. */
--- a/packages/heatherarch-forward/tests/unit/cache_survey_test.ts
+++ b/packages/heatherarch-forward/tests/unit/cache_survey_test.ts
@@ -6,7 +6,7 @@
   CacheSurvey,
   type CallCodec,
   MemoryEventLog,
-  PromptIndex,
+  PrefixIndex,
   TargetConnections,
 } from "../../mod.ts";
 import { buildEngine } from "./fixtures.ts";
@@ -33,7 +33,7 @@
   return { address: `127.0.0.1:${port}`, countAsked: () => asked };
 }
 
-function buildSurvey(address: string, prompts: PromptIndex): CacheSurvey {
+function buildSurvey(address: string, prompts: PrefixIndex): CacheSurvey {
   connections = new TargetConnections();
   const codec = {
     encodeCacheList: () => ({
@@ -58,8 +58,8 @@
 
 test("an engine is surveyed although calls have already named it", async () => {
   const engine = await startEngine(["k1", "k2"]);
-  const prompts = new PromptIndex();
-  prompts.noteHolder("k9", "e1", "reading", performance.now());
+  const prompts = new PrefixIndex();
+  prompts.recordHolder("k9", "e1", "reading", performance.now());
   await buildSurvey(engine.address, prompts).run();
   assert.equal(engine.countAsked(), 1);
   for (const key of ["k1", "k2"]) {
@@ -71,27 +71,27 @@
 
 test("an engine that another VM has surveyed is not asked again", async () => {
   const engine = await startEngine(["k1"]);
-  const other = new PromptIndex();
-  other.noteSurveyed("e1");
-  const prompts = new PromptIndex();
-  prompts.notePeer(other.listNotes(0).notes, performance.now());
+  const other = new PrefixIndex();
+  other.markSurveyed("e1");
+  const prompts = new PrefixIndex();
+  prompts.applyPeerUpdates(other.listUpdates(0).updates, performance.now());
   await buildSurvey(engine.address, prompts).run();
   assert.equal(engine.countAsked(), 0);
 });
 
 test("a VM that takes no part asks no engine", async () => {
   const engine = await startEngine(["k1"]);
-  const prompts = new PromptIndex();
+  const prompts = new PrefixIndex();
   await buildSurvey(engine.address, prompts).run(() => false);
   assert.equal(engine.countAsked(), 0);
 });
 
 test("what was surveyed is told even when many notes came since", () => {
-  const prompts = new PromptIndex({ maxKeys: 10 });
-  prompts.noteSurveyed("e1");
-  for (let i = 0; i < 50; i++) prompts.noteHolder(`k${i}`, "e2", "read", i);
-  const peer = new PromptIndex();
-  peer.notePeer(prompts.listNotes(0).notes, 100);
+  const prompts = new PrefixIndex({ maxKeys: 10 });
+  prompts.markSurveyed("e1");
+  for (let i = 0; i < 50; i++) prompts.recordHolder(`k${i}`, "e2", "read", i);
+  const peer = new PrefixIndex();
+  peer.applyPeerUpdates(prompts.listUpdates(0).updates, 100);
   assert.equal(peer.isSurveyed("e1"), true);
   prompts.forgetTarget("e1");
   assert.equal(prompts.isSurveyed("e1"), false);
--- a/packages/heatherarch-forward/tests/unit/config_exchange_test.ts
+++ b/packages/heatherarch-forward/tests/unit/config_exchange_test.ts
@@ -1,8 +1,8 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import {
+  ActiveConfig,
   ConfigExchange,
-  ConfigView,
   MemoryEventLog,
   planConfigReads,
 } from "../../mod.ts";
@@ -28,8 +28,8 @@
 function createExchange(
   answers: Readonly<Record<string, PeerAnswer>>,
   hasToRead = false,
-): { exchange: ConfigExchange; configs: ConfigView; asked: Asked[] } {
-  const configs = new ConfigView();
+): { exchange: ConfigExchange; configs: ActiveConfig; asked: Asked[] } {
+  const configs = new ActiveConfig();
   const asked: Asked[] = [];
   const call = async (
     peer: string,
--- a/packages/heatherarch-forward/tests/unit/engine_spread_test.ts
+++ b/packages/heatherarch-forward/tests/unit/engine_spread_test.ts
@@ -1,7 +1,7 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { Random } from "heatherarch-core";
-import { EngineSpread, PromptPlacer, ReadModel } from "../../mod.ts";
+import { EngineSpread, PrefillTimeModel, PromptPlacer } from "../../mod.ts";
 import { buildEngine, buildPrompt, TRAITS } from "./fixtures.ts";
 
 const ENGINES = Array.from({ length: 40 }, (_, i) => buildEngine(`e${i}`));
@@ -15,20 +15,21 @@
       drawUnit: () => random.drawUnit(),
       mostMs,
     });
-    const placement = new PromptPlacer({ model: new ReadModel() }).pickReader(
-      buildPrompt("k", shared, 1110),
-      {
-        candidates: ENGINES.map((target, n) => ({
-          target,
-          backlogMs: n < 20 ? n / 10 : 100,
-        })),
-        readers: ENGINES,
-        holders: [],
-        sources: [],
-        traits: TRAITS,
-        drawSpreadMs: (target) => spread.drawMs(target),
-      },
-    );
+    const placement = new PromptPlacer({ model: new PrefillTimeModel() })
+      .pickReader(
+        buildPrompt("k", shared, 1110),
+        {
+          candidates: ENGINES.map((target, n) => ({
+            target,
+            backlogMs: n < 20 ? n / 10 : 100,
+          })),
+          readers: ENGINES,
+          holders: [],
+          sources: [],
+          traits: TRAITS,
+          drawSpreadMs: (target) => spread.drawMs(target),
+        },
+      );
     return placement?.target.id ?? "";
   });
 }
--- a/packages/heatherarch-forward/tests/unit/feed_source_test.ts
+++ b/packages/heatherarch-forward/tests/unit/feed_source_test.ts
@@ -12,7 +12,7 @@
   const directory = new TargetDirectory();
   const source = new FeedSource({ id: "hub", sinceMs: 0 });
   const hear = (feed: TargetFeed, nowMs: number): void => {
-    const news = source.take(feed, nowMs, directory.holdsAtMs);
+    const news = source.take(feed, nowMs, directory.validAtMs);
     if (news === undefined) return;
     directory.applyFeed(news.entries, news.isFull, news.atMs);
   };
@@ -30,7 +30,7 @@
   assert.equal(source.wants, "all");
   const nothing = { isFull: false, entries: [], cursor: 1 };
   hear(encodeFeed(0, nothing), 1400);
-  assert.equal(directory.holdsAtMs, 1000, "does not count before the list");
+  assert.equal(directory.validAtMs, 1000, "does not count before the list");
   hear(encodeFeed(100, { isFull: true, entries: [], cursor: 1 }), 1500);
   assert.equal(source.wants, "changes");
   assert.equal(directory.findTarget("a"), undefined);
--- a/packages/heatherarch-forward/tests/unit/hub_exchange_test.ts
+++ b/packages/heatherarch-forward/tests/unit/hub_exchange_test.ts
@@ -11,9 +11,9 @@
 import {
   HubExchange,
   type HubParts,
-  PromptIndex,
+  PrefixIndex,
   TargetDirectory,
-  WorkLedger,
+  WorkTracker,
 } from "../../mod.ts";
 import { buildEngine, buildTarget } from "./fixtures.ts";
 
@@ -27,8 +27,8 @@
 interface TestVm {
   readonly identity: LinkIdentity;
   readonly membership: Membership;
-  readonly ledger: WorkLedger;
-  readonly prompts: PromptIndex;
+  readonly ledger: WorkTracker;
+  readonly prompts: PrefixIndex;
   readonly directory: TargetDirectory;
   readonly exchange: HubExchange;
   /** Marks engines that are changing, as a VM does on hearing of them. */
@@ -126,8 +126,8 @@
     });
     membership.noteListed(all);
     const parts = {
-      ledger: new WorkLedger(),
-      prompts: new PromptIndex(),
+      ledger: new WorkTracker(),
+      prompts: new PrefixIndex(),
       directory: new TargetDirectory(),
     };
     const vm: TestVm = {
@@ -137,7 +137,7 @@
       mark: (engines) => {
         for (const id of engines) {
           const untilMs = this.nowMs + CHANGING_MS;
-          parts.directory.markChanging(id, untilMs, this.nowMs);
+          parts.directory.markChangingRole(id, untilMs, this.nowMs);
         }
       },
       listAgeMs: 0,
@@ -180,7 +180,7 @@
   fleet.run(6);
   for (const { identity, ledger } of fleet.vms.values()) {
     assert.deepEqual(
-      ledger.getRuns("e1", fleet.nowMs),
+      ledger.getRunLoad("e1", fleet.nowMs),
       { runs: 18, kvTokens: 1800 },
       identity.id,
     );
@@ -192,11 +192,11 @@
   fleet.run(WARM_UP_ROUNDS);
   const end = fleet.get("a-5").ledger.beginRun("e1", 100);
   fleet.run(6);
-  assert.equal(fleet.get("b-5").ledger.getRuns("e1", fleet.nowMs).runs, 1);
+  assert.equal(fleet.get("b-5").ledger.getRunLoad("e1", fleet.nowMs).runs, 1);
   end();
   fleet.run(6);
   for (const { ledger } of fleet.vms.values()) {
-    assert.equal(ledger.getRuns("e1", fleet.nowMs).runs, 0);
+    assert.equal(ledger.getRunLoad("e1", fleet.nowMs).runs, 0);
   }
 });
 
@@ -211,7 +211,7 @@
 test("a note of a prompt reaches every VM once it was made by one", () => {
   const fleet = new TestFleet(["a", "b", "c"], 6);
   fleet.run(WARM_UP_ROUNDS);
-  fleet.get("a-5").prompts.noteHolder("k1", "e1", "read", fleet.nowMs);
+  fleet.get("a-5").prompts.recordHolder("k1", "e1", "read", fleet.nowMs);
   fleet.run(4);
   for (const { prompts, identity } of fleet.vms.values()) {
     const [holder] = prompts.listHolders("k1");
@@ -339,7 +339,7 @@
   fleet.run(40);
   for (const { identity, ledger, exchange } of fleet.vms.values()) {
     if (identity.id === "a-0" || identity.id === "a-1") continue;
-    const { runs } = ledger.getRuns("e1", fleet.nowMs);
+    const { runs } = ledger.getRunLoad("e1", fleet.nowMs);
     assert.equal(runs, 14, identity.id);
     const isHub = fleet.get(identity.id).membership.isHub;
     assert.equal(isHub || exchange.isFed(fleet.nowMs), true, identity.id);
@@ -352,7 +352,7 @@
   const hub = fleet.get("a-0");
   const countMarked = (): number =>
     [...fleet.vms.values()].filter((vm) =>
-      vm.directory.isChanging("e1", fleet.nowMs)
+      vm.directory.isChangingRole("e1", fleet.nowMs)
     ).length;
   hub.ordered = ["e1"];
   hub.mark(hub.ordered);
--- a/packages/heatherarch-forward/tests/unit/lives_world.ts
+++ b/packages/heatherarch-forward/tests/unit/lives_world.ts
@@ -21,21 +21,21 @@
   ListGuard,
   MemoryEventLog,
   PlainLife,
-  PromptIndex,
+  PrefillTimeModel,
+  PrefixIndex,
   PromptPlacer,
   ReaderBoard,
-  ReadModel,
   ReadQueue,
-  RetryAllowance,
+  RetryBudget,
   type Serving,
   type Target,
+  TargetBackoffs,
   TargetConnections,
   TargetDirectory,
   TargetExchange,
   TargetHealth,
-  TargetRests,
   type TryOptions,
-  WorkLedger,
+  WorkTracker,
 } from "../../mod.ts";
 import { buildPrompt, buildRoute, buildTarget, TRAITS } from "./fixtures.ts";
 
@@ -160,7 +160,7 @@
   }
 
   #buildServing(clock: RuntimeClock): Serving {
-    const readModel = new ReadModel();
+    const readModel = new PrefillTimeModel();
     const connections = new TargetConnections();
     connections.open = (target, request) => this.#open(target, request);
     const log = new MemoryEventLog();
@@ -171,8 +171,8 @@
       codec: buildCodec(),
       directory: this.#directory,
       health: new TargetHealth(),
-      rests: new TargetRests(),
-      ledger: new WorkLedger(),
+      rests: new TargetBackoffs(),
+      ledger: new WorkTracker(),
       connections,
       listGuard: buildIdleGuard(clock),
       quarantine,
@@ -180,14 +180,14 @@
         { quarantine, directory: this.#directory, clock, log, metrics },
         { probe: () => Promise.resolve("accepted") },
       ),
-      allowance: new RetryAllowance({
+      allowance: new RetryBudget({
         fixedPerWindow: 1000,
         share: 1,
         windowMs: 10_000,
       }),
       placer: new PromptPlacer({ model: readModel }),
       spread: new EngineSpread({ vmId: "vm", drawUnit: () => 0 }),
-      prompts: new PromptIndex(),
+      prompts: new PrefixIndex(),
       retention: new CacheRetention(),
       countVms: () => 1,
       readModel,
--- a/packages/heatherarch-forward/tests/unit/prompt_placement_test.ts
+++ b/packages/heatherarch-forward/tests/unit/prompt_placement_test.ts
@@ -3,9 +3,9 @@
 import {
   CacheRetention,
   type PlacementView,
-  PromptIndex,
+  PrefillTimeModel,
+  PrefixIndex,
   PromptPlacer,
-  ReadModel,
   type Target,
 } from "../../mod.ts";
 import { buildEngine, buildPrompt, TRAITS } from "./fixtures.ts";
@@ -13,7 +13,7 @@
 const ENGINES = ["a", "b", "c", "d"].map((id) => buildEngine(id));
 
 function createPlacer(): PromptPlacer {
-  return new PromptPlacer({ model: new ReadModel() });
+  return new PromptPlacer({ model: new PrefillTimeModel() });
 }
 
 function buildView(
@@ -74,12 +74,12 @@
 });
 
 test("a slow engine is left to others once it is known to be slow", () => {
-  const model = new ReadModel();
+  const model = new PrefillTimeModel();
   for (let i = 0; i < 25; i++) {
     const costMs = model.predictMs("a", 1460, 0);
     model.learn("a", { costMs, backlogMs: 0, tookMs: 120 });
   }
-  assert.ok(model.getFactor("a") > 2);
+  assert.ok(model.getSlowdown("a") > 2);
   const placer = new PromptPlacer({ model });
   const prompt = buildPrompt("k", 350, 1110);
   const view = buildView({ b: 30, c: 30, d: 30 });
@@ -87,25 +87,25 @@
 });
 
 test("readings behind others do not make an engine look slow", () => {
-  const model = new ReadModel();
+  const model = new PrefillTimeModel();
   for (let i = 0; i < 200; i++) {
     const costMs = model.predictMs("a", 1460, 0);
     const backlogMs = i % 3 === 0 ? 0 : 90;
     model.learn("a", { costMs, backlogMs, tookMs: backlogMs + 31 });
   }
-  assert.ok(model.getFactor("a") < 1.6, `${model.getFactor("a")}`);
-  assert.ok(model.getFactor("a") > 0.8, `${model.getFactor("a")}`);
+  assert.ok(model.getSlowdown("a") < 1.6, `${model.getSlowdown("a")}`);
+  assert.ok(model.getSlowdown("a") > 0.8, `${model.getSlowdown("a")}`);
 });
 
 test("the fixed time of an answer is learned apart from the engine's speed", () => {
-  const model = new ReadModel();
+  const model = new PrefillTimeModel();
   // 20 ms of each answer occupy nothing; the engine reads a tenth slower than believed.
   for (let i = 0; i < 800; i++) {
-    const plainMs = model.predictMs("a", 380, 0) / model.getFactor("a");
+    const plainMs = model.predictMs("a", 380, 0) / model.getSlowdown("a");
     const waitMs = (i % 4) * 30;
     const tookMs = (waitMs + plainMs) * 1.1 + 20;
-    const costMs = plainMs * model.getFactor("a");
-    const backlogMs = waitMs * model.getFactor("a");
+    const costMs = plainMs * model.getSlowdown("a");
+    const backlogMs = waitMs * model.getSlowdown("a");
     model.learn("a", { costMs, backlogMs, tookMs });
   }
   assert.ok(Math.abs(model.latencyMs - 20) < 3, `${model.latencyMs} ms`);
@@ -113,8 +113,8 @@
 });
 
 test("waits of short prompts do not make a long one impossible, the engine's own speed does", () => {
-  const model = new ReadModel();
-  const sheetMs = model.predictAloneMs("a", 30_000, 0);
+  const model = new PrefillTimeModel();
+  const sheetMs = model.predictUnloadedMs("a", 30_000, 0);
   for (let i = 0; i < 200; i++) {
     const costMs = model.predictMs("a", 1460, 0);
     model.learn("a", { costMs, backlogMs: 0, tookMs: 110 });
@@ -122,23 +122,23 @@
   assert.ok(model.predictMs("a", 30_000, 0) > sheetMs * 2);
   // A fifth slower than the model's start; a third of them behind work that was not known.
   for (let i = 0; i < 60; i++) {
-    const aloneMs = model.predictAloneMs("a", 17_000, 0);
+    const aloneMs = model.predictUnloadedMs("a", 17_000, 0);
     const readMs = sheetMs / 30_000 * 17_000 * 1.2;
     const tookMs = readMs + model.latencyMs + (i % 3 === 0 ? 300 : 0);
-    model.learnAlone("a", { aloneMs, backlogMs: 0, tookMs });
+    model.learnUnloaded("a", { unloadedMs: aloneMs, backlogMs: 0, tookMs });
   }
-  const aloneMs = model.predictAloneMs("a", 30_000, 0);
+  const aloneMs = model.predictUnloadedMs("a", 30_000, 0);
   assert.ok(aloneMs > sheetMs * 1.1, `${aloneMs} of ${sheetMs} ms`);
   assert.ok(aloneMs < sheetMs * 1.9, `${aloneMs} of ${sheetMs} ms`);
 });
 
 test("an engine that is not known yet is taken to be like the others", () => {
-  const model = new ReadModel();
+  const model = new PrefillTimeModel();
   for (let i = 0; i < 300; i++) {
     const costMs = model.predictMs("a", 1460, 0);
     model.learn("a", { costMs, backlogMs: 0, tookMs: 60 });
   }
-  assert.ok(model.getFactor("b") > 1.4, `${model.getFactor("b")}`);
+  assert.ok(model.getSlowdown("b") > 1.4, `${model.getSlowdown("b")}`);
 });
 
 test("no engine, no placement", () => {
@@ -167,7 +167,7 @@
   assert.equal(estimate(0), 30_000);
   // 9 VMs with 39 new tokens a millisecond each: 35 a millisecond and engine.
   for (let nowMs = 0; nowMs < 20_000; nowMs += 100) {
-    retention.noteRead(3900, nowMs);
+    retention.recordPrefill(3900, nowMs);
   }
   const busyMs = estimate(20_000);
   assert.ok(busyMs > 9000 && busyMs < 13_000, `${busyMs}`);
@@ -175,20 +175,20 @@
 });
 
 test("VMs tell each other where a beginning is read, when it has been, and of later uses", () => {
-  const own = new PromptIndex();
-  own.noteHolder("k1", "a", "reading", 0);
-  own.noteHolder("k1", "a", "reading", 10);
-  own.notePeer([["k2", "b", 1]], 10);
-  const { notes, cursor } = own.listNotes(0);
+  const own = new PrefixIndex();
+  own.recordHolder("k1", "a", "reading", 0);
+  own.recordHolder("k1", "a", "reading", 10);
+  own.applyPeerUpdates([["k2", "b", 1]], 10);
+  const { updates: notes, cursor } = own.listUpdates(0);
   assert.deepEqual(notes, [["k1", "a", 0]]);
-  own.noteHolder("k1", "a", "read", 300);
-  own.noteHolder("k1", "a", "reading", 400);
-  assert.deepEqual(own.listNotes(cursor).notes, [["k1", "a", 1]]);
+  own.recordHolder("k1", "a", "read", 300);
+  own.recordHolder("k1", "a", "reading", 400);
+  assert.deepEqual(own.listUpdates(cursor).updates, [["k1", "a", 1]]);
   assert.deepEqual(own.listHolders("k1"), [
     { target: "a", state: "read", usedAtMs: 300 },
   ]);
-  own.noteHolder("k1", "a", "reading", 1400);
-  assert.equal(own.listNotes(0).notes.length, 3);
+  own.recordHolder("k1", "a", "reading", 1400);
+  assert.equal(own.listUpdates(0).updates.length, 3);
   assert.deepEqual(own.listHolders("k1"), [
     { target: "a", state: "read", usedAtMs: 1400 },
   ]);
@@ -198,9 +198,9 @@
 });
 
 test("the index stays within its size", () => {
-  const index = new PromptIndex({ maxKeys: 3 });
-  for (let i = 0; i < 10; i++) index.noteHolder(`k${i}`, "a", "read", i);
+  const index = new PrefixIndex({ maxKeys: 3 });
+  for (let i = 0; i < 10; i++) index.recordHolder(`k${i}`, "a", "read", i);
   assert.deepEqual(index.listHolders("k0"), []);
   assert.equal(index.listHolders("k9").length, 1);
-  assert.equal(index.listNotes(0).notes.length, 3);
+  assert.equal(index.listUpdates(0).updates.length, 3);
 });
--- a/packages/heatherarch-forward/tests/unit/read_queue_test.ts
+++ b/packages/heatherarch-forward/tests/unit/read_queue_test.ts
@@ -8,7 +8,7 @@
   ReadQueue,
   type ReadRequest,
   type ReadVerdict,
-  WorkLedger,
+  WorkTracker,
 } from "../../mod.ts";
 import { buildEngine } from "./fixtures.ts";
 
@@ -200,14 +200,15 @@
 function countOnTime(jobs: readonly Job[], windowMs: number): number {
   const clock = new ManualClock();
   const queue = new ReadQueue({ clock, windowMs });
-  const ledger = new WorkLedger();
+  const ledger = new WorkTracker();
   let onTime = 0;
   let next = 0;
   let running: { doneAtMs: number; end: () => void }[] = [];
   const begin = (job: Job, { lane }: LanePlacement): void => {
     const nowMs = clock.readMonotonicMs();
-    const doneAtMs = nowMs + ledger.getReadMs("e", nowMs) + job.costMs;
-    const end = ledger.beginRead("e", { costMs: job.costMs, lane }, nowMs);
+    const doneAtMs = nowMs + ledger.getPrefillBacklogMs("e", nowMs) +
+      job.costMs;
+    const end = ledger.beginPrefill("e", { costMs: job.costMs, lane }, nowMs);
     running.push({ doneAtMs, end });
     if (doneAtMs + 50 <= job.arriveMs + 600) onTime++;
   };
@@ -226,9 +227,9 @@
         place: () =>
           buildPlacement(
             job.costMs,
-            ledger.getReadMs("e", clock.readMonotonicMs()),
+            ledger.getPrefillBacklogMs("e", clock.readMonotonicMs()),
           ),
-        mayReadLate: () => !ledger.isReadingLate("e", clock.readMonotonicMs()),
+        mayReadLate: () => !ledger.hasLatePrefill("e", clock.readMonotonicMs()),
         onVerdict: (verdict) => {
           if (verdict.kind === "placed") begin(job, verdict.placed);
         },
--- a/packages/heatherarch-forward/tests/unit/reader_board_test.ts
+++ b/packages/heatherarch-forward/tests/unit/reader_board_test.ts
@@ -5,7 +5,7 @@
   ReaderBoard,
   type Target,
   TargetDirectory,
-  WorkLedger,
+  WorkTracker,
 } from "../../mod.ts";
 import { buildEngine } from "./fixtures.ts";
 
@@ -21,7 +21,7 @@
     ...["a", "b", "c"].map((id) => buildEngine(id)),
     buildEngine("d", { role: "decode" }),
   ]);
-  const ledger = new WorkLedger();
+  const ledger = new WorkTracker();
   const rooms: string[] = [];
   const run = {
     nowMs: 0,
@@ -30,7 +30,7 @@
       directory,
       ledger,
       health: { isAvoided: () => false },
-      rests: { isResting: () => false },
+      rests: { isInBackoff: () => false },
       connections: {
         hasRoom: ({ id }: Target) => {
           rooms.push(id);
@@ -57,9 +57,9 @@
 test("what is given to an engine, told by peers or listed anew shows at once", () => {
   const { look, ledger, list, run, board } = createBoard();
   look();
-  ledger.beginRead("b", { costMs: 40, lane: 0 }, 0);
+  ledger.beginPrefill("b", { costMs: 40, lane: 0 }, 0);
   assert.deepEqual(look(), ["a 0", "b 40", "c 0"]);
-  ledger.notePeer("vm-2", [["c", 0, 0, 30, 0, 0, 0]], 0);
+  ledger.setPeerWork("vm-2", [["c", 0, 0, 30, 0, 0, 0]], 0);
   assert.deepEqual(look(), ["a 0", "b 40", "c 30"]);
   list([buildEngine("b"), buildEngine("c")]);
   assert.deepEqual(look(), ["b 40", "c 30"]);
--- a/packages/heatherarch-forward/tests/unit/retry_allowance_test.ts
+++ b/packages/heatherarch-forward/tests/unit/retry_budget_test.ts
@@ -1,14 +1,14 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { Random } from "heatherarch-core";
-import { RetryAllowance } from "../../mod.ts";
+import { RetryBudget } from "../../mod.ts";
 
 const FLEET = { fixedPerWindow: 58, share: 0.2, windowMs: 10_000 };
 
 /** Tries that VMs which always want one may send in `spanMs`. */
 function countTries(vms: number, callsPerSecond: number): number {
   const allowances = Array.from({ length: vms }, () => {
-    const allowance = new RetryAllowance(FLEET);
+    const allowance = new RetryBudget(FLEET);
     allowance.setLiveVms(vms);
     return allowance;
   });
@@ -17,9 +17,9 @@
   for (let nowMs = 0; nowMs < FLEET.windowMs; nowMs += 10) {
     for (const allowance of allowances) {
       if (random.drawUnit() < callsPerSecond / vms / 100) {
-        allowance.noteCall("s", nowMs);
+        allowance.recordCall("s", nowMs);
       }
-      while (allowance.spendTry("s", nowMs)) spent++;
+      while (allowance.spendRetry("s", nowMs)) spent++;
     }
   }
   return spent;
@@ -39,23 +39,23 @@
 test("a large fleet does not burst past the budget when it starts", () => {
   let spent = 0;
   for (let vm = 0; vm < 80; vm++) {
-    const allowance = new RetryAllowance(FLEET);
+    const allowance = new RetryBudget(FLEET);
     allowance.setLiveVms(80);
-    while (allowance.spendTry("s", 0)) spent++;
+    while (allowance.spendRetry("s", 0)) spent++;
   }
   assert.ok(spent <= FLEET.fixedPerWindow, `${spent}`);
 });
 
 test("an idle service can still retry a little", () => {
-  const allowance = new RetryAllowance(FLEET);
+  const allowance = new RetryBudget(FLEET);
   allowance.setLiveVms(9);
-  assert.equal(allowance.spendTry("s", 0), true);
-  while (allowance.spendTry("s", 0));
-  assert.equal(allowance.spendTry("s", 10_000), true);
+  assert.equal(allowance.spendRetry("s", 0), true);
+  while (allowance.spendRetry("s", 0));
+  assert.equal(allowance.spendRetry("s", 10_000), true);
 });
 
 test("services have budgets of their own", () => {
-  const allowance = new RetryAllowance(FLEET);
-  while (allowance.spendTry("s", 0));
-  assert.equal(allowance.spendTry("t", 0), true);
+  const allowance = new RetryBudget(FLEET);
+  while (allowance.spendRetry("s", 0));
+  assert.equal(allowance.spendRetry("t", 0), true);
 });
--- a/packages/heatherarch-forward/tests/unit/role_keeper_test.ts
+++ b/packages/heatherarch-forward/tests/unit/role_keeper_test.ts
@@ -4,8 +4,8 @@
 import type { Clock } from "heatherarch-core";
 import type { LogPort, LogRecord } from "heatherarch-log";
 import {
+  ActiveConfig,
   type CallCodec,
-  ConfigView,
   type EncodedTry,
   ForwardMetrics,
   MemoryEventLog,
@@ -129,7 +129,7 @@
     })),
     clock.readMonotonicMs(),
   );
-  const configs = new ConfigView();
+  const configs = new ActiveConfig();
   configs.applyConfig(
     buildConfig({
       services: [{ name: "s", maxConnections: 100, engine: TRAITS }],
--- a/packages/heatherarch-forward/tests/unit/routes_test.ts
+++ b/packages/heatherarch-forward/tests/unit/route_table_test.ts
@@ -1,6 +1,6 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { ConfigView, RouteTable } from "../../mod.ts";
+import { ActiveConfig, RouteTable } from "../../mod.ts";
 import { buildConfig, buildRoute } from "./fixtures.ts";
 
 test("the longest prefix of a host takes the path", () => {
@@ -41,15 +41,15 @@
 });
 
 test("the age of a configuration counts from the newest read that was answered", () => {
-  const view = new ConfigView();
+  const view = new ActiveConfig();
   assert.equal(view.getAgeMs(1000), Infinity);
-  view.noteChecked(900);
-  view.noteChecked(500);
+  view.recordStoreRead(900);
+  view.recordStoreRead(500);
   assert.equal(view.getAgeMs(1000), 100);
 });
 
 test("the version in force never goes down", () => {
-  const view = new ConfigView();
+  const view = new ActiveConfig();
   const seen: number[] = [];
   const undo = view.registerListener(({ table }) => seen.push(table.version));
   assert.equal(view.applyConfig(buildConfig({ version: 7 }), "store"), true);
--- a/packages/heatherarch-forward/tests/unit/store_reading_test.ts
+++ b/packages/heatherarch-forward/tests/unit/store_reading_test.ts
@@ -2,7 +2,7 @@
 import { mock, test } from "node:test";
 import { ManualClock } from "heatherarch-core";
 import {
-  ConfigView,
+  ActiveConfig,
   ForwardMetrics,
   type KeyedTopicPort,
   planConfigReads,
@@ -34,7 +34,7 @@
     clock: new ManualClock(),
     log: { write: () => undefined },
     metrics: new ForwardMetrics(),
-    configs: new ConfigView(),
+    configs: new ActiveConfig(),
     directory: new TargetDirectory(),
   };
   return new StoreReading(options as StoreReadingOptions);
--- a/packages/heatherarch-forward/tests/unit/target_directory_test.ts
+++ b/packages/heatherarch-forward/tests/unit/target_directory_test.ts
@@ -30,21 +30,21 @@
 
 test("what lapsed during an outage is used until two seconds after its end", () => {
   const directory = createFilled();
-  directory.noteOutage();
+  directory.recordReadFailure();
   directory.applyChanges([{ key: "a" }], 10_000);
   assert.deepEqual(listIds(directory), ["a", "b"]);
-  assert.deepEqual(directory.expire(11_999), []);
+  assert.deepEqual(directory.dropExpired(11_999), []);
   directory.applyChanges([{ key: "a", value: buildTarget("a") }], 11_999);
-  assert.deepEqual(directory.expire(12_001), []);
+  assert.deepEqual(directory.dropExpired(12_001), []);
   assert.deepEqual(listIds(directory), ["a", "b"]);
 });
 
 test("an entry still missing two seconds after the outage is gone", () => {
   const directory = createFilled();
-  directory.noteOutage();
+  directory.recordReadFailure();
   directory.applyList([{ key: "b", value: buildTarget("b") }], 5000);
   assert.deepEqual(listIds(directory), ["a", "b"]);
-  assert.deepEqual(directory.expire(7000), ["a"]);
+  assert.deepEqual(directory.dropExpired(7000), ["a"]);
   assert.deepEqual(listIds(directory), ["b"]);
 });
 
@@ -54,14 +54,14 @@
     [{ key: "a", value: buildTarget("a", { leaving: true }) }],
     10,
   );
-  directory.noteOutage();
+  directory.recordReadFailure();
   directory.applyChanges([{ key: "a" }], 20);
   assert.equal(directory.findTarget("a"), undefined);
 });
 
 test("a removal long after an outage takes effect at once", () => {
   const directory = createFilled();
-  directory.noteOutage();
+  directory.recordReadFailure();
   directory.applyChanges([], 1000);
   directory.applyChanges([{ key: "a" }], 9000);
   assert.deepEqual(listIds(directory), ["b"]);
@@ -69,15 +69,15 @@
 
 test("an engine that changes its role takes no work until the list shows it", () => {
   const directory = createFilled();
-  directory.markChanging("a", 5000, 0);
-  directory.markChanging("a", 5000, 1000);
-  assert.equal(directory.findChangingSince("a", 2000), 0);
-  assert.equal(directory.isChanging("a", 4000), true);
+  directory.markChangingRole("a", 5000, 0);
+  directory.markChangingRole("a", 5000, 1000);
+  assert.equal(directory.findRoleChangeStartMs("a", 2000), 0);
+  assert.equal(directory.isChangingRole("a", 4000), true);
   directory.applyChanges(
     [{ key: "a", value: buildTarget("a", { role: "decode" }) }],
     4100,
   );
-  assert.equal(directory.isChanging("a", 4200), false);
+  assert.equal(directory.isChangingRole("a", 4200), false);
 });
 
 // Seen: targets were used for more than three seconds after they had left, by VMs that read the
@@ -85,10 +85,10 @@
 test("a target that goes between two good readings is not kept, whatever others have lost", () => {
   const directory = createFilled();
   for (let nowMs = 1000; nowMs <= 3000; nowMs += 1000) {
-    directory.noteOutage();
+    directory.recordReadFailure();
     directory.applyChanges([], nowMs);
   }
-  directory.noteOutage();
+  directory.recordReadFailure();
   directory.applyChanges([{ key: "a" }], 4000);
   assert.deepEqual(listIds(directory), ["b"]);
 });
@@ -98,13 +98,13 @@
 // the VM that had ordered it and had not read the list yet, kept it from work.
 test("a mark that is heard after the list has shown the new role holds nothing up", () => {
   const directory = createFilled();
-  directory.markChanging("a", 5000, 0);
+  directory.markChangingRole("a", 5000, 0);
   const shown = [{ key: "a", value: buildTarget("a", { role: "decode" }) }];
   directory.applyChanges(shown, 4000);
-  directory.markChanging("a", 5600, 4100);
-  assert.equal(directory.isChanging("a", 4200), false);
-  directory.markChanging("a", 9000, 7000);
-  assert.equal(directory.isChanging("a", 7100), true);
+  directory.markChangingRole("a", 5600, 4100);
+  assert.equal(directory.isChangingRole("a", 4200), false);
+  directory.markChangingRole("a", 9000, 7000);
+  assert.equal(directory.isChangingRole("a", 7100), true);
 });
 
 test("a target that says that it leaves gets no work, whatever the list and its feed say", () => {
@@ -142,16 +142,21 @@
 test("peers are told of lives that say that they leave once, and of all on a new link", () => {
   const directory = new TargetDirectory();
   directory.markLeaving("a");
-  const first = directory.listSaidLeaving();
-  assert.deepEqual(first.lives, ["a"]);
-  assert.deepEqual(directory.listSaidLeaving(first.cursor).lives, []);
+  const first = directory.listAnnouncedLeaving();
+  assert.deepEqual(first.targetIds, ["a"]);
+  assert.deepEqual(directory.listAnnouncedLeaving(first.cursor).targetIds, []);
   directory.markLeaving("b");
-  assert.deepEqual(directory.listSaidLeaving(first.cursor).lives, ["b"]);
+  assert.deepEqual(directory.listAnnouncedLeaving(first.cursor).targetIds, [
+    "b",
+  ]);
   for (let i = 0; i < 2000; i++) directory.markLeaving(`t${i}`);
-  const all = directory.listSaidLeaving();
-  assert.equal(all.lives.length, 1000);
-  assert.deepEqual(directory.listSaidLeaving(first.cursor).lives, all.lives);
-  assert.deepEqual(directory.listSaidLeaving(all.cursor).lives, []);
+  const all = directory.listAnnouncedLeaving();
+  assert.equal(all.targetIds.length, 1000);
+  assert.deepEqual(
+    directory.listAnnouncedLeaving(first.cursor).targetIds,
+    all.targetIds,
+  );
+  assert.deepEqual(directory.listAnnouncedLeaving(all.cursor).targetIds, []);
 });
 
 // A hub that was late to learn undid what its VM had read itself: calls went to targets that had left.
--- a/packages/heatherarch-forward/tests/unit/target_health_test.ts
+++ b/packages/heatherarch-forward/tests/unit/target_health_test.ts
@@ -4,19 +4,19 @@
 
 test("an unreachable target is avoided, longer each time, and not for ever", () => {
   const health = new TargetHealth();
-  assert.equal(health.noteOutcome("t", "unreachable", 0), true);
+  assert.equal(health.recordOutcome("t", "unreachable", 0), true);
   assert.equal(health.isAvoided("t", 499), true);
   assert.equal(health.isAvoided("t", 500), false);
-  health.noteOutcome("t", "unreachable", 600);
+  health.recordOutcome("t", "unreachable", 600);
   assert.equal(health.isAvoided("t", 1500), true);
-  for (let i = 0; i < 20; i++) health.noteOutcome("t", "unreachable", 2000);
+  for (let i = 0; i < 20; i++) health.recordOutcome("t", "unreachable", 2000);
   assert.equal(health.isAvoided("t", 2000 + 5001), false);
 });
 
 test("a target that fails a seventh of its calls is kept", () => {
   const health = new TargetHealth();
   for (let i = 0; i < 70; i++) {
-    health.noteOutcome("t", i % 7 === 0 ? "failed" : "answered", i * 100);
+    health.recordOutcome("t", i % 7 === 0 ? "failed" : "answered", i * 100);
     assert.equal(health.isAvoided("t", i * 100), false, `call ${i}`);
   }
 });
@@ -25,7 +25,7 @@
   const health = new TargetHealth();
   let avoided = 0;
   for (let i = 0; i < 40; i++) {
-    health.noteOutcome("t", i % 2 === 0 ? "failed" : "answered", i * 100);
+    health.recordOutcome("t", i % 2 === 0 ? "failed" : "answered", i * 100);
     if (health.isAvoided("t", i * 100)) avoided++;
   }
   assert.ok(avoided > 15, `${avoided} of 40`);
--- a/packages/heatherarch-forward/tests/unit/target_lives_test.ts
+++ b/packages/heatherarch-forward/tests/unit/target_incarnations_test.ts
@@ -69,20 +69,20 @@
 
 test("a change of role that one life was ordered to is not expected of another", () => {
   const directory = createListed(100);
-  directory.markChanging("e@100", 5000, 0);
+  directory.markChangingRole("e@100", 5000, 0);
   directory.applyChanges([buildEntry(buildLife(200))], 10);
-  assert.equal(directory.isChanging("e@200", 20), false);
-  assert.deepEqual(directory.listChanging(20), []);
+  assert.equal(directory.isChangingRole("e@200", 20), false);
+  assert.deepEqual(directory.listChangingRole(20), []);
 });
 
 test("an engine that is missing after an outage and starts again is used in its new life", () => {
   const directory = createListed(100);
-  directory.noteOutage();
+  directory.recordReadFailure();
   directory.applyList([], 9000);
   assert.deepEqual(directory.listMissing(), ["e@100"]);
   directory.applyChanges([buildEntry(buildLife(200))], 9500);
   assert.deepEqual(listIds(directory), ["e@200"]);
-  assert.deepEqual(directory.expire(11_500), []);
+  assert.deepEqual(directory.dropExpired(11_500), []);
   assert.deepEqual(listIds(directory), ["e@200"]);
 });
 
--- a/packages/heatherarch-forward/vm_beliefs.ts
+++ b/packages/heatherarch-forward/vm_beliefs.ts
@@ -5,16 +5,16 @@
  */
 import type { Clock } from "heatherarch-core";
 import type { ForwardSettings } from "heatherarch-settings";
-import { CacheRetention } from "./beliefs/cache_retention.ts";
-import { ConfigView } from "./beliefs/config_view.ts";
-import { PromptIndex } from "./beliefs/prompt_index.ts";
-import { ReadModel } from "./beliefs/read_model.ts";
+import { CacheRetention } from "./state/cache_retention.ts";
+import { ActiveConfig } from "./state/active_config.ts";
+import { PrefixIndex } from "./state/prefix_index.ts";
+import { PrefillTimeModel } from "./state/prefill_time_model.ts";
 import { RequestQuarantine } from "heatherarch-quarantine";
-import { RetryAllowance } from "./beliefs/retry_allowance.ts";
-import { TargetDirectory } from "./beliefs/target_directory.ts";
-import { TargetHealth } from "./beliefs/target_health.ts";
-import { TargetRests } from "./beliefs/target_rests.ts";
-import { WorkLedger } from "./beliefs/work_ledger.ts";
+import { RetryBudget } from "./state/retry_budget.ts";
+import { TargetDirectory } from "./state/target_directory.ts";
+import { TargetHealth } from "./state/target_health.ts";
+import { TargetBackoffs } from "./state/target_backoffs.ts";
+import { WorkTracker } from "./state/work_tracker.ts";
 import { EngineSpread } from "./decisions/engine_spread.ts";
 import { PromptPlacer } from "./decisions/prompt_placement.ts";
 import { ReaderBoard } from "./decisions/reader_board.ts";
@@ -68,11 +68,11 @@
 export function buildServing(options: BuildServingOptions): Serving {
   const { settings, codec, clock, log, countVms } = options;
   const metrics = new ForwardMetrics();
-  const readModel = new ReadModel();
+  const readModel = new PrefillTimeModel();
   const directory = new TargetDirectory({
     targetHeartbeatMs: settings.store.targetHeartbeatMs,
   });
-  const rests = new TargetRests();
+  const rests = new TargetBackoffs();
   const notices = new AnswerNotices({ codec, directory, rests, clock, log });
   const quarantine = buildQuarantine(settings);
   return {
@@ -85,9 +85,9 @@
     quarantine,
     readModel,
     countVms,
-    configs: new ConfigView(),
+    configs: new ActiveConfig(),
     health: new TargetHealth(),
-    ledger: new WorkLedger(),
+    ledger: new WorkTracker(),
     losses: buildInquiry({ quarantine, directory, clock, log, metrics }),
     connections: new TargetConnections({
       onHead: (target, head) => notices.take(target, head),
@@ -98,7 +98,7 @@
     allowance: buildAllowance(settings),
     readQueue: new ReadQueue({ clock }),
     readerBoard: new ReaderBoard(),
-    prompts: new PromptIndex(),
+    prompts: new PrefixIndex(),
     retention: new CacheRetention(),
     placer: new PromptPlacer({ model: readModel }),
     spread: new EngineSpread({
@@ -166,7 +166,7 @@
   target: string,
   purpose: SendPurpose,
 ): string | undefined {
-  if (rests.isResting(target, clock.readMonotonicMs())) {
+  if (rests.isInBackoff(target, clock.readMonotonicMs())) {
     return "the target rests";
   }
   if (purpose === "release") return undefined;
@@ -181,9 +181,9 @@
   });
 }
 
-function buildAllowance({ retries }: ForwardSettings): RetryAllowance {
+function buildAllowance({ retries }: ForwardSettings): RetryBudget {
   const { share, fixedPerWindow, windowSeconds } = retries;
-  return new RetryAllowance({
+  return new RetryBudget({
     share,
     fixedPerWindow,
     windowMs: windowSeconds * MS_PER_SECOND,
--- a/packages/heatherarch-forward/vm_tasks.ts
+++ b/packages/heatherarch-forward/vm_tasks.ts
@@ -76,7 +76,7 @@
       parts.reading.applyTargets(entries, isFull),
     onListLost: (source) => parts.reading.noteHubLost(source),
     getListReadAtMs: () => parts.reading.listReadAtMs,
-    onListRead: (atMs) => parts.directory.notePeerRead(atMs),
+    onListRead: (atMs) => parts.directory.recordPeerRead(atMs),
     configReads: planConfigReads(settings.store),
     loadConfig: () => parts.reading.loadConfig(),
     onLiveVms: wiring.onLiveVms,
--- a/packages/heatherarch-lab/bench/decide_world.ts
+++ b/packages/heatherarch-lab/bench/decide_world.ts
@@ -12,10 +12,10 @@
 import {
   EngineSpread,
   type GenerationFacts,
+  PrefillTimeModel,
   type PromptPlacement,
   PromptPlacer,
   type ReadCandidate,
-  ReadModel,
   ReadQueue,
   type Target,
 } from "heatherarch-forward";
@@ -100,7 +100,7 @@
   readonly #options: DecideOptions;
   readonly #random: Random;
   readonly #clock = new ManualClock();
-  readonly #model = new ReadModel();
+  readonly #model = new PrefillTimeModel();
   readonly #placer: PromptPlacer;
   readonly #engines: readonly Target[];
   /** Readings in progress by engine, and those of some time ago. */
--- a/packages/heatherarch-lab/bench/overload_world.ts
+++ b/packages/heatherarch-lab/bench/overload_world.ts
@@ -17,13 +17,13 @@
   EngineSpread,
   type EngineTraits,
   type LanePlacement,
+  PrefillTimeModel,
   type PromptPlacement,
   PromptPlacer,
-  ReadModel,
   ReadQueue,
   sumShared,
   type Target,
-  WorkLedger,
+  WorkTracker,
 } from "heatherarch-forward";
 import {
   type KindResult,
@@ -71,9 +71,9 @@
 
 interface Vm {
   readonly queue: ReadQueue;
-  readonly model: ReadModel;
+  readonly model: PrefillTimeModel;
   readonly placer: PromptPlacer;
-  readonly ledger: WorkLedger;
+  readonly ledger: WorkTracker;
   readonly spread: EngineSpread;
   hasNews: boolean;
   toldAtMs: number;
@@ -147,8 +147,8 @@
   }
 
   #build(vm: number): Vm {
-    const model = new ReadModel();
-    const ledger = new WorkLedger();
+    const model = new PrefillTimeModel();
+    const ledger = new WorkTracker();
     const built: Vm = {
       queue: new ReadQueue({ clock: this.#clock, isTimed: false }),
       model,
@@ -161,7 +161,7 @@
       hasNews: false,
       toldAtMs: -Infinity,
     };
-    ledger.registerOwnListener(() => {
+    ledger.registerOwnWorkListener(() => {
       built.hasNews = true;
     });
     return built;
@@ -199,7 +199,7 @@
       const rows = vm.ledger.listOwnRows(this.#nowMs);
       for (const peer of this.#vms) {
         if (peer === vm) continue;
-        peer.ledger.notePeer(`vm-${from}`, rows, this.#nowMs);
+        peer.ledger.setPeerWork(`vm-${from}`, rows, this.#nowMs);
       }
     });
   }
@@ -268,7 +268,7 @@
     return placer.pickReader(prompt, {
       candidates: this.#targets.map((target) => ({
         target,
-        backlogMs: ledger.getReadMs(target.id, this.#nowMs),
+        backlogMs: ledger.getPrefillBacklogMs(target.id, this.#nowMs),
       })),
       readers: this.#targets,
       holders,
@@ -291,7 +291,7 @@
   #mayReadLate(vm: number): boolean {
     const { ledger } = this.#vms[vm];
     const busy = this.#targets.filter(({ id }) =>
-      ledger.isReadingLate(id, this.#nowMs)
+      ledger.hasLatePrefill(id, this.#nowMs)
     );
     const most = Math.max(1, Math.floor(this.#targets.length * LATE_SHARE));
     return busy.length < most;
@@ -302,7 +302,7 @@
     const { ledger, model, placer } = this.#vms[call.vm];
     const startMs = this.#nowMs;
     const latencyMs = model.latencyMs + ANSWER_SLACK_MS;
-    const endRead = ledger.beginRead(
+    const endRead = ledger.beginPrefill(
       target.id,
       { costMs, lane, latencyMs },
       startMs,
@@ -321,7 +321,11 @@
       if (key === undefined) {
         model.learn(target.id, { costMs, backlogMs, tookMs });
       } else {
-        model.learnAlone(target.id, { aloneMs, backlogMs, tookMs });
+        model.learnUnloaded(target.id, {
+          unloadedMs: aloneMs,
+          backlogMs,
+          tookMs,
+        });
       }
     };
     this.#engines[i].accept({
--- a/packages/heatherarch-lab/proofs/target_list_proof.ts
+++ b/packages/heatherarch-lab/proofs/target_list_proof.ts
@@ -7,8 +7,8 @@
 import fc from "fast-check";
 import {
   type KeyedEntry,
-  STORE_WATCH_GUARDS,
-  type StoreWatchGuard,
+  STORE_OUTAGE_GUARDS,
+  type StoreOutageGuard,
   type Target,
   TargetDirectory,
 } from "heatherarch-forward";
@@ -76,9 +76,9 @@
     this.#vms = Array.from({ length: VMS }, (_, i) => ({
       directory: new TargetDirectory({
         targetHeartbeatMs: HEARTBEAT_MS,
-        disabledGuards: buildGuardSet<StoreWatchGuard>(off),
-        takesEarlierLives: off === EARLIER_LIVES,
-        takesOlderWord: off === OLDER_WORD,
+        disabledGuards: buildGuardSet<StoreOutageGuard>(off),
+        acceptsEarlierIncarnations: off === EARLIER_LIVES,
+        acceptsOlderUpdates: off === OLDER_WORD,
       }),
       nextReadMs: i * STEP_MS,
       readAtMs: -Infinity,
@@ -153,19 +153,19 @@
     }
     this.#hearPeers(vm);
     this.#hearLateWord(vm, i, step);
-    vm.directory.expire(this.#nowMs);
+    vm.directory.dropExpired(this.#nowMs);
     if (this.#nowMs < vm.nextReadMs) return;
     const isRefused = this.#isOn("storeAway", step) ||
       this.#isOn("turnedAway", step, i);
     vm.nextReadMs = this.#nowMs + (isRefused ? RETRY_MS : POLL_MS);
-    if (isRefused) vm.directory.noteOutage();
+    if (isRefused) vm.directory.recordReadFailure();
     else this.#read(vm);
   }
 
   #hearPeers(vm: ModelVm): void {
     for (const peer of this.#vms) {
       if (peer === vm || peer.readAtMs === -Infinity) continue;
-      vm.directory.notePeerRead(peer.readAtMs);
+      vm.directory.recordPeerRead(peer.readAtMs);
     }
   }
 
@@ -275,7 +275,7 @@
 /** The list of targets under random schedules. */
 export const TARGET_LIST_PROOF: Proof = {
   name: "target list",
-  guards: [...STORE_WATCH_GUARDS, EARLIER_LIVES, OLDER_WORD],
+  guards: [...STORE_OUTAGE_GUARDS, EARLIER_LIVES, OLDER_WORD],
   build: (off) =>
     fc.property(SCHEDULE, (schedule) => {
       new TargetListWorld(schedule, off).run();
