--- a/packages/heatherarch-forward/serving.ts
+++ b/packages/heatherarch-forward/serving.ts
@@ -8,7 +8,7 @@
 import type { ActiveConfig } from "./state/active_config.ts";
 import type { EngineSpread } from "./decisions/engine_spread.ts";
 import type { EventLog } from "./event_log.ts";
-import type { LossInquiry } from "heatherarch-quarantine";
+import type { CrashDetector } from "heatherarch-quarantine";
 import type { ForwardMetrics } from "./metrics.ts";
 import type { CallCodec } from "./ports.ts";
 import type { PrefixIndex } from "./state/prefix_index.ts";
@@ -36,7 +36,7 @@
   readonly ledger: WorkTracker;
   readonly connections: TargetConnections;
   readonly listGuard: ListGuard;
-  readonly losses: LossInquiry;
+  readonly losses: CrashDetector;
   readonly quarantine: RequestQuarantine;
   readonly allowance: RetryBudget;
   readonly placer: PromptPlacer;
