--- a/packages/heatherarch-forward/decisions/target_choice.ts
+++ b/packages/heatherarch-forward/decisions/target_choice.ts
@@ -26,7 +26,7 @@
     .filter(accepts)
     .filter(({ id }) => !tried.has(id))
     .filter(({ id }) => !rests.isInBackoff(id, nowMs))
-    .filter(({ id }) => !directory.isChangingRole(id, nowMs))
+    .filter(({ id }) => !directory.hasRoleChange(id, nowMs))
     .filter((target) => connections.hasRoom(target, maxConnections));
   const sound = open.filter(({ id }) => !health.isAvoided(id, nowMs));
   return sound.length > 0 ? sound : open;
@@ -44,7 +44,7 @@
   const nowMs = run.nowMs;
   const targets = directory.listServing(run.service.name)
     .filter(accepts)
-    .filter(({ id }) => !directory.isChangingRole(id, nowMs));
+    .filter(({ id }) => !directory.hasRoleChange(id, nowMs));
   if (targets.length === 0) return undefined;
   const restMs = Math.min(
     ...targets.map(({ id }) => rests.getEndMs(id) - nowMs),
--- a/packages/heatherarch-forward/state/active_config.ts
+++ b/packages/heatherarch-forward/state/active_config.ts
@@ -10,7 +10,7 @@
 export interface ConfigChange {
   readonly table: RouteTable;
   /** Version in force before; -1 without one. */
-  readonly previousVersion: number;
+  readonly before: number;
   /** Who told it: `store`, or `peer` and its id. */
   readonly source: string;
 }
@@ -40,7 +40,7 @@
     const table = new RouteTable(config);
     this.#table = table;
     for (const listener of this.#listeners) {
-      listener({ table, previousVersion: before, source });
+      listener({ table, before: before, source });
     }
     return true;
   }
--- a/packages/heatherarch-forward/state/store_outage_detector.ts
+++ b/packages/heatherarch-forward/state/store_outage_detector.ts
@@ -129,7 +129,7 @@
   }
 
   /** Whether an entry that is missing at `nowMs` may belong to a live target. */
-  isInGracePeriod(nowMs: number): boolean {
+  isInGrace(nowMs: number): boolean {
     if (nowMs < this.#graceUntilMs) return true;
     // This VM has not seen since whether they are back: it changes nothing until it reads.
     return this.#isFailing && this.#ownReadAtMs < this.#graceUntilMs;
--- a/packages/heatherarch-forward/state/target_directory.ts
+++ b/packages/heatherarch-forward/state/target_directory.ts
@@ -49,7 +49,7 @@
 
 /** Targets by the id of their life. */
 export class TargetDirectory {
-  readonly #storeWatch: StoreOutageDetector;
+  readonly #outages: StoreOutageDetector;
   readonly #takesEarlierLives: boolean;
   readonly #takesOlderWord: boolean;
   readonly #targets = new Map<string, Target>();
@@ -73,7 +73,7 @@
   #byService = new Map<string, readonly Target[]>();
 
   constructor(options: TargetDirectoryOptions = {}) {
-    this.#storeWatch = new StoreOutageDetector(options);
+    this.#outages = new StoreOutageDetector(options);
     this.#takesEarlierLives = options.acceptsEarlierIncarnations ?? false;
     this.#takesOlderWord = options.acceptsOlderUpdates ?? false;
   }
@@ -85,12 +85,12 @@
 
   /** This VM's own reading failed: the store may be away. Returns whether that is news. */
   recordReadFailure(): boolean {
-    return this.#storeWatch.recordOwnFailure();
+    return this.#outages.recordOwnFailure();
   }
 
   /** A peer has read the list from the store at `atMs` of this VM's clock. */
   recordPeerRead(atMs: number): void {
-    this.#storeWatch.recordPeerRead(atMs);
+    this.#outages.recordPeerRead(atMs);
   }
 
   /** Replaces the whole list by one just loaded, which was asked for at `askedAtMs`. */
@@ -177,9 +177,7 @@
 
   /** Drops missing entries whose grace has ended; returns their ids. */
   dropExpired(nowMs: number): string[] {
-    if (this.#missing.size === 0 || this.#storeWatch.isInGracePeriod(nowMs)) {
-      return [];
-    }
+    if (this.#missing.size === 0 || this.#outages.isInGrace(nowMs)) return [];
     const gone = this.listMissing();
     for (const id of gone) this.#drop(id);
     this.#index();
@@ -248,7 +246,7 @@
 
   /** Monotonic time at which an engine that is changing its role was first known to do so. */
   findRoleChangeStartMs(id: string, nowMs: number): number | undefined {
-    return this.isChangingRole(id, nowMs)
+    return this.hasRoleChange(id, nowMs)
       ? this.#changing.get(id)?.sinceMs
       : undefined;
   }
@@ -256,10 +254,10 @@
   /** Engines that are changing their role. */
   listChangingRole(nowMs: number): string[] {
     return [...this.#changing.keys()]
-      .filter((id) => this.isChangingRole(id, nowMs));
+      .filter((id) => this.hasRoleChange(id, nowMs));
   }
 
-  isChangingRole(id: string, nowMs: number): boolean {
+  hasRoleChange(id: string, nowMs: number): boolean {
     const change = this.#changing.get(id);
     if (change === undefined) return false;
     if (nowMs < change.untilMs) return true;
@@ -295,7 +293,7 @@
   }
 
   #noteOwnRead(nowMs: number, askedAtMs: number): void {
-    this.#storeWatch.recordOwnRead(nowMs);
+    this.#outages.recordOwnRead(nowMs);
     this.#holdsAtMs = Math.max(this.#holdsAtMs, askedAtMs);
   }
 
@@ -344,7 +342,7 @@
   #remove(id: string, nowMs: number): boolean {
     const target = this.#targets.get(id);
     if (target === undefined) return false;
-    if (!target.leaving && this.#storeWatch.isInGracePeriod(nowMs)) {
+    if (!target.leaving && this.#outages.isInGrace(nowMs)) {
       this.#missing.add(id);
       return false;
     }
--- a/packages/heatherarch-forward/tasks/role_keeper.ts
+++ b/packages/heatherarch-forward/tasks/role_keeper.ts
@@ -193,9 +193,7 @@
 
   /** An engine that another VM has ordered to change counts in its new role. */
   #applyChanging(target: Target, nowMs: number): Target {
-    if (!this.#options.directory.isChangingRole(target.id, nowMs)) {
-      return target;
-    }
+    if (!this.#options.directory.hasRoleChange(target.id, nowMs)) return target;
     return {
       ...target,
       role: target.role === "prefill" ? "decode" : "prefill",
--- a/packages/heatherarch-forward/tests/unit/hub_exchange_test.ts
+++ b/packages/heatherarch-forward/tests/unit/hub_exchange_test.ts
@@ -352,7 +352,7 @@
   const hub = fleet.get("a-0");
   const countMarked = (): number =>
     [...fleet.vms.values()].filter((vm) =>
-      vm.directory.isChangingRole("e1", fleet.nowMs)
+      vm.directory.hasRoleChange("e1", fleet.nowMs)
     ).length;
   hub.ordered = ["e1"];
   hub.mark(hub.ordered);
--- a/packages/heatherarch-forward/tests/unit/store_outage_detector_test.ts
+++ b/packages/heatherarch-forward/tests/unit/store_outage_detector_test.ts
@@ -14,9 +14,9 @@
   nowMs: number,
   endMs: number,
 ): void {
-  assert.equal(watch.isInGracePeriod(nowMs), true);
-  assert.equal(watch.isInGracePeriod(endMs - 1), true);
-  assert.equal(watch.isInGracePeriod(endMs), false);
+  assert.equal(watch.isInGrace(nowMs), true);
+  assert.equal(watch.isInGrace(endMs - 1), true);
+  assert.equal(watch.isInGrace(endMs), false);
 }
 
 test("entries may have lapsed in an outage of two heartbeats, until two seconds after it", () => {
@@ -25,14 +25,14 @@
   watch.recordOwnRead(2000);
   assertGraceUntil(watch, 2000, 4000);
   assertGraceUntil(watch, 3999, 4000);
-  assert.equal(watch.isInGracePeriod(4000), false);
+  assert.equal(watch.isInGrace(4000), false);
 });
 
 test("no entry lapses in a shorter outage", () => {
   const watch = createWatch();
   watch.recordOwnFailure();
   watch.recordOwnRead(1999);
-  assert.equal(watch.isInGracePeriod(1999), false);
+  assert.equal(watch.isInGrace(1999), false);
 });
 
 test("a VM that alone can't read learns from its peers that the store is there", () => {
@@ -42,7 +42,7 @@
     watch.recordPeerRead(atMs);
   }
   watch.recordOwnRead(9300);
-  assert.equal(watch.isInGracePeriod(9300), false);
+  assert.equal(watch.isInGrace(9300), false);
 });
 
 test("the grace begins when the first VM reads again, and once", () => {
@@ -55,7 +55,7 @@
   }
   watch.recordOwnRead(6900);
   assertGraceUntil(watch, 6900, 7000);
-  assert.equal(watch.isInGracePeriod(7000), false);
+  assert.equal(watch.isInGrace(7000), false);
 });
 
 test("an outage that begins while this VM alone is turned away is one", () => {
@@ -74,15 +74,15 @@
   watch.recordOwnRead(5000);
   watch.recordOwnFailure();
   for (let atMs = 5100; atMs <= 9000; atMs += 300) watch.recordPeerRead(atMs);
-  assert.equal(watch.isInGracePeriod(9000), true);
+  assert.equal(watch.isInGrace(9000), true);
   watch.recordOwnRead(9100);
-  assert.equal(watch.isInGracePeriod(9100), false);
+  assert.equal(watch.isInGrace(9100), false);
 });
 
 test("a VM that was late but met no failure takes the list at its word", () => {
   const watch = createWatch();
   watch.recordOwnRead(8000);
-  assert.equal(watch.isInGracePeriod(8000), false);
+  assert.equal(watch.isInGrace(8000), false);
 });
 
 test("word that arrives late changes nothing", () => {
--- a/packages/heatherarch-forward/tests/unit/target_directory_test.ts
+++ b/packages/heatherarch-forward/tests/unit/target_directory_test.ts
@@ -72,12 +72,12 @@
   directory.markChangingRole("a", 5000, 0);
   directory.markChangingRole("a", 5000, 1000);
   assert.equal(directory.findRoleChangeStartMs("a", 2000), 0);
-  assert.equal(directory.isChangingRole("a", 4000), true);
+  assert.equal(directory.hasRoleChange("a", 4000), true);
   directory.applyChanges(
     [{ key: "a", value: buildTarget("a", { role: "decode" }) }],
     4100,
   );
-  assert.equal(directory.isChangingRole("a", 4200), false);
+  assert.equal(directory.hasRoleChange("a", 4200), false);
 });
 
 // Seen: targets were used for more than three seconds after they had left, by VMs that read the
@@ -102,9 +102,9 @@
   const shown = [{ key: "a", value: buildTarget("a", { role: "decode" }) }];
   directory.applyChanges(shown, 4000);
   directory.markChangingRole("a", 5600, 4100);
-  assert.equal(directory.isChangingRole("a", 4200), false);
+  assert.equal(directory.hasRoleChange("a", 4200), false);
   directory.markChangingRole("a", 9000, 7000);
-  assert.equal(directory.isChangingRole("a", 7100), true);
+  assert.equal(directory.hasRoleChange("a", 7100), true);
 });
 
 test("a target that says that it leaves gets no work, whatever the list and its feed say", () => {
--- a/packages/heatherarch-forward/tests/unit/target_incarnations_test.ts
+++ b/packages/heatherarch-forward/tests/unit/target_incarnations_test.ts
@@ -71,7 +71,7 @@
   const directory = createListed(100);
   directory.markChangingRole("e@100", 5000, 0);
   directory.applyChanges([buildEntry(buildLife(200))], 10);
-  assert.equal(directory.isChangingRole("e@200", 20), false);
+  assert.equal(directory.hasRoleChange("e@200", 20), false);
   assert.deepEqual(directory.listChangingRole(20), []);
 });
 
