--- a/packages/heatherarch-forward/forward_vm.ts
+++ b/packages/heatherarch-forward/forward_vm.ts
@@ -221,7 +221,7 @@
 
   #watchConfig(): void {
     const { configs, ingress, metrics, clock } = this.#parts;
-    configs.registerListener(({ table, before: before, source }) => {
+    configs.registerListener(({ table, before, source }) => {
       ingress.applyLimits(table.config.limits);
       metrics.configVersion.set(table.version);
       this.#log.write("info", "configApplied", {
--- a/packages/heatherarch-forward/state/active_config.ts
+++ b/packages/heatherarch-forward/state/active_config.ts
@@ -39,9 +39,7 @@
     if (config.version <= before) return false;
     const table = new RouteTable(config);
     this.#table = table;
-    for (const listener of this.#listeners) {
-      listener({ table, before: before, source });
-    }
+    for (const listener of this.#listeners) listener({ table, before, source });
     return true;
   }
 
