--- a/packages/heatherarch-forward/life/generation_life.ts
+++ b/packages/heatherarch-forward/life/generation_life.ts
@@ -200,7 +200,7 @@
       return;
     }
     this.#tried.add(target.id);
-    run.serving.health.noteOutcome(target.id, "failed", run.nowMs);
+    run.serving.health.recordOutcome(target.id, "failed", run.nowMs);
     run.serving.log.write("info", "streamBroken", {
       call: run.call.id,
       target: target.id,
@@ -276,7 +276,7 @@
         tokens: this.#prompt.promptTokens,
         sharedTokens: sumPrefixTokens(this.#prompt),
         isCold,
-        factor: Number(run.serving.readModel.getFactor(target.id).toFixed(2)),
+        factor: Number(run.serving.readModel.getSlowdown(target.id).toFixed(2)),
         waitedMs: Math.round(waitedMs),
         costMs: Math.round(costMs),
         aloneMs: Math.round(aloneMs),
@@ -316,7 +316,7 @@
     const { directory } = serving;
     const since = directory.listServing(service.name)
       .filter((engine) => engine.role === "prefill")
-      .map((engine) => directory.findChangingSince(engine.id, nowMs))
+      .map((engine) => directory.findRoleChangeStartMs(engine.id, nowMs))
       .filter((sinceMs) => sinceMs !== undefined);
     return predictDecodeReadyMs(since, this.#traits.roleChangeMs, nowMs);
   }
@@ -331,7 +331,7 @@
       this.#tried,
     )
       .map((target): TargetCandidate => {
-        const { runs, kvTokens } = ledger.getRuns(target.id, nowMs);
+        const { runs, kvTokens } = ledger.getRunLoad(target.id, nowMs);
         return { target, runs, kvTokens, kvCapacityTokens: kvRoom };
       });
     return pickLeastLoaded(candidates, zone, drawUnit)?.target;
--- a/packages/heatherarch-forward/life/plain_life.ts
+++ b/packages/heatherarch-forward/life/plain_life.ts
@@ -172,7 +172,7 @@
     })
       .map((target): TargetCandidate => ({
         target,
-        runs: ledger.getRuns(target.id, nowMs).runs,
+        runs: ledger.getRunLoad(target.id, nowMs).runs,
         kvTokens: 0,
         kvCapacityTokens: 0,
       }));
--- a/packages/heatherarch-forward/tests/unit/prefill_queue_test.ts
+++ b/packages/heatherarch-forward/tests/unit/prefill_queue_test.ts
@@ -5,10 +5,10 @@
   type LanePlacement,
   LATE_LANE,
   type PrefillOutcome,
+  type PrefillOutcome,
+  PrefillQueue,
   PrefillQueue,
-  type PrefillRequest,
-  type PromptPlacement,
-  WorkLedger,
+  WorkTracker,
 } from "../../mod.ts";
 import { buildEngine } from "./fixtures.ts";
 
@@ -207,14 +207,15 @@
 function countOnTime(jobs: readonly Job[], windowMs: number): number {
   const clock = new ManualClock();
   const queue = new PrefillQueue({ clock, maxBacklogMs: windowMs });
-  const ledger = new WorkLedger();
+  const ledger = new WorkTracker();
   let onTime = 0;
   let next = 0;
   let running: { doneAtMs: number; end: () => void }[] = [];
   const begin = (job: Job, { lane }: LanePlacement): void => {
     const nowMs = clock.readMonotonicMs();
-    const doneAtMs = nowMs + ledger.getReadMs("e", nowMs) + job.costMs;
-    const end = ledger.beginRead("e", { costMs: job.costMs, lane }, nowMs);
+    const doneAtMs = nowMs + ledger.getPrefillBacklogMs("e", nowMs) +
+      job.costMs;
+    const end = ledger.beginPrefill("e", { costMs: job.costMs, lane }, nowMs);
     running.push({ doneAtMs, end });
     if (doneAtMs + 50 <= job.arriveMs + 600) onTime++;
   };
@@ -233,10 +234,10 @@
         findPlacement: () =>
           buildPlacement(
             job.costMs,
-            ledger.getReadMs("e", clock.readMonotonicMs()),
+            ledger.getPrefillBacklogMs("e", clock.readMonotonicMs()),
           ),
         mayPrefillLate: () =>
-          !ledger.isReadingLate("e", clock.readMonotonicMs()),
+          !ledger.hasLatePrefill("e", clock.readMonotonicMs()),
         onOutcome: (verdict) => {
           if (verdict.kind === "placed") begin(job, verdict.placed);
         },
--- a/packages/heatherarch-lab/bench/decide_world.ts
+++ b/packages/heatherarch-lab/bench/decide_world.ts
@@ -14,9 +14,9 @@
   type GenerationFacts,
   type PrefillCandidate,
   PrefillQueue,
+  PrefillTimeModel,
   type PromptPlacement,
   PromptPlacer,
-  ReadModel,
   type Target,
 } from "heatherarch-forward";
 
@@ -100,7 +100,7 @@
   readonly #options: DecideOptions;
   readonly #random: Random;
   readonly #clock = new ManualClock();
-  readonly #model = new ReadModel();
+  readonly #model = new PrefillTimeModel();
   readonly #placer: PromptPlacer;
   readonly #engines: readonly Target[];
   /** Readings in progress by engine, and those of some time ago. */
