--- a/packages/heatherarch-forward/tests/unit/prefill_queue_test.ts
+++ b/packages/heatherarch-forward/tests/unit/prefill_queue_test.ts
@@ -5,9 +5,9 @@
   type LanePlacement,
   LATE_LANE,
   type PrefillOutcome,
-  type PrefillOutcome,
-  PrefillQueue,
   PrefillQueue,
+  type PrefillRequest,
+  type PromptPlacement,
   WorkTracker,
 } from "../../mod.ts";
 import { buildEngine } from "./fixtures.ts";
