--- a/packages/heatherarch-forward/beliefs/config_view.ts
+++ b/packages/heatherarch-forward/state/active_config.ts
@@ -19,7 +19,7 @@
 export type ConfigListener = (change: ConfigChange) => void;
 
 /** Holds the newest configuration seen, from whichever source. */
-export class ConfigView {
+export class ActiveConfig {
   #table: RouteTable | undefined;
   #checkedAtMs = -Infinity;
   readonly #listeners = new Set<ConfigListener>();
@@ -44,7 +44,7 @@
   }
 
   /** This VM has read the store without fault, with a read that was sent at `atMs`. */
-  noteChecked(atMs: number): void {
+  recordStoreRead(atMs: number): void {
     this.#checkedAtMs = Math.max(this.#checkedAtMs, atMs);
   }
 
--- a/packages/heatherarch-forward/tests/unit/reader_board_test.ts
+++ b/packages/heatherarch-forward/tests/unit/prefill_candidate_cache_test.ts
@@ -2,10 +2,10 @@
 import { test } from "node:test";
 import {
   type CallRun,
-  ReaderBoard,
+  PrefillCandidateCache,
   type Target,
   TargetDirectory,
-  WorkLedger,
+  WorkTracker,
 } from "../../mod.ts";
 import { buildEngine } from "./fixtures.ts";
 
@@ -21,7 +21,7 @@
     ...["a", "b", "c"].map((id) => buildEngine(id)),
     buildEngine("d", { role: "decode" }),
   ]);
-  const ledger = new WorkLedger();
+  const ledger = new WorkTracker();
   const rooms: string[] = [];
   const run = {
     nowMs: 0,
@@ -30,7 +30,7 @@
       directory,
       ledger,
       health: { isAvoided: () => false },
-      rests: { isResting: () => false },
+      rests: { isInBackoff: () => false },
       connections: {
         hasRoom: ({ id }: Target) => {
           rooms.push(id);
@@ -39,7 +39,7 @@
       },
     },
   };
-  const board = new ReaderBoard();
+  const board = new PrefillCandidateCache();
   const look = (tried: string[] = []) =>
     board.listCandidates(run as unknown as CallRun, new Set(tried))
       .map(({ target, backlogMs }) => `${target.id} ${backlogMs}`);
@@ -57,16 +57,16 @@
 test("what is given to an engine, told by peers or listed anew shows at once", () => {
   const { look, ledger, list, run, board } = createBoard();
   look();
-  ledger.beginRead("b", { costMs: 40, lane: 0 }, 0);
+  ledger.beginPrefill("b", { costMs: 40, lane: 0 }, 0);
   assert.deepEqual(look(), ["a 0", "b 40", "c 0"]);
-  ledger.notePeer("vm-2", [["c", 0, 0, 30, 0, 0, 0]], 0);
+  ledger.setPeerWork("vm-2", [["c", 0, 0, 30, 0, 0, 0]], 0);
   assert.deepEqual(look(), ["a 0", "b 40", "c 30"]);
   list([buildEngine("b"), buildEngine("c")]);
   assert.deepEqual(look(), ["b 40", "c 30"]);
   run.nowMs = 10;
   assert.deepEqual(look(), ["b 30", "c 20"]);
   assert.deepEqual(
-    board.listReaders(run as unknown as CallRun).map(({ id }) => id),
+    board.listPrefillEngines(run as unknown as CallRun).map(({ id }) => id),
     ["b", "c"],
   );
 });
--- a/packages/heatherarch-forward/vm_tasks.ts
+++ b/packages/heatherarch-forward/vm_tasks.ts
@@ -13,7 +13,7 @@
 import { RoleKeeper } from "./tasks/role_keeper.ts";
 import type { StatusServer } from "./tasks/status_server.ts";
 import { StoreReading } from "./tasks/store_reading.ts";
-import { planConfigReads } from "./decisions/config_reads.ts";
+import { planConfigReads } from "./scheduling/config_reads.ts";
 import { computeMaxListAgeMs } from "./vm_beliefs.ts";
 
 /** What an adapter brings. */
@@ -76,7 +76,7 @@
       parts.reading.applyTargets(entries, isFull),
     onListLost: (source) => parts.reading.noteHubLost(source),
     getListReadAtMs: () => parts.reading.listReadAtMs,
-    onListRead: (atMs) => parts.directory.notePeerRead(atMs),
+    onListRead: (atMs) => parts.directory.recordPeerRead(atMs),
     configReads: planConfigReads(settings.store),
     loadConfig: () => parts.reading.loadConfig(),
     onLiveVms: wiring.onLiveVms,
