--- a/packages/heatherarch-claims/claim_fold.ts
+++ b/packages/heatherarch-claims/claim_fold.ts
@@ -97,7 +97,7 @@
     const verdicts = new Map<string, ClaimVerdict>();
     const parsed = parseClaimRecord(record.data);
     if (parsed?.type !== "batch") return verdicts;
-    if (this.#isRepeatedId(parsed.id)) return verdicts;
+    if (this.#checkRepeatedId(parsed.id)) return verdicts;
     for (const entry of parsed.entries) this.#applyEntry(entry, verdicts);
     this.#expireKeys();
     return verdicts;
@@ -188,8 +188,8 @@
     return { kind: "granted" };
   }
 
-  /** Whether the record with this id was applied before. Adds the id to the recent ones. */
-  #isRepeatedId(id: string): boolean {
+  /** Returns whether a record with this id was applied before, and keeps the id. */
+  #checkRepeatedId(id: string): boolean {
     if (this.#seenIds.has(id)) return !this.#off.has("dropRepeatedId");
     this.#seenIds.add(id);
     if (this.#seenIds.size > MAX_SEEN_IDS) {
--- a/packages/heatherarch-quarantine/crash_detector.ts
+++ b/packages/heatherarch-quarantine/crash_detector.ts
@@ -76,14 +76,14 @@
 
   /** Records that a target crashed, and reports the crash for all requests that were lost there. */
   recordCrash(target: string, evidence: CrashEvidence): void {
-    const { quarantine, clock, onCrash: onEnded } = this.#options;
+    const { quarantine, clock, onCrash } = this.#options;
     const nowMs = clock.readMonotonicMs();
     const losses = (this.#pending.get(target) ?? [])
       .filter(({ atMs }) => nowMs - atMs <= EVIDENCE_WINDOW_MS);
     this.#dropPending(target);
     if (losses.length === 0) return;
     const requests = new Set(losses.map(({ request }) => request));
-    onEnded(target, evidence, [...requests]);
+    onCrash(target, evidence, [...requests]);
     for (const { request, account, atMs } of losses) {
       quarantine.recordCrash(request, account, target, atMs);
     }
--- a/packages/heatherarch-quarantine/request_quarantine.ts
+++ b/packages/heatherarch-quarantine/request_quarantine.ts
@@ -212,12 +212,18 @@
   ): QuarantinedRequest | undefined {
     const suspect = this.#suspects.get(request);
     if (suspect === undefined) return undefined;
-    const lives = listCrashes(suspect);
-    if (lives.length < this.#options.maxCrashes) return undefined;
+    const incarnations = listCrashes(suspect);
+    if (incarnations.length < this.#options.maxCrashes) return undefined;
     const sinceMs = findLatest(suspect);
-    const untilMs = sinceMs + this.#computeQuarantineMs(lives.length);
+    const untilMs = sinceMs + this.#computeQuarantineMs(incarnations.length);
     if (nowMs >= untilMs) return undefined;
-    return { request, account: suspect.account, lives, sinceMs, untilMs };
+    return {
+      request,
+      account: suspect.account,
+      lives: incarnations,
+      sinceMs,
+      untilMs,
+    };
   }
 
   /**
