--- a/packages/heatherarch-forward/scheduling/caller_timeout.ts
+++ b/packages/heatherarch-forward/scheduling/caller_timeout.ts
@@ -1,54 +1,56 @@
 /**
- * For how long the caller of a stream waits, and from when.
+ * Computes how long the caller of a stream waits before it times out, and from when.
  *
- * Pure: time comes in with each call.
+ * All functions are pure: times are arguments.
  *
  * @module
  */
 
 /**
- * Callers leave a stream after the longer of 2 s and four times its aim without an event (the
- * users' page of requests); less the way there and the first token.
+ * Callers abandon a stream after the longer of 2 s and four times its latency objective without an
+ * event, as specified in the users' page of requests. The margin covers the network path to the
+ * caller and the first token.
  */
-const CALLER_PATIENCE = { leastMs: 2000, aims: 4, marginMs: 250 };
+const CALLER_TIMEOUT = { minMs: 2000, aimFactor: 4, marginMs: 250 };
 
-/** Time for which a caller waits for an event of a stream, milliseconds. */
+/** Time for which a caller waits for the next event of a stream, in milliseconds. */
 export function computeCallerTimeoutMs(aimMs: number): number {
-  const { leastMs, aims, marginMs } = CALLER_PATIENCE;
-  return Math.max(leastMs, aims * aimMs) - marginMs;
+  const { minMs, aimFactor, marginMs } = CALLER_TIMEOUT;
+  return Math.max(minMs, aimFactor * aimMs) - marginMs;
 }
 
-/** What bounds the wait of a call; times are monotonic milliseconds. */
+/** Options of {@linkcode computeWaitLimits}; times are monotonic milliseconds. */
 export interface WaitOptions {
   readonly arrivedAtMs: number;
-  /** Time at which neither caller nor route waits any longer. */
+  /** Deadline of the call, set by its caller and its route. */
   readonly deadlineAtMs: number;
+  /** Latency objective of the route. */
   readonly aimMs: number;
-  /** Time at which a stream that had begun broke off; undefined before the first event. */
+  /** Time at which a started stream was interrupted; undefined before the first event. */
   readonly interruptedAtMs?: number;
 }
 
-/** From when and until when a call waits; monotonic milliseconds. */
+/** Start and end of the wait of a call; monotonic milliseconds. */
 export interface WaitLimits {
   readonly waitStartedAtMs: number;
   readonly timeoutAtMs: number;
 }
 
 /**
- * The limits of a wait. A caller that has had events waits anew from the last one, so a stream
- * that broke off is not late because its call is old.
+ * Computes the limits of a wait. A caller that has received events restarts its timeout at the last
+ * one, so an interrupted stream is not late just because its call is old.
  */
 export function computeWaitLimits(options: WaitOptions): WaitLimits {
   const {
     arrivedAtMs,
-    deadlineAtMs: endAtMs,
+    deadlineAtMs,
     aimMs,
-    interruptedAtMs: brokeAtMs,
+    interruptedAtMs,
   } = options;
-  const sinceMs = brokeAtMs ?? arrivedAtMs;
-  const leavesAtMs = sinceMs + computeCallerTimeoutMs(aimMs);
+  const waitStartedAtMs = interruptedAtMs ?? arrivedAtMs;
+  const timeoutAtMs = waitStartedAtMs + computeCallerTimeoutMs(aimMs);
   return {
-    waitStartedAtMs: sinceMs,
-    timeoutAtMs: Math.min(endAtMs, leavesAtMs),
+    waitStartedAtMs,
+    timeoutAtMs: Math.min(deadlineAtMs, timeoutAtMs),
   };
 }
--- a/packages/heatherarch-forward/scheduling/config_reads.ts
+++ b/packages/heatherarch-forward/scheduling/config_reads.ts
@@ -1,70 +1,72 @@
 /**
- * Times of the reads that bring a newer configuration, from the bound within which a change is in
- * force.
+ * Derives the timing of configuration reads from the bound within which a change must take effect.
  *
- * A read may be lost at any moment: with the store, or with its connection. The next one has to
- * bring the change in time, whichever read was lost and however shortly before the store is back.
+ * A read can be lost at any moment, with the store or with its connection. The next read has to
+ * deliver the change in time, whichever read was lost and however shortly before the store recovers.
  *
  * @module
  */
 
-/** What the times follow from. */
+/** Options of {@linkcode planConfigReads}. */
 export interface ConfigReadTimingOptions {
-  /** Time within which a change is in force, milliseconds. */
+  /** Time within which a change must take effect, in milliseconds. */
   readonly configBoundMs: number;
-  /** How long the store may hold a read, milliseconds. */
+  /** How long the store may hold a long poll, in milliseconds. */
   readonly configWaitMs: number;
-  /** Longest wait for an answer of the store, milliseconds. */
+  /** Timeout of requests to the store, in milliseconds. */
   readonly requestTimeoutMs: number;
 }
 
-/** Times of one VM's reads, milliseconds. */
+/** Timing of the configuration reads of one VM, in milliseconds. */
 export interface ConfigReadTiming {
-  /** How long the store may hold a read until there is a newer configuration. */
+  /** How long the store may hold a long poll until there is a newer configuration. */
   readonly waitMs: number;
-  /** Longest wait for the answer to a long poll, beyond the time for which it is held. */
+  /** Timeout of a long poll, in addition to the time for which the store holds it. */
   readonly answerMs: number;
-  /** Longest wait for the answer to a plain read. */
+  /** Timeout of a plain read. */
   readonly timeoutMs: number;
-  /** Pause after a failed plain read. */
+  /** Delay before the retry of a failed plain read. */
   readonly retryMs: number;
-  /** The same on a VM without duty: many of them try at once. */
+  /** Retry delay on a VM that is not a coordinator: many such VMs retry at once. */
   readonly spareRetryMs: number;
-  /** A VM that reads the store asks a peer that has a change only after this time. */
+  /** Delay before a VM that reads the store requests a change from a peer that has it. */
   readonly askPeerAfterMs: number;
-  /** Longest wait for a peer's answer. */
+  /** Timeout of a request to a peer. */
   readonly peerTimeoutMs: number;
 }
 
-/** Parts of the bound. What is left is for the answer itself, and for hubs to tell it on. */
-const ANSWER_PART = 0.25;
-const TIMEOUT_PART = 0.6;
-const RETRY_PART = 0.125;
-const SPARE_RETRY_PART = 0.25;
-const ASK_PEER_PART = 0.35;
-const PEER_TIMEOUT_PART = 0.2;
+/** Fractions of the bound. The rest is left for the response and for its distribution by hubs. */
+const ANSWER_FRACTION = 0.25;
+const TIMEOUT_FRACTION = 0.6;
+const RETRY_FRACTION = 0.125;
+const SPARE_RETRY_FRACTION = 0.25;
+const ASK_PEER_FRACTION = 0.35;
+const PEER_TIMEOUT_FRACTION = 0.2;
 
-/** Plans the reads of one VM. */
+/** Computes the timing of the configuration reads of one VM. */
 export function planConfigReads(
   options: ConfigReadTimingOptions,
 ): ConfigReadTiming {
   const { configBoundMs, configWaitMs, requestTimeoutMs } = options;
-  const computePart = (part: number): number =>
-    Math.round(configBoundMs * part);
+  const computeFractionMs = (fraction: number): number =>
+    Math.round(configBoundMs * fraction);
   return {
     waitMs: configWaitMs,
-    answerMs: Math.min(requestTimeoutMs, computePart(ANSWER_PART)),
-    timeoutMs: Math.min(requestTimeoutMs, computePart(TIMEOUT_PART)),
-    retryMs: computePart(RETRY_PART),
-    spareRetryMs: computePart(SPARE_RETRY_PART),
-    askPeerAfterMs: computePart(ASK_PEER_PART),
-    peerTimeoutMs: Math.min(requestTimeoutMs, computePart(PEER_TIMEOUT_PART)),
+    answerMs: Math.min(requestTimeoutMs, computeFractionMs(ANSWER_FRACTION)),
+    timeoutMs: Math.min(requestTimeoutMs, computeFractionMs(TIMEOUT_FRACTION)),
+    retryMs: computeFractionMs(RETRY_FRACTION),
+    spareRetryMs: computeFractionMs(SPARE_RETRY_FRACTION),
+    askPeerAfterMs: computeFractionMs(ASK_PEER_FRACTION),
+    peerTimeoutMs: Math.min(
+      requestTimeoutMs,
+      computeFractionMs(PEER_TIMEOUT_FRACTION),
+    ),
   };
 }
 
 /**
- * Longest time from the moment at which the store answers again to the answer that brings a change,
- * without the time that the store takes over it, milliseconds.
+ * Longest time from the recovery of the store to the response that delivers a change, in
+ * milliseconds, without the time that the store takes to respond.
  */
 export function computeMaxConfigDelayMs(reads: ConfigReadTiming): number {
   const { waitMs, answerMs, timeoutMs, retryMs } = reads;
--- a/packages/heatherarch-forward/scheduling/decode_wait.ts
+++ b/packages/heatherarch-forward/scheduling/decode_wait.ts
@@ -1,40 +1,42 @@
 /**
- * When an engine will generate again, where none does.
+ * Predicts when a decode engine becomes available while there is none.
  *
- * Pattern of load: the engines that generate are drained or crash together, and others need some
- * seconds to take their role. Callers of streams leave when they have heard nothing for about two
- * seconds, so a call waits only where the engine comes within that time; any other is told at
- * once when to come back, before its prompt is read for nothing.
+ * The decode engines can be drained or crash together, and other engines need some seconds to
+ * take over the role. Callers of streams time out after about two seconds without an event.
+ * A call therefore waits only if a decode engine is expected within that time. Any other call is
+ * refused at once with a retry delay, before its prompt is prefilled in vain.
  *
- * Pure: time comes in with each call.
+ * All functions are pure: the current time is an argument.
  *
  * @module
  */
 import { computeCallerTimeoutMs } from "./caller_timeout.ts";
 
-/** From the end of a change until the list tells it: an entry, a reading of it, milliseconds. */
-const LIST_LAG_MS = 500;
+/** Delay until the target list shows a finished role change: the entry is appended, then read. */
+const TARGET_LIST_LAG_MS = 500;
 
 /**
- * Time until the first of the engines generates, milliseconds; `changingSince` are the times at
- * which engines began to take the role. Undefined where none does. 0 where one is overdue.
+ * Time until the first engine is ready to decode, in milliseconds. `roleChangeStartsMs` are the
+ * times at which engines began to change to the decode role. Returns undefined if no engine is
+ * changing, and 0 if a role change is overdue.
  */
 export function predictDecodeReadyMs(
-  changingSince: readonly number[],
+  roleChangeStartsMs: readonly number[],
   roleChangeMs: number,
   nowMs: number,
 ): number | undefined {
-  if (changingSince.length === 0) return undefined;
-  const readyAtMs = Math.min(...changingSince) + roleChangeMs + LIST_LAG_MS;
+  if (roleChangeStartsMs.length === 0) return undefined;
+  const readyAtMs = Math.min(...roleChangeStartsMs) + roleChangeMs +
+    TARGET_LIST_LAG_MS;
   return Math.max(0, readyAtMs - nowMs);
 }
 
-/** Whether a caller that has waited for `waitedMs` is still there when the engine comes. */
+/** Whether a caller that has waited for `waitedMs` is still connected when the engine is ready. */
 export function isWorthWaiting(
-  comesInMs: number | undefined,
+  readyInMs: number | undefined,
   waitedMs: number,
   aimMs: number,
 ): boolean {
-  if (comesInMs === undefined) return false;
-  return waitedMs + comesInMs <= computeCallerTimeoutMs(aimMs);
+  if (readyInMs === undefined) return false;
+  return waitedMs + readyInMs <= computeCallerTimeoutMs(aimMs);
 }
--- a/packages/heatherarch-forward/scheduling/engine_jitter.ts
+++ b/packages/heatherarch-forward/scheduling/engine_jitter.ts
@@ -1,13 +1,14 @@
 /**
- * Keeps VMs that know the same from choosing the same engine.
+ * Adds jitter to the choice of an engine, so that VMs with the same data do not all pick the same
+ * engine.
  *
- * Pattern of load: what VMs know of each other's work is 30 ms old in a small fleet and 100 ms and
- * more over hubs. With 195 VMs some 50 prompts are placed meanwhile, and every one goes to the
- * engine that looked idlest: VMs that know the same choose the same.
+ * The data that VMs have on each other's work is 30 ms old in a small fleet, and 100 ms or more when
+ * it passes through hubs. With 195 VMs, some 50 prompts are placed within that time. Without jitter
+ * all of them go to the engine that appeared to have the least work.
  *
- * Each VM adds a wait of its own to each engine, so that engines that look nearly the same are
- * taken by different VMs. Half of it is drawn anew for each prompt; the other half stays, so that
- * a VM goes back to engines to which it has connections.
+ * Each VM adds its own delay to the estimate of each engine, so that different VMs pick different
+ * engines among nearly equal ones. Half of the delay is drawn for each prompt. The other half is
+ * constant, so that a VM prefers engines to which it already has connections.
  *
  * @module
  */
@@ -16,47 +17,50 @@
 /** Options of {@linkcode EngineJitter}. */
 export interface EngineJitterOptions {
   readonly vmId: string;
-  /** Uniform in [0, 1). */
+  /** Returns a random number, uniform in [0, 1). */
   readonly drawUnit: () => number;
-  /** Longest added wait, milliseconds. */
+  /** Longest added delay, in milliseconds. */
   readonly maxMs?: number;
 }
 
-/** About a short prompt: where engines are few, more leaves the idle ones to others. */
-const DEFAULT_MOST_MS = 20;
+/**
+ * About the prefill time of a short prompt. With few engines, a longer delay makes a VM leave idle
+ * engines to other VMs.
+ */
+const DEFAULT_MAX_MS = 20;
 const MAX_WEIGHT = 2 ** 32;
-/** Part of the added wait that stays. */
-const LASTING_PART = 0.5;
+/** Constant fraction of the added delay. */
+const PERSISTENT_FRACTION = 0.5;
 
-/** The waits that one VM adds. */
+/** Delays that one VM adds to its estimates. */
 export class EngineJitter {
   readonly #options: Required<EngineJitterOptions>;
-  readonly #lasting = new Map<string, number>();
+  readonly #persistentUnits = new Map<string, number>();
 
   constructor(options: EngineJitterOptions) {
-    this.#options = { maxMs: DEFAULT_MOST_MS, ...options };
+    this.#options = { maxMs: DEFAULT_MAX_MS, ...options };
   }
 
-  /** Wait that is added to an engine in the choice for one prompt, milliseconds. */
+  /** Draws the delay that is added to an engine for one prompt, in milliseconds. */
   drawMs(target: string): number {
-    const { maxMs: mostMs, drawUnit } = this.#options;
-    const lasting = this.#getLasting(target) * LASTING_PART;
-    return mostMs * (lasting + drawUnit() * (1 - LASTING_PART));
+    const { maxMs, drawUnit } = this.#options;
+    const constant = this.#getPersistentUnit(target) * PERSISTENT_FRACTION;
+    return maxMs * (constant + drawUnit() * (1 - PERSISTENT_FRACTION));
   }
 
-  /** An engine has gone. */
+  /** Drops the data of an engine that has left the fleet. */
   forget(target: string): void {
-    this.#lasting.delete(target);
+    this.#persistentUnits.delete(target);
   }
 
-  /** In [0, 1), always the same for this VM and that engine. */
-  #getLasting(target: string): number {
-    let lasting = this.#lasting.get(target);
-    if (lasting === undefined) {
+  /** Number in [0, 1) that is constant for this VM and the engine. */
+  #getPersistentUnit(target: string): number {
+    let unit = this.#persistentUnits.get(target);
+    if (unit === undefined) {
       const { vmId } = this.#options;
-      lasting = computeRendezvousWeight(vmId, target) / MAX_WEIGHT;
-      this.#lasting.set(target, lasting);
+      unit = computeRendezvousWeight(vmId, target) / MAX_WEIGHT;
+      this.#persistentUnits.set(target, unit);
     }
-    return lasting;
+    return unit;
   }
 }
--- a/packages/heatherarch-forward/scheduling/engine_selection.ts
+++ b/packages/heatherarch-forward/scheduling/engine_selection.ts
@@ -1,5 +1,5 @@
 /**
- * Which engines of a service may be tried for a call.
+ * Selects the engines of a service that a call may try.
  *
  * @module
  */
@@ -7,33 +7,33 @@
 import type { Target } from "../model.ts";
 import { findBackoffMs, listAvailableTargets } from "./target_selection.ts";
 
-/** What an engine is needed for. */
+/** Inference phase for which an engine is needed: prefill ("reading") or decode ("generating"). */
 export type InferencePhase = "reading" | "generating";
 
-/** Engines that may be tried now; avoided ones only where there is no other. */
+/** Lists the engines that may be tried now. Avoided engines are listed only if no other is left. */
 export function listAvailableEngines(
   run: CallRun,
-  use: InferencePhase,
+  phase: InferencePhase,
   tried: ReadonlySet<string>,
 ): Target[] {
   return listAvailableTargets({
     run,
     tried,
-    accepts: (target) => isOf(target, use),
+    accepts: (target) => servesPhase(target, phase),
   });
 }
 
 /**
- * Time until the first rest ends, milliseconds, if all engines for the use rest; undefined
- * otherwise.
+ * Time until the first backoff ends, in milliseconds, if all engines of the phase are in backoff;
+ * undefined otherwise.
  */
 export function findEngineBackoffMs(
   run: CallRun,
-  use: InferencePhase,
+  phase: InferencePhase,
 ): number | undefined {
-  return findBackoffMs(run, (target) => isOf(target, use));
+  return findBackoffMs(run, (target) => servesPhase(target, phase));
 }
 
-function isOf({ role }: Target, use: InferencePhase): boolean {
-  return (role === "prefill") === (use === "reading");
+function servesPhase({ role }: Target, phase: InferencePhase): boolean {
+  return (role === "prefill") === (phase === "reading");
 }
--- a/packages/heatherarch-forward/scheduling/least_loaded_target.ts
+++ b/packages/heatherarch-forward/scheduling/least_loaded_target.ts
@@ -1,30 +1,33 @@
 /**
- * Which target runs a call: an engine that generates, or a target of a plain service.
+ * Picks the least loaded target for a call: a decode engine, or a target of a plain service.
  *
  * @module
  */
 import type { Target } from "../model.ts";
 
-/** A target that could run a call. */
+/** A target that can run a call. */
 export interface TargetCandidate {
   readonly target: Target;
-  /** Runs in progress, over all VMs. */
+  /** Runs in progress on the target, from all VMs. */
   readonly runs: number;
-  /** KV tokens in use by those runs; 0 for a plain target. */
+  /** Tokens in the KV cache that these runs use; 0 for a plain target. */
   readonly kvTokens: number;
-  /** KV tokens that the target has room for; 0 for a plain target. */
+  /** Capacity of the KV cache in tokens; 0 for a plain target. */
   readonly kvCapacityTokens: number;
 }
 
 /**
- * A target in another zone is taken where it has this much more of its room free: moving a KV
- * cache between zones takes twice as long and costs up to three times as much.
+ * A target in another availability zone is picked only if its utilization is lower by more than
+ * this. A KV cache transfer between zones takes twice as long and costs up to three times as much.
  */
-const OTHER_ZONE_HANDICAP = 0.12;
-/** Differences in use below this are decided by the tie-break, so that VMs don't flock. */
-const USE_STEP = 0.02;
+const CROSS_ZONE_PENALTY = 0.12;
+/** Utilizations closer than this are ordered at random, so that VMs don't all pick one target. */
+const TIE_BREAK_RANGE = 0.02;
 
-/** The target with the most room; near ones first. Undefined where there is none. */
+/**
+ * Picks the target with the lowest utilization, preferring those in `zone`. Returns undefined if
+ * there are no candidates. `drawUnit` returns a random number in [0, 1).
+ */
 export function pickLeastLoaded(
   candidates: readonly TargetCandidate[],
   zone: string | undefined,
@@ -33,11 +36,11 @@
   let best: TargetCandidate | undefined;
   let bestScore = Infinity;
   for (const candidate of candidates) {
-    const isFar = zone !== undefined &&
+    const isOtherZone = zone !== undefined &&
       candidate.target.availabilityZone !== zone;
-    const handicap = isFar ? OTHER_ZONE_HANDICAP : 0;
-    const score = computeUtilization(candidate) + handicap +
-      drawUnit() * USE_STEP;
+    const penalty = isOtherZone ? CROSS_ZONE_PENALTY : 0;
+    const score = computeUtilization(candidate) + penalty +
+      drawUnit() * TIE_BREAK_RANGE;
     if (score >= bestScore) continue;
     best = candidate;
     bestScore = score;
@@ -45,9 +48,12 @@
   return best;
 }
 
-/** Share of a target's places or KV cache in use, whichever is higher. */
+/** Utilization of a target's slots or of its KV cache, whichever is higher. */
 export function computeUtilization(candidate: TargetCandidate): number {
-  const places = candidate.runs / Math.max(1, candidate.target.slots);
-  if (candidate.kvCapacityTokens === 0) return places;
-  return Math.max(places, candidate.kvTokens / candidate.kvCapacityTokens);
+  const slotUtilization = candidate.runs / Math.max(1, candidate.target.slots);
+  if (candidate.kvCapacityTokens === 0) return slotUtilization;
+  return Math.max(
+    slotUtilization,
+    candidate.kvTokens / candidate.kvCapacityTokens,
+  );
 }
--- a/packages/heatherarch-forward/scheduling/prefill_candidate_cache.ts
+++ b/packages/heatherarch-forward/scheduling/prefill_candidate_cache.ts
@@ -1,9 +1,9 @@
 /**
- * The engines that may read prompts now, each with what it has still to read, worked out once for
- * prompts that are placed one after another.
+ * Caches the engines that may prefill prompts now, each with its backlog, for prompts that are
+ * placed one after another.
  *
- * Pattern of load: in a burst a VM has ten and more prompts waiting and looks for engines some
- * tens of times a second. The prompts of one look share what is worked out for all of 82 engines.
+ * In a burst a VM has ten or more waiting prompts and dispatches some tens of times a second. The
+ * prompts of one dispatch share one computation over all engines, of which there can be 82.
  *
  * @module
  */
@@ -12,60 +12,60 @@
 import type { Target } from "../model.ts";
 import type { PrefillCandidate } from "./prompt_placement.ts";
 
-/** A board as it was seen at some time. */
-interface Seen {
+/** Engines and backlogs at one point in time. */
+interface Snapshot {
   readonly service: string;
   readonly atMs: number;
-  /** Version of the ledger that the backlogs follow from. */
+  /** Version of the work tracker from which the backlogs were computed. */
   readonly version: number;
   readonly serving: readonly Target[];
   readonly candidates: readonly PrefillCandidate[];
-  readonly readers: readonly Target[];
+  readonly prefillEngines: readonly Target[];
 }
 
-/** Time for which a board holds while nothing is given to engines, milliseconds: one look. */
+/** A snapshot is reused for this long while no work changes: the duration of one dispatch. */
 const MAX_AGE_MS = 2;
-const NONE: ReadonlySet<string> = new Set();
+const NO_TARGETS: ReadonlySet<string> = new Set();
 
-/** The board of one VM. */
+/** Cache of prefill candidates of one VM. */
 export class PrefillCandidateCache {
-  #seen: Seen | undefined;
+  #snapshot: Snapshot | undefined;
 
-  /** Engines that may read the prompt of `run` now, but for those in `tried`. */
+  /** Lists the engines that may prefill the prompt of `run` now, without those in `tried`. */
   listCandidates(
     run: CallRun,
     tried: ReadonlySet<string>,
   ): readonly PrefillCandidate[] {
-    const { candidates } = this.#look(run);
+    const { candidates } = this.#getSnapshot(run);
     if (!candidates.some(({ target }) => tried.has(target.id))) {
       return candidates;
     }
     return buildCandidates(run, tried);
   }
 
-  /** All engines of the service that read, also those that may get nothing now. */
+  /** Lists all prefill engines of the service, including those that are not available now. */
   listPrefillEngines(run: CallRun): readonly Target[] {
-    return this.#look(run).readers;
+    return this.#getSnapshot(run).prefillEngines;
   }
 
-  #look(run: CallRun): Seen {
+  #getSnapshot(run: CallRun): Snapshot {
     const { directory, ledger } = run.serving;
     const { name } = run.service;
     const serving = directory.listServing(name);
-    const seen = this.#seen;
-    const isCurrent = seen !== undefined && seen.service === name &&
-      seen.version === ledger.version && seen.serving === serving &&
-      run.nowMs - seen.atMs <= MAX_AGE_MS;
-    if (isCurrent) return seen;
-    this.#seen = {
+    const snapshot = this.#snapshot;
+    const isCurrent = snapshot !== undefined && snapshot.service === name &&
+      snapshot.version === ledger.version && snapshot.serving === serving &&
+      run.nowMs - snapshot.atMs <= MAX_AGE_MS;
+    if (isCurrent) return snapshot;
+    this.#snapshot = {
       service: name,
       atMs: run.nowMs,
       version: ledger.version,
       serving,
-      candidates: buildCandidates(run, NONE),
-      readers: serving.filter((target) => target.role === "prefill"),
+      candidates: buildCandidates(run, NO_TARGETS),
+      prefillEngines: serving.filter((target) => target.role === "prefill"),
     };
-    return this.#seen;
+    return this.#snapshot;
   }
 }
 
--- a/packages/heatherarch-forward/scheduling/prefill_queue.ts
+++ b/packages/heatherarch-forward/scheduling/prefill_queue.ts
@@ -1,14 +1,15 @@
 /**
- * Prompts that wait at this VM until an engine is about to be free for them.
+ * Queues prompts at this VM until an engine is about to have capacity for them.
  *
- * Pattern of load: bursts bring two to five times as many prompts as the engines can read, for
- * seconds. An engine reads in the order of arrival: what it was given can't be put in another
- * order, moved, or taken back, so a call that has turned late there keeps its place before calls
- * that could be on time. Engines therefore get only what keeps them busy for the next tens of
- * milliseconds, and the rest waits here. Calls that can still be on time go first, by rank and by
- * the time that they have left. Late ones are read when no other call waits, and are refused when
- * their callers are about to leave. Before all of these go large prompts of which too few have been
- * read (`size_shares.ts`).
+ * Bursts bring two to five times as many prompts as the engines can prefill, for seconds. An engine
+ * prefills in the order of arrival. Prompts that were sent to it can't be reordered, moved or
+ * withdrawn, so a call that became late there stays ahead of calls that could be on time. Engines
+ * therefore get only enough work for the next tens of milliseconds, and the other prompts wait here.
+ *
+ * Calls that can still meet their latency objective go first, ordered by route priority and by the
+ * time that they have left. Late calls are placed when no other call waits, and are refused when
+ * their callers are about to time out. Large prompts of an underserved size class go before all
+ * others (see `size_fairness.ts`).
  *
  * @module
  */
@@ -17,204 +18,208 @@
 import type { PromptPlacement } from "./prompt_placement.ts";
 import { type SizeClass, SizeFairness } from "./size_fairness.ts";
 
-/** A placement in the lane that it was made for. */
+/** A placement, with the lane of its call. */
 export interface LanePlacement {
   readonly placement: PromptPlacement;
   readonly lane: number;
 }
 
-/** What becomes of a waiting prompt. */
+/** Outcome of the wait of a prompt. */
 export type PrefillOutcome =
   | { readonly kind: "placed"; readonly placed: LanePlacement }
-  /** No engine reads prompts apart now. */
+  /** No prefill engine is available now. */
   | { readonly kind: "noReader" }
-  /** No engine can be done with it in the time for which it is worth waiting. */
+  /** No engine can complete the prefill before the call has to end its wait. */
   | {
     readonly kind: "tooLate";
     readonly placement: PromptPlacement;
-    /** Time by which the reading had to be over, monotonic milliseconds. */
+    /** Time by which the prefill had to be complete, monotonic milliseconds. */
     readonly prefillDeadlineMs: number;
   };
 
-/** A prompt that is to be read. Times are monotonic milliseconds. */
+/** A prompt that needs prefill. Times are monotonic milliseconds. */
 export interface PrefillRequest {
-  /** Lane by the rank of its route. */
+  /** Lane by the priority of the route. */
   readonly lane: number;
-  /** Kind of request; the sizes of its prompts are served in like shares. */
+  /** Kind of request, within which large prompts get a minimum share. */
   readonly kind: string;
   readonly tokens: number;
-  /** When its caller began to wait: the arrival, or the last event of a stream that broke off. */
+  /** Start of the caller's wait: the arrival, or the time at which a stream was interrupted. */
   readonly waitStartedAtMs: number;
-  /** Time from then within which the first token earns full worth. */
+  /** Latency objective: time from then within which the first token earns full worth. */
   readonly aimMs: number;
-  /** Its caller has left by then. */
+  /** Time at which the caller times out. */
   readonly timeoutAtMs: number;
-  /** From the end of the reading to the first token at the caller. */
+  /** Time from the end of the prefill to the first token at the caller. */
   readonly firstTokenDelayMs: number;
-  /** The engine that would read it soonest; undefined where none reads. */
+  /** Finds the engine that would complete the prefill first; undefined if there is none. */
   findPlacement(): PromptPlacement | undefined;
-  /** Whether the fleet has an engine to spare for the prompt of a late call. */
+  /** Whether the fleet has a spare engine for the prompt of a late call. */
   mayPrefillLate(): boolean;
-  /** Called once, unless the wait is given up. What is placed has to be booked at once. */
-  onOutcome(verdict: PrefillOutcome): void;
+  /**
+   * Called once, unless the wait is cancelled. The work of a placed prompt has to be booked before
+   * this returns.
+   */
+  onOutcome(outcome: PrefillOutcome): void;
 }
 
 /** Options of {@linkcode PrefillQueue}. */
 export interface PrefillQueueOptions {
   readonly clock: Clock;
-  /** An engine gets a further prompt while it has less than this to read, milliseconds. */
+  /** An engine gets another prompt while its prefill backlog is not above this, in milliseconds. */
   readonly maxBacklogMs?: number;
-  /** The same for prompts of late calls. */
+  /** Largest backlog at which an engine gets the prompt of a late call, in milliseconds. */
   readonly maxLateBacklogMs?: number;
-  /** Whether the queue looks by itself while prompts wait; models call {@linkcode PrefillQueue.dispatch}. */
+  /**
+   * Whether a timer dispatches while prompts wait. Simulations turn it off and call
+   * {@linkcode PrefillQueue.dispatch}.
+   */
   readonly isTimerEnabled?: boolean;
 }
 
 /**
- * An answer takes some 20 ms beyond the reading, and peers tell of their work every 60 ms: with
- * less an engine stands idle between two prompts, with more it holds what could have gone
- * elsewhere.
+ * A response takes some 20 ms in addition to the prefill, and peers report their work every 60 ms.
+ * With a smaller value an engine is idle between two prompts. With a larger one it holds prompts that
+ * could have gone to another engine.
  */
-const DEFAULT_WINDOW_MS = 60;
-/** Late calls take what is idle: an engine that has next to nothing to read. */
-const DEFAULT_LATE_WINDOW_MS = 20;
-/** Least pause between looks while prompts wait: a sixth of the window. */
-const LOOK_MS = 10;
+const DEFAULT_MAX_BACKLOG_MS = 60;
+/** Late calls use only engines that are almost idle. */
+const DEFAULT_MAX_LATE_BACKLOG_MS = 20;
+/** Shortest time between dispatches while prompts wait: a sixth of the default backlog. */
+const MIN_DISPATCH_INTERVAL_MS = 10;
 /**
- * Longest pause between looks: work that peers end sooner than they said, and engines that come,
- * are noticed this much later at most. An engine that is known to have room later than that is not
- * asked for before: in an overload that spares a small VM two thirds of its looks.
+ * Longest time between dispatches, and the longest delay until new engines, or work that peers finish
+ * earlier than reported, are noticed. Between the two limits, the next dispatch waits until an engine
+ * is known to have capacity. In an overload this saves a small VM two thirds of its dispatches.
  */
-const MAX_LOOK_MS = 30;
+const MAX_DISPATCH_INTERVAL_MS = 30;
 /**
- * Waiting prompts of one lane that are placed anew in one look: where the first ones find all
- * engines full the next ones do too.
+ * Waiting prompts of one lane for which one dispatch searches an engine. If the first ones find all
+ * engines full, the next ones do too.
  */
-const MAX_LOOKED = 8;
-/** Pause between looks at the late calls, which may be many and are in no hurry. */
-const LATE_LOOK_MS = 40;
+const MAX_PLACEMENTS_PER_DISPATCH = 8;
+/** Time between dispatches of late calls, which may be many and are not urgent. */
+const LATE_DISPATCH_INTERVAL_MS = 40;
 /**
- * A rank further behind counts like this much less waiting, milliseconds. With strict ranks an
- * overload of the first rank leaves nothing to the others.
+ * Each lane of lower priority counts as this much less waiting time. With strict priorities, an
+ * overload of the first lane would starve the others.
  */
-const RANK_MS = 300;
+const LANE_PENALTY_MS = 300;
 /**
- * A late call waits for this part of the time for which its caller does: the rest is too short
- * for it to be read and begun. One that is refused sooner comes back into the same burst.
+ * A late call waits for this fraction of its caller's timeout. The rest is too short for the prefill
+ * and the first token. A call that is refused earlier is retried within the same burst.
  */
-const LATE_PART = 0.85;
+const LATE_WAIT_FRACTION = 0.85;
 /**
- * A prompt that takes more than this part of its aim to read is seldom on time: it waits for as
- * long as its caller does, or prompts of its size would not be served at all under load.
+ * A prompt whose prefill takes more than this fraction of its latency objective is seldom on time. It
+ * waits until its caller times out, because prompts of its size would otherwise not be served at all
+ * under load.
  */
-const LARGE_PART = 0.5;
+const LARGE_COST_FRACTION = 0.5;
 
-/** Prompts that wait at one VM. */
+/** Queue of the prompts that wait at one VM. */
 export class PrefillQueue {
   readonly #clock: Clock;
-  readonly #windowMs: number;
-  readonly #lateWindowMs: number;
-  readonly #isTimed: boolean;
-  readonly #shares = new SizeFairness();
-  /** Calls that can be on time, in the order in which they go. */
+  readonly #maxBacklogMs: number;
+  readonly #maxLateBacklogMs: number;
+  readonly #isTimerEnabled: boolean;
+  readonly #fairness = new SizeFairness();
+  /** Calls that can be on time, in the order in which they are placed. */
   #waiting: WaitingRequest[] = [];
-  /** In the order in which they turned late. */
+  /** Late calls, in the order in which they became late. */
   #late: WaitingRequest[] = [];
-  #lateLookedAtMs = -Infinity;
-  /** Time until an engine is expected to have room for one of the waiting calls, milliseconds. */
-  #roomInMs = 0;
+  #lateDispatchedAtMs = -Infinity;
+  /** Time until an engine is expected to have capacity for a waiting call, in milliseconds. */
+  #capacityInMs = 0;
   #timer: NodeJS.Timeout | undefined;
 
   constructor(options: PrefillQueueOptions) {
     this.#clock = options.clock;
-    this.#windowMs = options.maxBacklogMs ?? DEFAULT_WINDOW_MS;
-    this.#lateWindowMs = options.maxLateBacklogMs ?? DEFAULT_LATE_WINDOW_MS;
-    this.#isTimed = options.isTimerEnabled ?? true;
+    this.#maxBacklogMs = options.maxBacklogMs ?? DEFAULT_MAX_BACKLOG_MS;
+    this.#maxLateBacklogMs = options.maxLateBacklogMs ??
+      DEFAULT_MAX_LATE_BACKLOG_MS;
+    this.#isTimerEnabled = options.isTimerEnabled ?? true;
   }
 
-  /** Prompts that wait now. */
+  /** Number of waiting prompts. */
   get size(): number {
     return this.#waiting.length + this.#late.length;
   }
 
-  /** Lets a prompt wait; returns what gives the wait up. */
+  /** Adds a prompt; returns a function that cancels its wait. */
   enqueue(request: PrefillRequest): () => void {
     const waiting = this.#wrap(request);
-    const at = this.#waiting.findIndex((other) => isBefore(waiting, other));
-    if (at < 0) this.#waiting.push(waiting);
-    else this.#waiting.splice(at, 0, waiting);
+    const index = this.#waiting.findIndex((other) => isBefore(waiting, other));
+    if (index < 0) this.#waiting.push(waiting);
+    else this.#waiting.splice(index, 0, waiting);
     this.dispatch();
     return () => {
       if (!this.#remove(waiting)) return;
-      this.#shares.recordEnd(request.kind, waiting.size, false);
+      this.#fairness.recordEnd(request.kind, waiting.size, false);
     };
   }
 
-  /** Counts a prompt among those of its size, and its verdict. */
+  /** Counts a prompt and its outcome in its size class. */
   #wrap(request: PrefillRequest): WaitingRequest {
-    const { kind, tokens, onOutcome: onVerdict } = request;
-    const size = this.#shares.recordArrival(kind, tokens);
+    const { kind, tokens, onOutcome } = request;
+    const size = this.#fairness.recordArrival(kind, tokens);
     return {
       ...request,
       size,
-      onOutcome: (verdict) => {
-        this.#shares.recordEnd(kind, size, verdict.kind === "placed");
-        onVerdict(verdict);
+      onOutcome: (outcome) => {
+        this.#fairness.recordEnd(kind, size, outcome.kind === "placed");
+        onOutcome(outcome);
       },
     };
   }
 
-  /** Places what may be placed now. */
+  /** Places the prompts that can be placed now. */
   dispatch(): void {
     const nowMs = this.#clock.readMonotonicMs();
-    this.#roomInMs = MAX_LOOK_MS;
-    this.#placeBehind(nowMs);
+    this.#capacityInMs = MAX_DISPATCH_INTERVAL_MS;
+    this.#placeUnderserved(nowMs);
     this.#placeWaiting(nowMs);
-    if (nowMs - this.#lateLookedAtMs >= LATE_LOOK_MS) {
-      this.#lateLookedAtMs = nowMs;
+    if (nowMs - this.#lateDispatchedAtMs >= LATE_DISPATCH_INTERVAL_MS) {
+      this.#lateDispatchedAtMs = nowMs;
       this.#placeLate(nowMs);
     }
-    if (this.size === 0 || !this.#isTimed) return;
+    if (this.size === 0 || !this.#isTimerEnabled) return;
     this.#timer ??= setTimeout(() => {
       this.#timer = undefined;
       this.dispatch();
-    }, Math.max(LOOK_MS, this.#roomInMs));
+    }, Math.max(MIN_DISPATCH_INTERVAL_MS, this.#capacityInMs));
   }
 
   /**
-   * Large prompts of which too few were placed go before all others, also those that can't be on
-   * time any more: no other rule here ever gives a large prompt its turn in an overload. The
-   * cheapest goes first, since one that is served lets the others wait.
+   * Places large prompts of an underserved size class before all others, including those that can no
+   * longer be on time: in an overload, no other rule of this queue places a large prompt. The cheapest
+   * goes first, because its size class may no longer be underserved once it is placed.
    */
-  #placeBehind(nowMs: number): void {
-    const looks = [...this.#waiting, ...this.#late]
-      .filter((request) => this.#isBehind(request))
-      .slice(0, MAX_LOOKED)
+  #placeUnderserved(nowMs: number): void {
+    const requests = [...this.#waiting, ...this.#late]
+      .filter((request) => this.#isUnderserved(request))
+      .slice(0, MAX_PLACEMENTS_PER_DISPATCH)
       .map((request) => ({ request, placement: request.findPlacement() }))
-      .filter((look): look is Look => look.placement !== undefined)
+      .filter((entry): entry is PlacedRequest => entry.placement !== undefined)
       .sort((a, b) => a.placement.costMs - b.placement.costMs);
-    for (const look of looks) {
-      if (this.#isBehind(look.request)) this.#placeAhead(look, nowMs);
+    for (const entry of requests) {
+      if (this.#isUnderserved(entry.request)) this.#placeFirst(entry, nowMs);
     }
   }
 
-  #isBehind({ kind, size }: WaitingRequest): boolean {
-    return this.#shares.isUnderserved(kind, size);
+  #isUnderserved({ kind, size }: WaitingRequest): boolean {
+    return this.#fairness.isUnderserved(kind, size);
   }
 
-  #placeAhead({ request, placement }: Look, nowMs: number): void {
-    const {
-      waitStartedAtMs: sinceMs,
-      aimMs,
-      timeoutAtMs: leavesAtMs,
-      firstTokenDelayMs: tailMs,
-    } = request;
-    if (nowMs + computeSoonestMs(placement) > leavesAtMs - tailMs) return;
-    if (placement.backlogMs > this.#windowMs) {
-      this.#noteRoom(placement.backlogMs - this.#windowMs);
+  #placeFirst({ request, placement }: PlacedRequest, nowMs: number): void {
+    const { waitStartedAtMs, aimMs, timeoutAtMs, firstTokenDelayMs } = request;
+    if (nowMs + findMinMs(placement) > timeoutAtMs - firstTokenDelayMs) return;
+    if (placement.backlogMs > this.#maxBacklogMs) {
+      this.#noteCapacityInMs(placement.backlogMs - this.#maxBacklogMs);
       return;
     }
-    const isLate = nowMs + placement.readyMs > sinceMs + aimMs - tailMs;
+    const isLate = nowMs + placement.readyMs >
+      waitStartedAtMs + aimMs - firstTokenDelayMs;
     this.#remove(request);
     const lane = isLate ? LATE_LANE : request.lane;
     request.onOutcome({ kind: "placed", placed: { placement, lane } });
@@ -226,75 +231,85 @@
     for (const request of this.#waiting.splice(0)) {
       const { lane } = request;
       const before = keptInLane.get(lane) ?? 0;
-      if (before < MAX_LOOKED && !this.#mayKeep(request, nowMs)) continue;
+      if (
+        before < MAX_PLACEMENTS_PER_DISPATCH &&
+        !this.#shouldKeepWaiting(request, nowMs)
+      ) continue;
       kept.push(request);
       keptInLane.set(lane, before + 1);
     }
     this.#waiting = kept;
   }
 
-  /** Whether a call that may be on time has to wait on; otherwise it is placed, or turns late. */
-  #mayKeep(request: WaitingRequest, nowMs: number): boolean {
-    const { waitStartedAtMs: sinceMs, aimMs, firstTokenDelayMs: tailMs, lane } =
-      request;
+  /** Whether a call that may be on time has to keep waiting. If not, it was placed or became late. */
+  #shouldKeepWaiting(request: WaitingRequest, nowMs: number): boolean {
+    const { waitStartedAtMs, aimMs, firstTokenDelayMs, lane } = request;
     const placement = request.findPlacement();
     if (placement === undefined) {
       request.onOutcome({ kind: "noReader" });
       return false;
     }
-    const readByMs = sinceMs + aimMs - tailMs;
-    if (nowMs + placement.readyMs > readByMs) {
+    const prefillDeadlineMs = waitStartedAtMs + aimMs - firstTokenDelayMs;
+    if (nowMs + placement.readyMs > prefillDeadlineMs) {
       this.#late.push(request);
       return false;
     }
-    if (placement.backlogMs > this.#windowMs) {
-      this.#noteRoom(placement.backlogMs - this.#windowMs);
+    if (placement.backlogMs > this.#maxBacklogMs) {
+      this.#noteCapacityInMs(placement.backlogMs - this.#maxBacklogMs);
       return true;
     }
     request.onOutcome({ kind: "placed", placed: { placement, lane } });
     return false;
   }
 
-  #noteRoom(inMs: number): void {
-    this.#roomInMs = Math.min(this.#roomInMs, inMs);
+  #noteCapacityInMs(inMs: number): void {
+    this.#capacityInMs = Math.min(this.#capacityInMs, inMs);
   }
 
-  /** Large prompts go first, then the calls that turned late last: their callers stay longest. */
+  /**
+   * Places late calls. Large prompts go first, then the calls that became late most recently, because
+   * their callers stay longest.
+   */
   #placeLate(nowMs: number): void {
-    const looks = this.#late.splice(0).reverse()
+    const considered = this.#late.splice(0).reverse()
       .map((request) => ({ request, placement: request.findPlacement() }));
     const ordered = [
-      ...looks.filter(isLarge),
-      ...looks.filter((look) => !isLarge(look)),
+      ...considered.filter(isLarge),
+      ...considered.filter((entry) => !isLarge(entry)),
     ];
     const kept = new Set<WaitingRequest>();
-    for (const look of ordered) {
-      if (this.#mayKeepLate(look, nowMs)) kept.add(look.request);
+    for (const entry of ordered) {
+      if (this.#shouldKeepLateWaiting(entry, nowMs)) kept.add(entry.request);
     }
-    const left = looks.map(({ request }) => request)
+    const remaining = considered.map(({ request }) => request)
       .filter((request) => kept.has(request));
-    this.#late = left.reverse();
+    this.#late = remaining.reverse();
   }
 
-  #mayKeepLate({ request, placement }: LateLook, nowMs: number): boolean {
+  /** Whether a late call has to keep waiting. If not, it was placed or refused. */
+  #shouldKeepLateWaiting(
+    { request, placement }: ConsideredRequest,
+    nowMs: number,
+  ): boolean {
     if (placement === undefined) {
       request.onOutcome({ kind: "noReader" });
       return false;
     }
-    const readByMs = findEnd(request, placement) - request.firstTokenDelayMs;
-    const readyMs = this.#isBehind(request)
-      ? computeSoonestMs(placement)
+    const prefillDeadlineMs = computeLateTimeoutAtMs(request, placement) -
+      request.firstTokenDelayMs;
+    const readyMs = this.#isUnderserved(request)
+      ? findMinMs(placement)
       : placement.readyMs;
-    if (nowMs + readyMs > readByMs) {
+    if (nowMs + readyMs > prefillDeadlineMs) {
       request.onOutcome({
         kind: "tooLate",
         placement,
-        prefillDeadlineMs: readByMs,
+        prefillDeadlineMs,
       });
       return false;
     }
-    if (placement.backlogMs > this.#lateWindowMs) {
-      this.#noteRoom(placement.backlogMs - this.#lateWindowMs);
+    if (placement.backlogMs > this.#maxLateBacklogMs) {
+      this.#noteCapacityInMs(placement.backlogMs - this.#maxLateBacklogMs);
       return true;
     }
     if (!request.mayPrefillLate()) return true;
@@ -303,7 +318,7 @@
     return false;
   }
 
-  /** Whether it was waiting. */
+  /** Removes a request; returns whether it was waiting. */
   #remove(request: WaitingRequest): boolean {
     const sizeBefore = this.size;
     this.#waiting = this.#waiting.filter((other) => other !== request);
@@ -316,45 +331,50 @@
   readonly size: SizeClass;
 }
 
-interface Look {
+interface PlacedRequest {
   readonly request: WaitingRequest;
   readonly placement: PromptPlacement;
 }
 
-interface LateLook {
+interface ConsideredRequest {
   readonly request: WaitingRequest;
   readonly placement: PromptPlacement | undefined;
 }
 
-function isLarge({ request, placement }: LateLook): boolean {
+function isLarge({ request, placement }: ConsideredRequest): boolean {
   if (placement === undefined) return false;
-  return placement.costMs > request.aimMs * LARGE_PART;
+  return placement.costMs > request.aimMs * LARGE_COST_FRACTION;
 }
 
 /**
- * Time in which a prompt can be read. What is booked is longer by the waits of others, for a large
- * prompt by seconds: judged by that, one that could be read in time is refused as it comes.
+ * Shortest time in which a prompt can be prefilled. The booked time also includes waits for other
+ * prompts, which are seconds for a large prompt. By the booked time, a large prompt that could be
+ * prefilled in time would be refused on arrival.
  */
-function computeSoonestMs(
-  { backlogMs, unloadedMs: aloneMs }: PromptPlacement,
+function findMinMs(
+  { backlogMs, unloadedMs }: PromptPlacement,
 ): number {
-  return backlogMs + aloneMs;
+  return backlogMs + unloadedMs;
 }
 
-/** Time up to which a late call is worth keeping. */
-function findEnd(request: WaitingRequest, placement: PromptPlacement): number {
-  const { waitStartedAtMs: sinceMs, timeoutAtMs: leavesAtMs } = request;
-  if (isLarge({ request, placement })) return leavesAtMs;
-  return sinceMs + (leavesAtMs - sinceMs) * LATE_PART;
+/** Time until which a late call waits. */
+function computeLateTimeoutAtMs(
+  request: WaitingRequest,
+  placement: PromptPlacement,
+): number {
+  const { waitStartedAtMs, timeoutAtMs } = request;
+  if (isLarge({ request, placement })) return timeoutAtMs;
+  return waitStartedAtMs +
+    (timeoutAtMs - waitStartedAtMs) * LATE_WAIT_FRACTION;
 }
 
 function isBefore(a: PrefillRequest, b: PrefillRequest): boolean {
-  return computeTurn(a) < computeTurn(b);
+  return computeOrderMs(a) < computeOrderMs(b);
 }
 
-/** Time by which a waiting call is put in order: its aim, later by its rank. */
-function computeTurn(
-  { waitStartedAtMs: sinceMs, aimMs, lane }: PrefillRequest,
+/** Sort key of a waiting call: the time of its latency objective, plus a penalty for its lane. */
+function computeOrderMs(
+  { waitStartedAtMs, aimMs, lane }: PrefillRequest,
 ): number {
-  return sinceMs + aimMs + lane * RANK_MS;
+  return waitStartedAtMs + aimMs + lane * LANE_PENALTY_MS;
 }
--- a/packages/heatherarch-forward/scheduling/prompt_placement.ts
+++ b/packages/heatherarch-forward/scheduling/prompt_placement.ts
@@ -1,12 +1,12 @@
 /**
- * Which engine reads a prompt.
+ * Places prompts: picks the engine that prefills a prompt.
  *
- * Pattern of load: many prompts begin with one of a few hundred long shared parts (13,300 of
- * 17,000 tokens), and reading such a part again takes four times as long as reading the rest.
- * A shared part goes to the engines that hold it. Where none does, all VMs agree without
- * talking on its home by rendezvous hashing, so that it is read once. When its holders have a
- * backlog, another engine fetches it from one of them over the engines' links, which takes
- * about a twentieth of the time of reading it.
+ * Many prompts begin with one of a few hundred long shared prefixes (13,300 of 17,000 tokens).
+ * Computing such a prefix again takes four times as long as prefilling the rest of the prompt, so a
+ * prompt goes to the engines that have its prefix in their cache. If no engine has it, rendezvous
+ * hashing gives all VMs the same owner without communication, so that the prefix is computed once.
+ * If the engines that hold the prefix have a backlog, another engine fetches it from one of them
+ * over the links between engines. A fetch takes about a twentieth of the time of computing it.
  *
  * @module
  */
@@ -14,110 +14,111 @@
 import type { EngineTraits, GenerationFacts, Target } from "../model.ts";
 import type { PrefillTimeModel } from "../state/prefill_time_model.ts";
 
-/** An engine that could read a prompt. */
+/** An engine that can prefill a prompt. */
 export interface PrefillCandidate {
   readonly target: Target;
-  /** Time until it has read what it was given so far, milliseconds. */
+  /** Time until the engine has finished its prefill backlog, in milliseconds. */
   readonly backlogMs: number;
 }
 
-/** Where a prompt is to be read. */
+/** Engine that is to prefill a prompt, with the predicted times. */
 export interface PromptPlacement {
   readonly target: Target;
-  /** Engine that holds the shared parts, where these are to be fetched from it. */
+  /** Engine from which the prefix is fetched; undefined if it is not fetched. */
   readonly fetchFrom?: Target;
-  /** The shared parts are read anew. */
+  /** Whether the prefix is computed instead of reused. */
   readonly isCold: boolean;
-  /** Time to be booked for the reading, milliseconds. */
+  /** Prefill time that is booked for the engine, in milliseconds. */
   readonly costMs: number;
-  /** Time of the reading by itself, without waits that can't be foreseen. */
+  /** Prefill time on an engine without other load, without unforeseen waits, in milliseconds. */
   readonly unloadedMs: number;
-  /** Time until the engine has read what it was given before, milliseconds. */
+  /** Time until the engine has finished its earlier backlog, in milliseconds. */
   readonly backlogMs: number;
-  /** Time until the prompt has been read, the backlog included. */
+  /** Time until the prefill is complete, including the backlog, in milliseconds. */
   readonly readyMs: number;
 }
 
-/** What is known of the engines when a prompt is placed. */
+/** What is known about the engines when a prompt is placed. */
 export interface PlacementContext {
-  /** Engines that may read it. */
+  /** Engines that may prefill the prompt. */
   readonly candidates: readonly PrefillCandidate[];
-  /** Engines among which homes are dealt out; may hold more than the candidates. */
+  /** Engines among which prefix owners are chosen; may include more than the candidates. */
   readonly prefillEngines: readonly Target[];
-  /** Engines known to hold the shared parts, or that are reading them now. */
+  /** Engines that are known to hold the prefix, or that are computing it now. */
   readonly prefixHolders: readonly Target[];
-  /** Engines from which the shared parts can be fetched, the last used one first. */
+  /** Engines from which the prefix can be fetched, the most recently used one first. */
   readonly prefixSources: readonly Target[];
-  /** The engine that held the shared parts last, where that was too long ago to count on it. */
+  /** Last engine that held the prefix; it may have evicted the prefix since. */
   readonly lastPrefixHolder?: Target;
   readonly traits: EngineTraits;
-  /** Wait that is added to an engine in the choice alone, milliseconds; none by default. */
+  /** Draws a delay in milliseconds that is added to an engine's score only; 0 by default. */
   readonly drawJitterMs?: (target: string) => number;
 }
 
 /** Options of {@linkcode PromptPlacer}. */
 export interface PromptPlacerOptions {
   readonly model: PrefillTimeModel;
-  /** Shared parts below this many tokens have no home: reading them takes less than a fetch. */
-  readonly minPrefixTokens?: number;
-  /** Wait that a fetch must save before it is worth its price, milliseconds. */
+  /** Prefixes with fewer tokens have no key and no owner: a fetch is not worth its cost. */
+  readonly minKeyTokens?: number;
+  /** Time that a fetch must save to be worth its cost, in milliseconds. */
   readonly fetchMarginMs?: number;
-  /** Wait that reading a part away from its home must save, milliseconds. */
+  /** Time that computing a prefix on another engine than its owner must save, in milliseconds. */
   readonly nonOwnerMarginMs?: number;
-  /** Fixed time of a fetch, milliseconds. */
+  /** Fixed time of a fetch, in milliseconds. */
   readonly fetchSetupMs?: number;
 }
 
-/** 1,000 tokens are read in 16 ms; a fetch takes 3 ms and more and holds two links. */
-const DEFAULT_MIN_HOME_TOKENS = 1000;
-/** A fetch of 13,300 tokens costs a fortieth of the worth of being on time; see policy.md. */
+/** The prefill of 1,000 tokens takes 16 ms. A fetch takes at least 3 ms and occupies two links. */
+const DEFAULT_MIN_KEY_TOKENS = 1000;
+/** A fetch of 13,300 tokens costs a fortieth of the worth of an on-time call; see policy.md. */
 const DEFAULT_FETCH_MARGIN_MS = 40;
-/** Another VM may be sending the same part to its home just now: half of a long part's reading. */
-const DEFAULT_AWAY_MARGIN_MS = 120;
-/** Setup of a transfer in the users' sheets. */
+/**
+ * Half of the prefill time of a long prefix: another VM may be sending the same prefix to its owner
+ * at this moment.
+ */
+const DEFAULT_NON_OWNER_MARGIN_MS = 120;
+/** Setup time of a transfer according to the users' data sheets. */
 const DEFAULT_FETCH_SETUP_MS = 3;
 /** Transfers between availability zones take twice as long. */
 const CROSS_ZONE_FACTOR = 2;
 
-/** Picks the engine that has read a prompt soonest. */
+/** Picks the engine that is expected to complete the prefill of a prompt first. */
 export class PromptPlacer {
   readonly #options: Required<PromptPlacerOptions>;
 
   constructor(options: PromptPlacerOptions) {
     this.#options = {
-      minPrefixTokens: DEFAULT_MIN_HOME_TOKENS,
+      minKeyTokens: DEFAULT_MIN_KEY_TOKENS,
       fetchMarginMs: DEFAULT_FETCH_MARGIN_MS,
-      nonOwnerMarginMs: DEFAULT_AWAY_MARGIN_MS,
+      nonOwnerMarginMs: DEFAULT_NON_OWNER_MARGIN_MS,
       fetchSetupMs: DEFAULT_FETCH_SETUP_MS,
       ...options,
     };
   }
 
-  /** Key of a prompt's shared beginning; undefined where it is too short to have a home. */
+  /** Key of a prompt's shared prefix; undefined if the prefix is too short to have an owner. */
   findPrefixKey(prompt: GenerationFacts): string | undefined {
-    if (sumPrefixTokens(prompt) < this.#options.minPrefixTokens) {
-      return undefined;
-    }
+    if (sumPrefixTokens(prompt) < this.#options.minKeyTokens) return undefined;
     return prompt.parts.at(-2)?.id;
   }
 
-  /** The best of the candidates, or undefined where there is none. */
+  /** Picks the best candidate; returns undefined if there is none. */
   pickEngine(
     prompt: GenerationFacts,
-    view: PlacementContext,
+    context: PlacementContext,
   ): PromptPlacement | undefined {
     const key = this.findPrefixKey(prompt);
-    const { drawJitterMs: drawSpreadMs = () => 0 } = view;
+    const { drawJitterMs = () => 0 } = context;
     let best: PromptPlacement | undefined;
     let bestScore = Infinity;
-    for (const candidate of view.candidates) {
+    for (const candidate of context.candidates) {
       const [placement, marginMs] = key === undefined
-        ? [this.#judgeShort(prompt, candidate), 0]
-        : this.#judge(prompt, key, candidate, view);
-      // Keys spread prompts with a home by themselves.
-      const isByKey = key !== undefined && marginMs === 0;
-      const spreadMs = isByKey ? 0 : drawSpreadMs(candidate.target.id);
-      const score = placement.readyMs + marginMs + spreadMs;
+        ? [this.#estimateWithoutPrefix(prompt, candidate), 0]
+        : this.#estimatePlacement(prompt, key, candidate, context);
+      // Owners and holders differ by prefix, so prompts that go to them need no jitter.
+      const hasAffinity = key !== undefined && marginMs === 0;
+      const jitterMs = hasAffinity ? 0 : drawJitterMs(candidate.target.id);
+      const score = placement.readyMs + marginMs + jitterMs;
       if (score >= bestScore) continue;
       best = placement;
       bestScore = score;
@@ -125,68 +126,73 @@
     return best;
   }
 
-  #judgeShort(
+  #estimateWithoutPrefix(
     { promptTokens }: GenerationFacts,
     { target, backlogMs }: PrefillCandidate,
   ): PromptPlacement {
     const { model } = this.#options;
     const costMs = model.predictMs(target.id, promptTokens, 0);
-    const aloneMs = model.predictUnloadedMs(target.id, promptTokens, 0);
+    const unloadedMs = model.predictUnloadedMs(target.id, promptTokens, 0);
     const readyMs = backlogMs + costMs;
     return {
       target,
       isCold: false,
       costMs,
-      unloadedMs: aloneMs,
+      unloadedMs,
       backlogMs,
       readyMs,
     };
   }
 
-  /** A placement, and the wait that it must save over others. */
-  #judge(
+  /** Estimates a placement, and the time that it must save compared to others. */
+  #estimatePlacement(
     prompt: GenerationFacts,
     key: string,
     { target, backlogMs }: PrefillCandidate,
-    view: PlacementContext,
+    context: PlacementContext,
   ): [PromptPlacement, number] {
-    const { model, fetchMarginMs, nonOwnerMarginMs: awayMarginMs } =
-      this.#options;
-    const shared = sumPrefixTokens(prompt);
-    const fresh = Math.max(0, prompt.promptTokens - shared);
+    const { model, fetchMarginMs, nonOwnerMarginMs } = this.#options;
+    const prefixTokens = sumPrefixTokens(prompt);
+    const ownTokens = Math.max(0, prompt.promptTokens - prefixTokens);
     const build = (
       isCold: boolean,
       fetchMs = 0,
       fetchFrom?: Target,
     ): PromptPlacement => {
-      const size: [number, number] = isCold
+      const tokenCounts: [number, number] = isCold
         ? [prompt.promptTokens, 0]
-        : [fresh, shared];
-      const costMs = fetchMs + model.predictMs(target.id, ...size);
-      const aloneMs = fetchMs + model.predictUnloadedMs(target.id, ...size);
+        : [ownTokens, prefixTokens];
+      const costMs = fetchMs + model.predictMs(target.id, ...tokenCounts);
+      const unloadedMs = fetchMs +
+        model.predictUnloadedMs(target.id, ...tokenCounts);
       const readyMs = backlogMs + costMs;
       const placement = {
         target,
         isCold,
         costMs,
-        unloadedMs: aloneMs,
+        unloadedMs,
         backlogMs,
         readyMs,
       };
       return fetchFrom === undefined ? placement : { ...placement, fetchFrom };
     };
-    if (view.prefixHolders.some((holder) => holder.id === target.id)) {
+    if (context.prefixHolders.some((holder) => holder.id === target.id)) {
       return [build(false), 0];
     }
-    const source = pickNear(view.prefixSources, target);
+    const source = pickNearest(context.prefixSources, target);
     if (source !== undefined) {
-      const fetchMs = this.#predictFetchMs(shared, source, target, view.traits);
+      const fetchMs = this.#predictFetchMs(
+        prefixTokens,
+        source,
+        target,
+        context.traits,
+      );
       return [build(false, fetchMs, source), fetchMarginMs];
     }
-    const homeId = view.prefixHolders.length > 0
+    const ownerId = context.prefixHolders.length > 0
       ? undefined
-      : view.lastPrefixHolder?.id ?? findHome(key, view.prefillEngines);
-    return [build(true), homeId === target.id ? 0 : awayMarginMs];
+      : context.lastPrefixHolder?.id ?? findOwner(key, context.prefillEngines);
+    return [build(true), ownerId === target.id ? 0 : nonOwnerMarginMs];
   }
 
   #predictFetchMs(
@@ -196,30 +202,33 @@
     traits: EngineTraits,
   ): number {
     const bits = tokens * traits.kvBytesPerToken * 8;
-    const plainMs = bits / (traits.linkMbps * 1000);
+    const sameZoneMs = bits / (traits.linkMbps * 1000);
     const isCrossZone = from.availabilityZone !== to.availabilityZone;
     const factor = isCrossZone ? CROSS_ZONE_FACTOR : 1;
-    return this.#options.fetchSetupMs + plainMs * factor;
+    return this.#options.fetchSetupMs + sameZoneMs * factor;
   }
 }
 
-/** Tokens of all parts but the last, which is the call's own. */
+/** Tokens of all parts of a prompt except the last one, which is not shared. */
 export function sumPrefixTokens(prompt: GenerationFacts): number {
   return prompt.parts.slice(0, -1).reduce((sum, part) => sum + part.tokens, 0);
 }
 
-/** Id of the engine that reads a beginning which nobody holds. */
-function findHome(key: string, readers: readonly Target[]): string | undefined {
-  return pickRendezvous(key, readers.map((reader) => reader.id), 1).at(0);
+/** Id of the engine that computes a prefix that no engine holds. */
+function findOwner(
+  key: string,
+  engines: readonly Target[],
+): string | undefined {
+  return pickRendezvous(key, engines.map((engine) => engine.id), 1).at(0);
 }
 
-/** A source in the zone of `target`, or any. */
-function pickNear(
+/** Picks a source in the availability zone of `target`, or the first one if there is none. */
+function pickNearest(
   sources: readonly Target[],
   target: Target,
 ): Target | undefined {
-  const near = sources.find((source) =>
+  const sameZone = sources.find((source) =>
     source.availabilityZone === target.availabilityZone
   );
-  return near ?? sources.at(0);
+  return sameZone ?? sources.at(0);
 }
--- a/packages/heatherarch-forward/scheduling/retry_after.ts
+++ b/packages/heatherarch-forward/scheduling/retry_after.ts
@@ -1,29 +1,34 @@
 /**
- * When a caller that was refused under load should come back.
+ * Computes the retry delay for callers that are refused under load.
  *
- * Pattern of load: an overload lasts for seconds. A caller that has waited for two seconds in vain
- * and comes back after 0.2 s meets the same overload, is refused again, and takes the turn of
- * others. Half of the time that it waited is what the overload is known to last for, shortened
- * since it may end at any time.
+ * An overload lasts for seconds. A caller that waited for two seconds without success and retries
+ * after 0.2 s meets the same overload, is refused again, and takes capacity from other callers.
+ * The time that the call waited is how long the overload is known to have lasted. Half of that time
+ * is used as the delay, because the overload may end at any moment.
  *
  * @module
  */
 
-/** Shortest wait that is told: a queue of some prompts, milliseconds. */
-const MIN_RETURN_MS = 200;
-/** Part of the time waited in vain after which a caller should come back. */
-const WAITED_PART = 0.5;
-/** Callers refused together come back spread over this part of the time. */
-const SPREAD = 0.5;
+/** Shortest delay that is returned, the duration of a queue of a few prompts. */
+const MIN_RETRY_AFTER_MS = 200;
+/** Delay as a fraction of the time that the call waited. */
+const WAITED_FRACTION = 0.5;
+/** Callers that are refused together spread their retries over this fraction of the delay. */
+const JITTER_FRACTION = 0.5;
 
-/** Time after which a caller should come back, milliseconds. */
+/** Time after which a caller should retry, in milliseconds. */
 export function computeRetryAfterMs(
-  /** Time that it waited in vain. */
+  /** Time that the call waited before it was refused. */
   waitedMs: number,
-  /** Time by which its answer would be later than its aim. */
+  /** Time by which the response would miss the latency objective. */
   excessMs: number,
+  /** Returns a random number in [0, 1). */
   drawUnit: () => number,
 ): number {
-  const plainMs = Math.max(MIN_RETURN_MS, excessMs, waitedMs * WAITED_PART);
-  return plainMs * (1 + drawUnit() * SPREAD);
+  const baseMs = Math.max(
+    MIN_RETRY_AFTER_MS,
+    excessMs,
+    waitedMs * WAITED_FRACTION,
+  );
+  return baseMs * (1 + drawUnit() * JITTER_FRACTION);
 }
--- a/packages/heatherarch-forward/scheduling/role_plan.ts
+++ b/packages/heatherarch-forward/scheduling/role_plan.ts
@@ -1,18 +1,19 @@
 /**
- * Which engines should change their role.
+ * Plans which engines should change their role.
  *
- * Pattern of load: prompts of thousands of tokens and answers of a hundred. Reading takes nine
- * tenths of the engines' time, and generation few places, so a few engines generate and the
- * rest read. Where engines have few places these run out first, so that more of them generate.
- * Each order takes an engine away for seconds, and its cache, so there are as few as possible:
- * a goal that followed the runs in progress sent 12 of 29 readers to generate in bursts of ten
- * seconds and back after them.
+ * Prompts have thousands of tokens and responses about a hundred. Prefill takes nine tenths of the
+ * engines' time and decode occupies few slots, so a few engines decode and the others prefill.
+ * Engines with few slots run out of them first, so more of these engines decode.
+ *
+ * A role change takes an engine out of service for seconds and loses its cache, so there are as few
+ * changes as possible. A desired number of decode engines that followed the runs in progress moved
+ * 12 of 29 prefill engines to decode in bursts of ten seconds, and back afterwards.
  *
  * @module
  */
 import type { Target, TargetRole } from "../model.ts";
 
-/** One wanted change. */
+/** A planned role change. */
 export interface RoleChange {
   readonly target: Target;
   readonly role: TargetRole;
@@ -20,115 +21,119 @@
 
 /** Options of {@linkcode planRoles}. */
 export interface RolePlanOptions {
-  /** Whether an engine that is still listed answers; all do by default. */
+  /** Whether an engine that is still listed responds; by default all do. */
   readonly isReachable?: (engine: Target) => boolean;
-  /** Share of the engines that should generate. */
+  /** Share of the engines that should decode. */
   readonly decodeShare?: number;
-  /** Engines that should generate at least, where there are enough: one may be lost. */
+  /** Smallest number of decode engines if there are enough engines: one may fail. */
   readonly minDecodeEngines?: number;
-  /** Places of one engine; unknown by default. */
+  /** Slots of one engine; unknown by default. */
   readonly slots?: number;
 }
 
-const DEFAULT_RUNNER_SHARE = 0.15;
-const DEFAULT_MIN_RUNNERS = 2;
+const DEFAULT_DECODE_SHARE = 0.15;
+const DEFAULT_MIN_DECODE_ENGINES = 2;
 /**
- * From this many engines on a third one generates: crashes take a quarter of the engines at
- * once, and with two that generate they may take both.
+ * Fleets of at least this many engines have a third decode engine. A crash can take down a quarter
+ * of the engines at once, and may hit both of two decode engines.
  */
-const SPARE_RUNNER_ENGINES = 12;
+const SPARE_DECODE_FLEET_SIZE = 12;
 
 /**
- * Runs in progress for each engine that reads: half as many again as on the users' sheets with
- * short answers. Where engines have few places, more of them have to generate.
+ * Runs in progress per prefill engine: 1.5 times the number in the users' data sheets with short
+ * responses. The fewer slots engines have, the more of them have to decode.
  */
-const RUNS_PER_READER = 7;
-/** Number of engines out of `count` that should generate. */
+const RUNS_PER_PREFILL_ENGINE = 7;
+
+/** Computes how many of `count` engines should decode. */
 export function computeDecodeEngineCount(
   count: number,
   options: RolePlanOptions = {},
 ): number {
-  const { minDecodeEngines: minRunners = DEFAULT_MIN_RUNNERS, slots } = options;
-  const { decodeShare: runnerShare = computeShare(slots) } = options;
+  const { minDecodeEngines = DEFAULT_MIN_DECODE_ENGINES, slots } = options;
+  const { decodeShare = computeDecodeShare(slots) } = options;
   if (count < 2) return count;
-  const spare = count >= SPARE_RUNNER_ENGINES ? 1 : 0;
-  const byShare = Math.round(count * runnerShare);
-  const wanted = Math.max(minRunners + spare, byShare);
+  const spare = count >= SPARE_DECODE_FLEET_SIZE ? 1 : 0;
+  const byShare = Math.round(count * decodeShare);
+  const wanted = Math.max(minDecodeEngines + spare, byShare);
   return Math.min(count - 1, wanted);
 }
 
-/** Share of the engines that should generate while the load is not known. */
-function computeShare(slots: number | undefined): number {
-  if (slots === undefined) return DEFAULT_RUNNER_SHARE;
-  const byPlaces = RUNS_PER_READER / (RUNS_PER_READER + slots);
-  return Math.max(DEFAULT_RUNNER_SHARE, byPlaces);
+/** Share of the engines that should decode if the load is not known. */
+function computeDecodeShare(slots: number | undefined): number {
+  if (slots === undefined) return DEFAULT_DECODE_SHARE;
+  const bySlots = RUNS_PER_PREFILL_ENGINE / (RUNS_PER_PREFILL_ENGINE + slots);
+  return Math.max(DEFAULT_DECODE_SHARE, bySlots);
 }
 
 /**
- * The fewest changes that bring `engines` to the goal, spread over zones. A generating engine
- * that does not answer is replaced before the list drops it, where fewer than the least number
- * are left.
+ * Plans the fewest changes that lead to the desired number of decode engines, spread over
+ * availability zones. A decode engine that does not respond is replaced before the target list drops
+ * it, if fewer than the smallest number of decode engines respond.
  */
 export function planRoles(
   engines: readonly Target[],
   options: RolePlanOptions = {},
 ): RoleChange[] {
   const { isReachable = () => true } = options;
-  const { minDecodeEngines: minRunners = DEFAULT_MIN_RUNNERS } = options;
+  const { minDecodeEngines = DEFAULT_MIN_DECODE_ENGINES } = options;
   const usable = engines.filter((engine) => !engine.leaving);
-  const goal = computeDecodeEngineCount(usable.length, options);
-  const runners = usable.filter((engine) => engine.role === "decode");
-  const answering = runners.filter(isReachable).length;
-  const urgent = Math.min(goal, minRunners) - answering;
-  const surplus = runners.length - goal;
+  const desired = computeDecodeEngineCount(usable.length, options);
+  const decodeEngines = usable.filter((engine) => engine.role === "decode");
+  const responding = decodeEngines.filter(isReachable).length;
+  const urgent = Math.min(desired, minDecodeEngines) - responding;
+  const surplus = decodeEngines.length - desired;
   if (surplus > 0 && urgent <= 0) {
-    return pickFromCrowded(runners, surplus)
+    return pickFromLargestZones(decodeEngines, surplus)
       .map((target) => ({ target, role: "prefill" }));
   }
-  const readers = usable
+  const prefillEngines = usable
     .filter((engine) => engine.role === "prefill" && isReachable(engine));
   const wanted = Math.max(-surplus, urgent);
-  const missing = Math.min(wanted, Math.max(0, readers.length - 1));
-  return pickForEmptiest(readers, runners, missing)
+  const missing = Math.min(wanted, Math.max(0, prefillEngines.length - 1));
+  return pickForSmallestZones(prefillEngines, decodeEngines, missing)
     .map((target) => ({ target, role: "decode" }));
 }
 
-/** Takes `count` engines out, each from the zone that has most of them left. */
-function pickFromCrowded(engines: readonly Target[], count: number): Target[] {
-  const left = sortById(engines);
+/** Picks `count` engines, each from the zone that has the most engines left. */
+function pickFromLargestZones(
+  engines: readonly Target[],
+  count: number,
+): Target[] {
+  const remaining = sortById(engines);
   const picked: Target[] = [];
   while (picked.length < count) {
-    const zones = countByZone(left);
-    let most = left[0];
-    for (const engine of left) {
-      const here = zones.get(engine.availabilityZone) as number;
-      if (here > (zones.get(most.availabilityZone) as number)) most = engine;
+    const zones = countByZone(remaining);
+    let best = remaining[0];
+    for (const engine of remaining) {
+      const inZone = zones.get(engine.availabilityZone) as number;
+      if (inZone > (zones.get(best.availabilityZone) as number)) best = engine;
     }
-    left.splice(left.indexOf(most), 1);
-    picked.push(most);
+    remaining.splice(remaining.indexOf(best), 1);
+    picked.push(best);
   }
   return picked;
 }
 
-/** Takes `count` readers, each for the zone that has the fewest runners. */
-function pickForEmptiest(
-  readers: readonly Target[],
-  runners: readonly Target[],
+/** Picks `count` prefill engines, each from the zone that has the fewest decode engines. */
+function pickForSmallestZones(
+  prefillEngines: readonly Target[],
+  decodeEngines: readonly Target[],
   count: number,
 ): Target[] {
-  const left = sortById(readers);
-  const zones = countByZone(runners);
+  const remaining = sortById(prefillEngines);
+  const zones = countByZone(decodeEngines);
   const picked: Target[] = [];
   while (picked.length < count) {
-    let least = left[0];
-    for (const engine of left) {
-      const here = zones.get(engine.availabilityZone) ?? 0;
-      if (here < (zones.get(least.availabilityZone) ?? 0)) least = engine;
+    let best = remaining[0];
+    for (const engine of remaining) {
+      const inZone = zones.get(engine.availabilityZone) ?? 0;
+      if (inZone < (zones.get(best.availabilityZone) ?? 0)) best = engine;
     }
-    left.splice(left.indexOf(least), 1);
-    const zone = least.availabilityZone;
+    remaining.splice(remaining.indexOf(best), 1);
+    const zone = best.availabilityZone;
     zones.set(zone, (zones.get(zone) ?? 0) + 1);
-    picked.push(least);
+    picked.push(best);
   }
   return picked;
 }
--- a/packages/heatherarch-forward/scheduling/size_fairness.ts
+++ b/packages/heatherarch-forward/scheduling/size_fairness.ts
@@ -1,99 +1,104 @@
 /**
- * How often prompts are placed, by their size among those of their kind.
+ * Tracks how often prompts are placed, by their size relative to other prompts of the same kind.
  *
- * Pattern of load: more long prompts than engines can read. Whatever puts prompts in order by time
- * (least slack, shortest first, late ones last) puts the largest last, and in an overload the last
- * get nothing: with what a prompt costs growing tenfold from the smallest tenth to the largest,
- * seven in ten of the small are read and one in ten of the largest. So the shares are counted, and a
- * size that falls behind gets its turn.
+ * In an overload, every order by time (least slack, shortest first, late ones last) puts the largest
+ * prompts last, and the last ones are not served. When the prefill cost grows tenfold from the
+ * smallest tenth of the prompts to the largest, seven in ten of the small prompts are prefilled and
+ * one in ten of the largest. The shares are therefore counted, and a size class that is underserved
+ * is placed first.
  *
- * Pure: no time comes in; old calls are forgotten as new ones come.
+ * The counts do not depend on the time. The weight of old calls decreases as new ones arrive.
  *
  * @module
  */
 
-/** Sizes of prompts among those of one kind: the largest tenth, the fifth below it, the others. */
+/** Size of a prompt within its kind: the largest tenth, the fifth below it, and the others. */
 export type SizeClass = "largest" | "large" | "usual";
 
 /** Options of {@linkcode SizeFairness}. */
 export interface SizeFairnessOptions {
-  /** Least share of large prompts that is placed, as a part of the share of all of their kind. */
+  /** Smallest share of large prompts that is placed, as a fraction of the share of their kind. */
   readonly minRelativeShare?: number;
 }
 
-interface Count {
-  asked: number;
+interface PromptCounts {
+  arrived: number;
   ended: number;
   placed: number;
 }
 
-interface Kind {
-  /** Tokens of the last prompts, a ring. */
+interface KindStats {
+  /** Ring buffer of the token counts of the last prompts. */
   readonly sizes: number[];
-  next: number;
-  readonly counts: Record<SizeClass, Count>;
+  nextIndex: number;
+  readonly counts: Record<SizeClass, PromptCounts>;
 }
 
-/** What callers are promised. It counts each try, so that one who comes back is served more often. */
-const DEFAULT_LEAST_PART = 0.5;
-const LARGEST_FROM = 0.9;
-const LARGE_FROM = 0.7;
-/** Prompts by which the size of the next one is judged. */
-const KNOWN_SIZES = 128;
-/** With fewer no prompt counts as large. */
-const MIN_SIZES = 10;
-/** When so many prompts of a kind have been counted, all counts are halved. */
-const MAX_COUNTED = 512;
-/** Kinds come and go with configurations; that of the oldest first prompt is forgotten. */
+/**
+ * Share that callers are promised. Each try counts as an arrival, so a caller that retries is served
+ * more often.
+ */
+const DEFAULT_MIN_RELATIVE_SHARE = 0.5;
+/** Smallest ranks of a prompt within its kind, from 0 (smallest) to 1 (largest). */
+const LARGEST_MIN_RANK = 0.9;
+const LARGE_MIN_RANK = 0.7;
+/** Number of last prompts against which the size of the next one is ranked. */
+const SIZE_WINDOW = 128;
+/** With fewer samples, no prompt counts as large. */
+const MIN_SIZE_SAMPLES = 10;
+/** When more prompts of a kind have arrived, all of its counts are halved. */
+const MAX_ARRIVALS = 512;
+/** Kinds change with the configuration. Above this number, the one added first is dropped. */
 const MAX_KINDS = 256;
 const SIZE_CLASSES: readonly SizeClass[] = ["largest", "large", "usual"];
 
-/** The shares at one VM. */
+/** Counts of arrived and placed prompts at one VM. */
 export class SizeFairness {
-  readonly #leastPart: number;
-  readonly #kinds = new Map<string, Kind>();
+  readonly #minRelativeShare: number;
+  readonly #kinds = new Map<string, KindStats>();
 
   constructor(options: SizeFairnessOptions = {}) {
-    this.#leastPart = options.minRelativeShare ?? DEFAULT_LEAST_PART;
+    this.#minRelativeShare = options.minRelativeShare ??
+      DEFAULT_MIN_RELATIVE_SHARE;
   }
 
-  /** A prompt has come; returns its size among those of its kind. */
+  /** Counts an arrived prompt and returns its size class within its kind. */
   recordArrival(name: string, tokens: number): SizeClass {
-    const kind = this.#open(name);
-    const size = judgeSize(kind.sizes, tokens);
-    kind.sizes[kind.next] = tokens;
-    kind.next = (kind.next + 1) % KNOWN_SIZES;
-    kind.counts[size].asked++;
-    if (sumCounts(kind).asked > MAX_COUNTED) halveCounts(kind);
+    const kind = this.#getOrCreateKind(name);
+    const size = classifySize(kind.sizes, tokens);
+    kind.sizes[kind.nextIndex] = tokens;
+    kind.nextIndex = (kind.nextIndex + 1) % SIZE_WINDOW;
+    kind.counts[size].arrived++;
+    if (sumCounts(kind).arrived > MAX_ARRIVALS) halveCounts(kind);
     return size;
   }
 
-  /** A prompt's wait has ended. */
+  /** Counts the end of a prompt's wait. */
   recordEnd(name: string, size: SizeClass, isPlaced: boolean): void {
-    const count = this.#open(name).counts[size];
+    const count = this.#getOrCreateKind(name).counts[size];
     count.ended++;
     if (isPlaced) count.placed++;
   }
 
-  /** Whether too few prompts of this size have been placed, those that still wait included. */
+  /** Whether too few prompts of this size class were placed; waiting ones count as not placed. */
   isUnderserved(name: string, size: SizeClass): boolean {
     if (size === "usual") return false;
-    const kind = this.#open(name);
+    const kind = this.#getOrCreateKind(name);
     const all = sumCounts(kind);
     const share = all.ended === 0 ? 1 : all.placed / all.ended;
-    const { asked, placed } = kind.counts[size];
-    return placed < asked * share * this.#leastPart;
+    const { arrived, placed } = kind.counts[size];
+    return placed < arrived * share * this.#minRelativeShare;
   }
 
-  #open(name: string): Kind {
+  #getOrCreateKind(name: string): KindStats {
     let kind = this.#kinds.get(name);
     if (kind === undefined) {
       const counts = {
-        largest: buildCount(),
-        large: buildCount(),
-        usual: buildCount(),
+        largest: buildCounts(),
+        large: buildCounts(),
+        usual: buildCounts(),
       };
-      kind = { sizes: [], next: 0, counts };
+      kind = { sizes: [], nextIndex: 0, counts };
       this.#kinds.set(name, kind);
       this.#dropOldest();
     }
@@ -107,33 +112,33 @@
   }
 }
 
-function buildCount(): Count {
-  return { asked: 0, ended: 0, placed: 0 };
+function buildCounts(): PromptCounts {
+  return { arrived: 0, ended: 0, placed: 0 };
 }
 
-function judgeSize(sizes: readonly number[], tokens: number): SizeClass {
-  if (sizes.length < MIN_SIZES) return "usual";
+function classifySize(sizes: readonly number[], tokens: number): SizeClass {
+  if (sizes.length < MIN_SIZE_SAMPLES) return "usual";
   let smaller = 0;
   for (const other of sizes) if (other < tokens) smaller++;
   const rank = smaller / sizes.length;
-  if (rank >= LARGEST_FROM) return "largest";
-  return rank >= LARGE_FROM ? "large" : "usual";
+  if (rank >= LARGEST_MIN_RANK) return "largest";
+  return rank >= LARGE_MIN_RANK ? "large" : "usual";
 }
 
-function sumCounts({ counts }: Kind): Count {
-  const sum = buildCount();
+function sumCounts({ counts }: KindStats): PromptCounts {
+  const sum = buildCounts();
   for (const size of SIZE_CLASSES) {
-    sum.asked += counts[size].asked;
+    sum.arrived += counts[size].arrived;
     sum.ended += counts[size].ended;
     sum.placed += counts[size].placed;
   }
   return sum;
 }
 
-function halveCounts({ counts }: Kind): void {
+function halveCounts({ counts }: KindStats): void {
   for (const size of SIZE_CLASSES) {
     const count = counts[size];
-    count.asked /= 2;
+    count.arrived /= 2;
     count.ended /= 2;
     count.placed /= 2;
   }
--- a/packages/heatherarch-forward/scheduling/target_selection.ts
+++ b/packages/heatherarch-forward/scheduling/target_selection.ts
@@ -1,5 +1,6 @@
 /**
- * Which targets of a service a call may try now, and how long all of them rest if none is left.
+ * Selects the targets of a service that a call may try now. If none is left because all of them are
+ * in backoff, tells when the first backoff ends.
  *
  * @module
  */
@@ -11,30 +12,30 @@
   readonly run: CallRun;
   /** Targets that the call has tried already. */
   readonly tried: ReadonlySet<string>;
-  /** Whether a target can do what is asked for. */
+  /** Whether a target can serve the call; by default every target can. */
   readonly accepts?: (target: Target) => boolean;
 }
 
-/** Targets that may be tried now; avoided ones only if there is no other. */
+/** Lists the targets that may be tried now. Avoided targets are listed only if no other is left. */
 export function listAvailableTargets(
   { run, tried, accepts = acceptAny }: TargetSelectionOptions,
 ): Target[] {
   const { directory, health, rests, connections } = run.serving;
   const { name, maxConnections } = run.service;
   const nowMs = run.nowMs;
-  const open = directory.listServing(name)
+  const available = directory.listServing(name)
     .filter(accepts)
     .filter(({ id }) => !tried.has(id))
     .filter(({ id }) => !rests.isInBackoff(id, nowMs))
     .filter(({ id }) => !directory.hasRoleChange(id, nowMs))
     .filter((target) => connections.hasRoom(target, maxConnections));
-  const sound = open.filter(({ id }) => !health.isAvoided(id, nowMs));
-  return sound.length > 0 ? sound : open;
+  const healthy = available.filter(({ id }) => !health.isAvoided(id, nowMs));
+  return healthy.length > 0 ? healthy : available;
 }
 
 /**
- * Time until the first rest ends, milliseconds, if all targets that could serve the call rest;
- * undefined otherwise.
+ * Time until the first backoff ends, in milliseconds, if all targets that could serve the call are in
+ * backoff; undefined otherwise.
  */
 export function findBackoffMs(
   run: CallRun,
@@ -46,10 +47,10 @@
     .filter(accepts)
     .filter(({ id }) => !directory.hasRoleChange(id, nowMs));
   if (targets.length === 0) return undefined;
-  const restMs = Math.min(
+  const backoffMs = Math.min(
     ...targets.map(({ id }) => rests.getEndMs(id) - nowMs),
   );
-  return restMs > 0 ? restMs : undefined;
+  return backoffMs > 0 ? backoffMs : undefined;
 }
 
 function acceptAny(): boolean {
--- a/packages/heatherarch-forward/tests/unit/caller_timeout_test.ts
+++ b/packages/heatherarch-forward/tests/unit/caller_timeout_test.ts
@@ -2,12 +2,12 @@
 import { test } from "node:test";
 import { computeCallerTimeoutMs, computeWaitLimits } from "../../mod.ts";
 
-test("callers wait for two seconds or four aims, whichever is longer", () => {
+test("a caller times out after two seconds or four latency objectives, whichever is longer", () => {
   assert.equal(computeCallerTimeoutMs(300), 1750);
   assert.equal(computeCallerTimeoutMs(600), 2150);
 });
 
-test("a call waits from its arrival, and not beyond its end", () => {
+test("a call waits from its arrival, and not beyond its deadline", () => {
   const call = { arrivedAtMs: 1000, deadlineAtMs: 7000, aimMs: 600 };
   assert.deepEqual(computeWaitLimits(call), {
     waitStartedAtMs: 1000,
@@ -19,7 +19,7 @@
   );
 });
 
-test("a stream that broke off after seconds is read again as one that can be on time", () => {
+test("a stream that was interrupted after seconds restarts its timeout and can be on time", () => {
   const limits = computeWaitLimits({
     arrivedAtMs: 1000,
     deadlineAtMs: 7000,
--- a/packages/heatherarch-forward/tests/unit/engine_jitter_test.ts
+++ b/packages/heatherarch-forward/tests/unit/engine_jitter_test.ts
@@ -6,18 +6,18 @@
 
 const ENGINES = Array.from({ length: 40 }, (_, i) => buildEngine(`e${i}`));
 
-/** The engines that VMs with the same knowledge pick for a prompt each. */
-function pickAll(vms: number, mostMs: number, shared: number): string[] {
+/** Engines that VMs with the same data pick, each for one prompt. */
+function pickAll(vms: number, maxMs: number, prefixTokens: number): string[] {
   const random = new Random(7);
   return Array.from({ length: vms }, (_, i) => {
-    const spread = new EngineJitter({
+    const jitter = new EngineJitter({
       vmId: `vm-${i}`,
       drawUnit: () => random.drawUnit(),
-      maxMs: mostMs,
+      maxMs,
     });
     const placement = new PromptPlacer({ model: new PrefillTimeModel() })
       .pickEngine(
-        buildPrompt("k", shared, 1110),
+        buildPrompt("k", prefixTokens, 1110),
         {
           candidates: ENGINES.map((target, n) => ({
             target,
@@ -27,7 +27,7 @@
           prefixHolders: [],
           prefixSources: [],
           traits: TRAITS,
-          drawJitterMs: (target) => spread.drawMs(target),
+          drawJitterMs: (target) => jitter.drawMs(target),
         },
       );
     return placement?.target.id ?? "";
@@ -40,7 +40,7 @@
   return Math.max(...counts.values());
 }
 
-test("VMs that know the same take different engines, and none that is busy", () => {
+test("VMs with the same data pick different engines, and none that is busy", () => {
   assert.equal(countMost(pickAll(100, 0, 350)), 100);
   const picked = pickAll(100, 40, 350);
   assert.ok(countMost(picked) <= 15, `${countMost(picked)} of 100`);
@@ -48,24 +48,24 @@
   assert.equal(busy.length, 0);
 });
 
-test("a prompt whose beginning has a home goes there all the same", () => {
+test("jitter does not move a prompt away from the owner of its prefix", () => {
   const picked = pickAll(100, 40, 13_300);
   assert.equal(countMost(picked), 100);
 });
 
-test("half of the added wait is the VM's own and stays", () => {
+test("half of the added delay is constant for each VM", () => {
   let unit = 0;
   const build = (vmId: string) =>
     new EngineJitter({ vmId, drawUnit: () => unit, maxMs: 40 });
   const first = build("vm-1");
-  const least = first.drawMs("e1");
-  assert.equal(first.drawMs("e1"), least);
-  assert.notEqual(build("vm-2").drawMs("e1"), least);
-  assert.notEqual(first.drawMs("e2"), least);
+  const constantMs = first.drawMs("e1");
+  assert.equal(first.drawMs("e1"), constantMs);
+  assert.notEqual(build("vm-2").drawMs("e1"), constantMs);
+  assert.notEqual(first.drawMs("e2"), constantMs);
   unit = 0.999;
-  assert.ok(first.drawMs("e1") - least > 19);
+  assert.ok(first.drawMs("e1") - constantMs > 19);
   assert.ok(first.drawMs("e1") < 40);
   first.forget("e1");
   unit = 0;
-  assert.equal(first.drawMs("e1"), least);
+  assert.equal(first.drawMs("e1"), constantMs);
 });
--- a/packages/heatherarch-forward/tests/unit/least_loaded_target_test.ts
+++ b/packages/heatherarch-forward/tests/unit/least_loaded_target_test.ts
@@ -17,20 +17,26 @@
   return { target, runs, kvTokens, kvCapacityTokens: 480_000 };
 }
 
-const drawNone = (): number => 0;
+const drawZero = (): number => 0;
 
-test("a near engine is taken unless a far one has much more room", () => {
-  const near = buildCandidate("n", "zone-a", 10);
-  const far = buildCandidate("f", "zone-b", 6);
-  assert.equal(pickLeastLoaded([far, near], "zone-a", drawNone), near);
+test("an engine in the same zone is picked unless one in another zone has much lower utilization", () => {
+  const sameZone = buildCandidate("n", "zone-a", 10);
+  const otherZone = buildCandidate("f", "zone-b", 6);
+  assert.equal(
+    pickLeastLoaded([otherZone, sameZone], "zone-a", drawZero),
+    sameZone,
+  );
   const full = buildCandidate("n", "zone-a", 30);
-  assert.equal(pickLeastLoaded([far, full], "zone-a", drawNone), far);
+  assert.equal(
+    pickLeastLoaded([otherZone, full], "zone-a", drawZero),
+    otherZone,
+  );
 });
 
-test("KV memory counts where it is scarcer than places", () => {
+test("KV cache utilization counts where it is higher than slot utilization", () => {
   const long = buildCandidate("l", "zone-a", 4, 400_000);
   const short = buildCandidate("s", "zone-a", 9, 30_000);
   assert.ok(computeUtilization(long) > computeUtilization(short));
-  assert.equal(pickLeastLoaded([long, short], "zone-a", drawNone), short);
-  assert.equal(pickLeastLoaded([], "zone-a", drawNone), undefined);
+  assert.equal(pickLeastLoaded([long, short], "zone-a", drawZero), short);
+  assert.equal(pickLeastLoaded([], "zone-a", drawZero), undefined);
 });
--- a/packages/heatherarch-forward/tests/unit/prefill_candidate_cache_test.ts
+++ b/packages/heatherarch-forward/tests/unit/prefill_candidate_cache_test.ts
@@ -9,20 +9,20 @@
 } from "../../mod.ts";
 import { buildEngine } from "./fixtures.ts";
 
-/** Calls of one service before three engines that read and one that generates. */
-function createBoard() {
+/** A cache for one service with three prefill engines and one decode engine. */
+function createCache() {
   const directory = new TargetDirectory();
-  const list = (engines: readonly Target[]) =>
+  const applyList = (engines: readonly Target[]) =>
     directory.applyList(
       engines.map((value) => ({ key: value.id, value })),
       0,
     );
-  list([
+  applyList([
     ...["a", "b", "c"].map((id) => buildEngine(id)),
     buildEngine("d", { role: "decode" }),
   ]);
   const ledger = new WorkTracker();
-  const rooms: string[] = [];
+  const checked: string[] = [];
   const run = {
     nowMs: 0,
     service: { name: "s", maxConnections: 10 },
@@ -33,46 +33,46 @@
       rests: { isInBackoff: () => false },
       connections: {
         hasRoom: ({ id }: Target) => {
-          rooms.push(id);
+          checked.push(id);
           return true;
         },
       },
     },
   };
-  const board = new PrefillCandidateCache();
-  const look = (tried: string[] = []) =>
-    board.listCandidates(run as unknown as CallRun, new Set(tried))
+  const cache = new PrefillCandidateCache();
+  const listBacklogs = (tried: string[] = []) =>
+    cache.listCandidates(run as unknown as CallRun, new Set(tried))
       .map(({ target, backlogMs }) => `${target.id} ${backlogMs}`);
-  return { board, ledger, list, run, rooms, look };
+  return { cache, ledger, applyList, run, checked, listBacklogs };
 }
 
-test("prompts that are placed together share one board", () => {
-  const { look, rooms } = createBoard();
-  assert.deepEqual(look(), ["a 0", "b 0", "c 0"]);
-  const before = rooms.length;
-  assert.deepEqual(look(), ["a 0", "b 0", "c 0"]);
-  assert.equal(rooms.length, before);
+test("prompts that are placed together share one snapshot", () => {
+  const { listBacklogs, checked } = createCache();
+  assert.deepEqual(listBacklogs(), ["a 0", "b 0", "c 0"]);
+  const before = checked.length;
+  assert.deepEqual(listBacklogs(), ["a 0", "b 0", "c 0"]);
+  assert.equal(checked.length, before);
 });
 
-test("what is given to an engine, told by peers or listed anew shows at once", () => {
-  const { look, ledger, list, run, board } = createBoard();
-  look();
+test("own work, work of peers and a new target list take effect at once", () => {
+  const { listBacklogs, ledger, applyList, run, cache } = createCache();
+  listBacklogs();
   ledger.beginPrefill("b", { costMs: 40, lane: 0 }, 0);
-  assert.deepEqual(look(), ["a 0", "b 40", "c 0"]);
+  assert.deepEqual(listBacklogs(), ["a 0", "b 40", "c 0"]);
   ledger.setPeerWork("vm-2", [["c", 0, 0, 30, 0, 0, 0]], 0);
-  assert.deepEqual(look(), ["a 0", "b 40", "c 30"]);
-  list([buildEngine("b"), buildEngine("c")]);
-  assert.deepEqual(look(), ["b 40", "c 30"]);
+  assert.deepEqual(listBacklogs(), ["a 0", "b 40", "c 30"]);
+  applyList([buildEngine("b"), buildEngine("c")]);
+  assert.deepEqual(listBacklogs(), ["b 40", "c 30"]);
   run.nowMs = 10;
-  assert.deepEqual(look(), ["b 30", "c 20"]);
+  assert.deepEqual(listBacklogs(), ["b 30", "c 20"]);
   assert.deepEqual(
-    board.listPrefillEngines(run as unknown as CallRun).map(({ id }) => id),
+    cache.listPrefillEngines(run as unknown as CallRun).map(({ id }) => id),
     ["b", "c"],
   );
 });
 
-test("an engine that a call has tried is left out for that call alone", () => {
-  const { look } = createBoard();
-  assert.deepEqual(look(["a"]), ["b 0", "c 0"]);
-  assert.deepEqual(look(), ["a 0", "b 0", "c 0"]);
+test("an engine that a call has tried is excluded for that call only", () => {
+  const { listBacklogs } = createCache();
+  assert.deepEqual(listBacklogs(["a"]), ["b 0", "c 0"]);
+  assert.deepEqual(listBacklogs(), ["a 0", "b 0", "c 0"]);
 });
--- a/packages/heatherarch-forward/tests/unit/prefill_queue_test.ts
+++ b/packages/heatherarch-forward/tests/unit/prefill_queue_test.ts
@@ -13,7 +13,7 @@
 import { buildEngine } from "./fixtures.ts";
 
 const ENGINE = buildEngine("e");
-/** Length of the steps in which simulated time goes on, milliseconds. */
+/** Length of a step of simulated time. */
 const STEP_MS = 4;
 
 beforeEach(() => mock.timers.enable({ apis: ["setTimeout"] }));
@@ -21,23 +21,23 @@
 
 function buildPlacement(costMs: number, backlogMs: number): PromptPlacement {
   const readyMs = backlogMs + costMs;
-  const aloneMs = costMs;
+  const unloadedMs = costMs;
   return {
     target: ENGINE,
     isCold: false,
     costMs,
-    unloadedMs: aloneMs,
+    unloadedMs,
     backlogMs,
     readyMs,
   };
 }
 
-/** A queue in front of one engine whose backlog the test sets, and what became of each call. */
-function createBench() {
+/** A queue for one engine whose backlog is set by the test, with the outcome of each call. */
+function createQueue() {
   const clock = new ManualClock();
   const queue = new PrefillQueue({ clock });
   const engine = { backlogMs: 0, hasLate: false };
-  const verdicts = new Map<string, PrefillOutcome>();
+  const outcomes = new Map<string, PrefillOutcome>();
   const order: string[] = [];
   const enqueue = (
     name: string,
@@ -54,10 +54,10 @@
       firstTokenDelayMs: 50,
       findPlacement: () => buildPlacement(costMs, engine.backlogMs),
       mayPrefillLate: () => !engine.hasLate,
-      onOutcome: (verdict) => {
-        verdicts.set(name, verdict);
+      onOutcome: (outcome) => {
+        outcomes.set(name, outcome);
         order.push(name);
-        if (verdict.kind === "placed") engine.backlogMs += costMs;
+        if (outcome.kind === "placed") engine.backlogMs += costMs;
       },
       ...overrides,
     });
@@ -67,14 +67,14 @@
     queue.dispatch();
   };
   const findLane = (name: string): number | undefined => {
-    const verdict = verdicts.get(name);
-    return verdict?.kind === "placed" ? verdict.placed.lane : undefined;
+    const outcome = outcomes.get(name);
+    return outcome?.kind === "placed" ? outcome.placed.lane : undefined;
   };
-  return { queue, engine, verdicts, order, enqueue, advance, findLane };
+  return { queue, engine, outcomes, order, enqueue, advance, findLane };
 }
 
-test("an engine gets what keeps it busy for the next moments, and no more", () => {
-  const { queue, order, enqueue, advance } = createBench();
+test("an engine gets prompts up to the backlog limit, and no more", () => {
+  const { queue, order, enqueue, advance } = createQueue();
   for (const name of ["a", "b", "c", "d"]) enqueue(name, 40);
   assert.deepEqual(order, ["a", "b"]);
   assert.equal(queue.size, 2);
@@ -82,56 +82,56 @@
   assert.deepEqual(order, ["a", "b", "c"]);
 });
 
-test("calls go by the time that they have left", () => {
-  const { engine, order, enqueue, advance } = createBench();
+test("calls are placed in the order of the time that they have left", () => {
+  const { engine, order, enqueue, advance } = createQueue();
   engine.backlogMs = 100;
-  enqueue("relaxed", 10, { aimMs: 900 });
-  enqueue("pressed", 10, { aimMs: 500 });
+  enqueue("long objective", 10, { aimMs: 900 });
+  enqueue("short objective", 10, { aimMs: 500 });
   advance(10, 0);
-  assert.deepEqual(order, ["pressed", "relaxed"]);
+  assert.deepEqual(order, ["short objective", "long objective"]);
 });
 
-test("urgent calls go first, but not before those that have waited much longer", () => {
-  const { engine, order, enqueue, advance } = createBench();
+test("calls of a higher priority go first, but not before calls that have waited much longer", () => {
+  const { engine, order, enqueue, advance } = createQueue();
   engine.backlogMs = 100;
-  enqueue("long waiting, rank 1", 10, { lane: 1 });
+  enqueue("long waiting, lane 1", 10, { lane: 1 });
   advance(350, 100);
-  enqueue("rank 1", 10, { lane: 1 });
-  enqueue("rank 0", 10);
+  enqueue("lane 1", 10, { lane: 1 });
+  enqueue("lane 0", 10);
   advance(10, 0);
-  assert.deepEqual(order, ["long waiting, rank 1", "rank 0", "rank 1"]);
+  assert.deepEqual(order, ["long waiting, lane 1", "lane 0", "lane 1"]);
 });
 
-test("a call that has turned late is read once no other waits and the engine is idle", () => {
-  const { enqueue, advance, findLane, verdicts } = createBench();
+test("a late call is placed once no other call waits and the engine is idle", () => {
+  const { enqueue, advance, findLane, outcomes } = createQueue();
   enqueue("first", 700);
   assert.equal(findLane("first"), LATE_LANE);
   enqueue("late", 100);
   advance(600, 40);
-  assert.equal(verdicts.size, 1);
+  assert.equal(outcomes.size, 1);
   enqueue("fresh", 30);
   assert.equal(findLane("fresh"), 0);
   advance(60, 10);
   assert.equal(findLane("late"), LATE_LANE);
 });
 
-test("a late call is refused before its caller leaves; a large one waits a little longer", () => {
-  const { engine, enqueue, advance, verdicts } = createBench();
+test("a late call is refused before its caller times out, and a large one a little later", () => {
+  const { engine, enqueue, advance, outcomes } = createQueue();
   engine.backlogMs = 700;
   enqueue("small", 50);
   enqueue("large", 350);
   advance(1000, 300);
-  assert.equal(verdicts.size, 0);
+  assert.equal(outcomes.size, 0);
   advance(440, 300);
-  assert.deepEqual([...verdicts.keys()], ["small"]);
-  assert.equal(verdicts.get("small")?.kind, "tooLate");
+  assert.deepEqual([...outcomes.keys()], ["small"]);
+  assert.equal(outcomes.get("small")?.kind, "tooLate");
   advance(100, 300);
-  assert.deepEqual([...verdicts.keys()], ["small", "large"]);
-  assert.equal(verdicts.get("large")?.kind, "tooLate");
+  assert.deepEqual([...outcomes.keys()], ["small", "large"]);
+  assert.equal(outcomes.get("large")?.kind, "tooLate");
 });
 
-test("late calls wait while the fleet has no engine to spare for them", () => {
-  const { engine, enqueue, advance, findLane } = createBench();
+test("late calls wait while the fleet has no spare engine for them", () => {
+  const { engine, enqueue, advance, findLane } = createQueue();
   engine.hasLate = true;
   enqueue("large", 700);
   enqueue("fresh", 30);
@@ -141,41 +141,42 @@
   assert.equal(findLane("large"), LATE_LANE);
 });
 
-test("a wait that is given up leaves nothing behind", () => {
-  const { engine, queue, order, enqueue, advance } = createBench();
+test("a cancelled request is removed from the queue", () => {
+  const { engine, queue, order, enqueue, advance } = createQueue();
   engine.backlogMs = 100;
-  const undo = enqueue("gone", 10);
+  const cancel = enqueue("gone", 10);
   enqueue("stays", 10);
-  undo();
+  cancel();
   advance(10, 0);
   assert.deepEqual(order, ["stays"]);
   assert.equal(queue.size, 0);
 });
 
-test("where no engine reads, calls are told at once", () => {
-  const { verdicts, enqueue } = createBench();
+test("without a prefill engine, a call gets its outcome at once", () => {
+  const { outcomes, enqueue } = createQueue();
   enqueue("a", 10, { findPlacement: () => undefined });
-  assert.equal(verdicts.get("a")?.kind, "noReader");
+  assert.equal(outcomes.get("a")?.kind, "noReader");
 });
 
-// What was seen: in an overload engines always had more than 20 ms to read, which is what a late call
-// needs to get its turn, and a large prompt is late as it comes. So it was refused, each time.
-test("a large prompt of which too few were placed goes before calls that can be on time", () => {
-  const { engine, enqueue, advance, findLane, verdicts } = createBench();
+// Guards against large prompts that are refused each time. A large prompt is late on arrival, and
+// late calls are placed only on engines with a backlog of at most 20 ms. In an overload the backlogs
+// were always longer.
+test("an underserved large prompt goes before calls that can be on time", () => {
+  const { engine, enqueue, advance, findLane, outcomes } = createQueue();
   for (let i = 0; i < 20; i++) enqueue(`usual ${i}`, 1);
   engine.backlogMs = 100;
   enqueue("large", 700);
   enqueue("first", 20, { tokens: 50 });
   advance(40, 50);
   assert.equal(findLane("large"), LATE_LANE);
-  assert.equal(verdicts.has("first"), false);
+  assert.equal(outcomes.has("first"), false);
 });
 
-test("what a large prompt takes by itself decides whether it can still be read", () => {
-  const { engine, enqueue, advance, findLane } = createBench();
+test("the unloaded prefill time decides whether a large prompt can still be placed", () => {
+  const { engine, enqueue, advance, findLane } = createQueue();
   for (let i = 0; i < 20; i++) enqueue(`usual ${i}`, 1);
   engine.backlogMs = 100;
-  // Booked at 2.5 s by an engine behind which others wait, read in 1 s by itself.
+  // Booked with 2.5 s because other prompts wait, but prefilled in 1 s on an unloaded engine.
   const place = (): PromptPlacement => ({
     ...buildPlacement(2500, engine.backlogMs),
     unloadedMs: 1000,
@@ -190,7 +191,7 @@
   readonly costMs: number;
 }
 
-/** Bursts of three times what one engine can read, three seconds of six. */
+/** Draws bursts of three times the capacity of one engine, in three of every six seconds. */
 function drawBursts(seed: number): Job[] {
   const random = new Random(seed);
   const jobs: Job[] = [];
@@ -203,19 +204,19 @@
   return jobs;
 }
 
-/** Calls on time at one engine that reads in the order of arrival; the window bounds what it holds. */
-function countOnTime(jobs: readonly Job[], windowMs: number): number {
+/** Counts the on-time calls of one engine with first come, first served and a backlog limit. */
+function countOnTime(jobs: readonly Job[], maxBacklogMs: number): number {
   const clock = new ManualClock();
-  const queue = new PrefillQueue({ clock, maxBacklogMs: windowMs });
-  const ledger = new WorkTracker();
+  const queue = new PrefillQueue({ clock, maxBacklogMs });
+  const tracker = new WorkTracker();
   let onTime = 0;
   let next = 0;
   let running: { doneAtMs: number; end: () => void }[] = [];
   const begin = (job: Job, { lane }: LanePlacement): void => {
     const nowMs = clock.readMonotonicMs();
-    const doneAtMs = nowMs + ledger.getPrefillBacklogMs("e", nowMs) +
+    const doneAtMs = nowMs + tracker.getPrefillBacklogMs("e", nowMs) +
       job.costMs;
-    const end = ledger.beginPrefill("e", { costMs: job.costMs, lane }, nowMs);
+    const end = tracker.beginPrefill("e", { costMs: job.costMs, lane }, nowMs);
     running.push({ doneAtMs, end });
     if (doneAtMs + 50 <= job.arriveMs + 600) onTime++;
   };
@@ -228,18 +229,18 @@
         kind: "k",
         tokens: job.costMs * 50,
         waitStartedAtMs: job.arriveMs,
-        aimMs: windowMs === Infinity ? Infinity : 600,
-        timeoutAtMs: windowMs === Infinity ? Infinity : job.arriveMs + 2150,
+        aimMs: maxBacklogMs === Infinity ? Infinity : 600,
+        timeoutAtMs: maxBacklogMs === Infinity ? Infinity : job.arriveMs + 2150,
         firstTokenDelayMs: 50,
         findPlacement: () =>
           buildPlacement(
             job.costMs,
-            ledger.getPrefillBacklogMs("e", clock.readMonotonicMs()),
+            tracker.getPrefillBacklogMs("e", clock.readMonotonicMs()),
           ),
         mayPrefillLate: () =>
-          !ledger.hasLatePrefill("e", clock.readMonotonicMs()),
-        onOutcome: (verdict) => {
-          if (verdict.kind === "placed") begin(job, verdict.placed);
+          !tracker.hasLatePrefill("e", clock.readMonotonicMs()),
+        onOutcome: (outcome) => {
+          if (outcome.kind === "placed") begin(job, outcome.placed);
         },
       });
     }
@@ -254,7 +255,7 @@
   return onTime;
 }
 
-test("under bursts more calls are on time than when engines get all at once", () => {
+test("in bursts, more calls are on time than when engines get all prompts at once", () => {
   for (const seed of [1, 2, 3]) {
     const jobs = drawBursts(seed);
     const atOnce = countOnTime(jobs, Infinity);
@@ -263,27 +264,27 @@
   }
 });
 
-test("no engine is asked for before it is known to have room, nor long after", () => {
-  const { queue, engine, order, enqueue } = createBench();
-  let asked = 0;
+test("the queue dispatches when an engine is known to have capacity, not before or long after", () => {
+  const { queue, engine, order, enqueue } = createQueue();
+  let searches = 0;
   const build = (backlogMs: () => number): Partial<PrefillRequest> => ({
     findPlacement: () => {
-      asked++;
+      searches++;
       return buildPlacement(10, backlogMs());
     },
   });
   engine.backlogMs = 400;
-  enqueue("waits", 10, build(() => engine.backlogMs));
-  asked = 0;
+  enqueue("waiting", 10, build(() => engine.backlogMs));
+  searches = 0;
   for (let i = 0; i < 30; i++) mock.timers.tick(10);
-  assert.equal(asked, 10, "300 ms in steps of 30");
+  assert.equal(searches, 10, "300 ms in steps of 30");
   engine.backlogMs = 75;
   mock.timers.tick(30);
-  asked = 0;
+  searches = 0;
   mock.timers.tick(14);
-  assert.equal(asked, 0);
+  assert.equal(searches, 0);
   engine.backlogMs = 60;
   mock.timers.tick(1);
-  assert.deepEqual(order, ["waits"]);
+  assert.deepEqual(order, ["waiting"]);
   assert.equal(queue.size, 0);
 });
--- a/packages/heatherarch-forward/tests/unit/prompt_placement_test.ts
+++ b/packages/heatherarch-forward/tests/unit/prompt_placement_test.ts
@@ -16,10 +16,10 @@
   return new PromptPlacer({ model: new PrefillTimeModel() });
 }
 
-function buildView(
+function buildContext(
   backlogs: Readonly<Record<string, number>>,
-  sources: readonly Target[] = [],
-  holders: readonly Target[] = sources,
+  prefixSources: readonly Target[] = [],
+  prefixHolders: readonly Target[] = prefixSources,
 ): PlacementContext {
   return {
     candidates: ENGINES.map((target) => ({
@@ -27,53 +27,53 @@
       backlogMs: backlogs[target.id] ?? 0,
     })),
     prefillEngines: ENGINES,
-    prefixHolders: holders,
-    prefixSources: sources,
+    prefixHolders,
+    prefixSources,
     traits: TRAITS,
   };
 }
 
-test("a beginning that nobody holds has one home for all VMs", () => {
+test("a prefix that no engine holds has the same owner for all VMs", () => {
   const prompt = buildPrompt("k1");
-  const first = createPlacer().pickEngine(prompt, buildView({}));
-  const second = createPlacer().pickEngine(prompt, buildView({ x: 5 }));
+  const first = createPlacer().pickEngine(prompt, buildContext({}));
+  const second = createPlacer().pickEngine(prompt, buildContext({ x: 5 }));
   assert.equal(first?.isCold, true);
   assert.equal(first?.target.id, second?.target.id);
 });
 
-test("homes spread over the engines", () => {
+test("prefix owners are spread over the engines", () => {
   const placer = createPlacer();
-  const homes = new Set<string>();
+  const owners = new Set<string>();
   for (let i = 0; i < 60; i++) {
-    const placement = placer.pickEngine(buildPrompt(`k${i}`), buildView({}));
-    homes.add(placement?.target.id ?? "");
+    const placement = placer.pickEngine(buildPrompt(`k${i}`), buildContext({}));
+    owners.add(placement?.target.id ?? "");
   }
-  assert.equal(homes.size, ENGINES.length);
+  assert.equal(owners.size, ENGINES.length);
 });
 
-test("a holder without much backlog reads the rest only", () => {
-  const view = buildView({ b: 30 }, [ENGINES[1]]);
-  const placement = createPlacer().pickEngine(buildPrompt("k"), view);
+test("an engine that holds the prefix and has little backlog prefills only the rest", () => {
+  const context = buildContext({ b: 30 }, [ENGINES[1]]);
+  const placement = createPlacer().pickEngine(buildPrompt("k"), context);
   assert.equal(placement?.target.id, "b");
   assert.equal(placement?.fetchFrom, undefined);
   assert.ok((placement?.costMs ?? 0) < 120, `${placement?.costMs} ms`);
 });
 
-test("behind a backlog another engine fetches the beginning from the holder", () => {
-  const view = buildView({ b: 400 }, [ENGINES[1]]);
-  const placement = createPlacer().pickEngine(buildPrompt("k"), view);
+test("another engine fetches the prefix if its holder has a backlog", () => {
+  const context = buildContext({ b: 400 }, [ENGINES[1]]);
+  const placement = createPlacer().pickEngine(buildPrompt("k"), context);
   assert.notEqual(placement?.target.id, "b");
   assert.equal(placement?.fetchFrom?.id, "b");
   assert.ok((placement?.readyMs ?? 0) < 140, `${placement?.readyMs} ms`);
 });
 
-test("a short prompt goes where it is read soonest", () => {
+test("a short prompt goes to the engine that completes its prefill first", () => {
   const prompt = buildPrompt("k", 350, 1110);
-  const view = buildView({ a: 50, b: 20, c: 90, d: 70 });
-  assert.equal(createPlacer().pickEngine(prompt, view)?.target.id, "b");
+  const context = buildContext({ a: 50, b: 20, c: 90, d: 70 });
+  assert.equal(createPlacer().pickEngine(prompt, context)?.target.id, "b");
 });
 
-test("a slow engine is left to others once it is known to be slow", () => {
+test("a slow engine is avoided once it is known to be slow", () => {
   const model = new PrefillTimeModel();
   for (let i = 0; i < 25; i++) {
     const costMs = model.predictMs("a", 1460, 0);
@@ -82,11 +82,11 @@
   assert.ok(model.getSlowdown("a") > 2);
   const placer = new PromptPlacer({ model });
   const prompt = buildPrompt("k", 350, 1110);
-  const view = buildView({ b: 30, c: 30, d: 30 });
-  assert.notEqual(placer.pickEngine(prompt, view)?.target.id, "a");
+  const context = buildContext({ b: 30, c: 30, d: 30 });
+  assert.notEqual(placer.pickEngine(prompt, context)?.target.id, "a");
 });
 
-test("readings behind others do not make an engine look slow", () => {
+test("waiting behind other prompts does not make an engine look slow", () => {
   const model = new PrefillTimeModel();
   for (let i = 0; i < 200; i++) {
     const costMs = model.predictMs("a", 1460, 0);
@@ -97,9 +97,9 @@
   assert.ok(model.getSlowdown("a") > 0.8, `${model.getSlowdown("a")}`);
 });
 
-test("the fixed time of an answer is learned apart from the engine's speed", () => {
+test("the fixed response latency is learned separately from the engine's speed", () => {
   const model = new PrefillTimeModel();
-  // 20 ms of each answer occupy nothing; the engine reads a tenth slower than believed.
+  // 20 ms of each response do not occupy the engine, which is a tenth slower than predicted.
   for (let i = 0; i < 800; i++) {
     const plainMs = model.predictMs("a", 380, 0) / model.getSlowdown("a");
     const waitMs = (i % 4) * 30;
@@ -112,27 +112,27 @@
   assert.ok(model.predictMs("a", 3720, 13_300) < 110);
 });
 
-test("waits of short prompts do not make a long one impossible, the engine's own speed does", () => {
+test("predictions for an unloaded engine follow its own speed, not the waits of short prompts", () => {
   const model = new PrefillTimeModel();
-  const sheetMs = model.predictUnloadedMs("a", 30_000, 0);
+  const initialMs = model.predictUnloadedMs("a", 30_000, 0);
   for (let i = 0; i < 200; i++) {
     const costMs = model.predictMs("a", 1460, 0);
     model.learn("a", { costMs, backlogMs: 0, tookMs: 110 });
   }
-  assert.ok(model.predictMs("a", 30_000, 0) > sheetMs * 2);
-  // A fifth slower than the model's start; a third of them behind work that was not known.
+  assert.ok(model.predictMs("a", 30_000, 0) > initialMs * 2);
+  // A fifth slower than the initial model; a third of the prefills wait behind unknown work.
   for (let i = 0; i < 60; i++) {
-    const aloneMs = model.predictUnloadedMs("a", 17_000, 0);
-    const readMs = sheetMs / 30_000 * 17_000 * 1.2;
-    const tookMs = readMs + model.latencyMs + (i % 3 === 0 ? 300 : 0);
-    model.learnUnloaded("a", { unloadedMs: aloneMs, backlogMs: 0, tookMs });
+    const unloadedMs = model.predictUnloadedMs("a", 17_000, 0);
+    const prefillMs = initialMs / 30_000 * 17_000 * 1.2;
+    const tookMs = prefillMs + model.latencyMs + (i % 3 === 0 ? 300 : 0);
+    model.learnUnloaded("a", { unloadedMs, backlogMs: 0, tookMs });
   }
-  const aloneMs = model.predictUnloadedMs("a", 30_000, 0);
-  assert.ok(aloneMs > sheetMs * 1.1, `${aloneMs} of ${sheetMs} ms`);
-  assert.ok(aloneMs < sheetMs * 1.9, `${aloneMs} of ${sheetMs} ms`);
+  const unloadedMs = model.predictUnloadedMs("a", 30_000, 0);
+  assert.ok(unloadedMs > initialMs * 1.1, `${unloadedMs} of ${initialMs} ms`);
+  assert.ok(unloadedMs < initialMs * 1.9, `${unloadedMs} of ${initialMs} ms`);
 });
 
-test("an engine that is not known yet is taken to be like the others", () => {
+test("an engine without samples is predicted like the others", () => {
   const model = new PrefillTimeModel();
   for (let i = 0; i < 300; i++) {
     const costMs = model.predictMs("a", 1460, 0);
@@ -141,31 +141,31 @@
   assert.ok(model.getSlowdown("b") > 1.4, `${model.getSlowdown("b")}`);
 });
 
-test("no engine, no placement", () => {
-  const view = { ...buildView({}), candidates: [] };
-  assert.equal(createPlacer().pickEngine(buildPrompt("k"), view), undefined);
+test("there is no placement without engines", () => {
+  const context = { ...buildContext({}), candidates: [] };
+  assert.equal(createPlacer().pickEngine(buildPrompt("k"), context), undefined);
 });
 
-test("a beginning that is being read is waited for, not read twice or fetched", () => {
-  const view = buildView({ b: 300 }, [], [ENGINES[1]]);
-  const placement = createPlacer().pickEngine(buildPrompt("k"), view);
+test("a prompt waits for a prefix that is being computed, which is neither computed twice nor fetched", () => {
+  const context = buildContext({ b: 300 }, [], [ENGINES[1]]);
+  const placement = createPlacer().pickEngine(buildPrompt("k"), context);
   assert.equal(placement?.target.id, "b");
   assert.equal(placement?.isCold, false);
 });
 
-test("a beginning that was used too long ago is read again where it was", () => {
-  const view = { ...buildView({}), lastPrefixHolder: ENGINES[2] };
-  const placement = createPlacer().pickEngine(buildPrompt("k"), view);
+test("a prefix that was used too long ago is computed again on its last holder", () => {
+  const context = { ...buildContext({}), lastPrefixHolder: ENGINES[2] };
+  const placement = createPlacer().pickEngine(buildPrompt("k"), context);
   assert.equal(placement?.target.id, "c");
   assert.equal(placement?.isCold, true);
 });
 
-test("what engines keep shrinks with what is read, and grows again", () => {
+test("the cache retention time decreases with prefill load and recovers", () => {
   const retention = new CacheRetention();
   const estimate = (nowMs: number) =>
     retention.estimateMs(480_000, 10, 9, nowMs);
   assert.equal(estimate(0), 30_000);
-  // 9 VMs with 39 new tokens a millisecond each: 35 a millisecond and engine.
+  // 9 VMs with 39 new tokens per millisecond each are 35 per millisecond and engine.
   for (let nowMs = 0; nowMs < 20_000; nowMs += 100) {
     retention.recordPrefill(3900, nowMs);
   }
@@ -174,7 +174,7 @@
   assert.equal(estimate(60_000), 30_000);
 });
 
-test("VMs tell each other where a beginning is read, when it has been, and of later uses", () => {
+test("VMs report to each other that a prefix is being computed, that it is held, and later uses", () => {
   const own = new PrefixIndex();
   own.recordHolder("k1", "a", "reading", 0);
   own.recordHolder("k1", "a", "reading", 10);
--- a/packages/heatherarch-forward/tests/unit/role_plan_test.ts
+++ b/packages/heatherarch-forward/tests/unit/role_plan_test.ts
@@ -5,12 +5,12 @@
 
 const ZONES = ["zone-a", "zone-b", "zone-c"];
 
-function buildFleet(readers: number, runners: number): Target[] {
+function buildFleet(prefill: number, decode: number): Target[] {
   return Array.from(
-    { length: readers + runners },
+    { length: prefill + decode },
     (_, i) =>
       buildEngine(`e${String(i).padStart(3, "0")}`, {
-        role: i < runners ? "decode" : "prefill",
+        role: i < decode ? "decode" : "prefill",
         availabilityZone: ZONES[i % ZONES.length],
       }),
   );
@@ -26,50 +26,53 @@
   }));
 }
 
-test("a fleet reaches its goal in one plan and then rests", () => {
-  for (const [readers, runners] of [[5, 8], [13, 0], [0, 13], [40, 58]]) {
-    const planned = apply(buildFleet(readers, runners));
-    const generating = planned.filter((engine) => engine.role === "decode");
-    assert.equal(generating.length, computeDecodeEngineCount(planned.length));
+test("a fleet reaches the desired roles with one plan and then stays unchanged", () => {
+  for (const [prefill, decode] of [[5, 8], [13, 0], [0, 13], [40, 58]]) {
+    const planned = apply(buildFleet(prefill, decode));
+    const decodeEngines = planned.filter((engine) => engine.role === "decode");
+    assert.equal(
+      decodeEngines.length,
+      computeDecodeEngineCount(planned.length),
+    );
     assert.deepEqual(planRoles(planned), []);
   }
 });
 
-test("a small fleet keeps a spare generating engine, a large one a share", () => {
+test("a small fleet has a spare decode engine, and a large one a share of decode engines", () => {
   assert.deepEqual(
     [1, 2, 8, 11, 12, 13, 98].map((count) => computeDecodeEngineCount(count)),
     [1, 1, 2, 2, 3, 3, 15],
   );
 });
 
-test("engines with few places generate in greater number", () => {
+test("more engines decode when engines have few slots", () => {
   assert.equal(computeDecodeEngineCount(42, { slots: 16 }), 13);
   assert.equal(computeDecodeEngineCount(42, { slots: 64 }), 6);
   assert.equal(computeDecodeEngineCount(6, { slots: 64 }), 2);
 });
 
-test("the fewest orders are given", () => {
+test("a plan has the fewest possible changes", () => {
   const fleet = buildFleet(5, 8);
   assert.equal(planRoles(fleet).length, 8 - computeDecodeEngineCount(13));
 });
 
-test("generating engines stay in different zones", () => {
+test("decode engines stay in different zones", () => {
   const planned = apply(buildFleet(5, 8));
   const zones = planned.filter((engine) => engine.role === "decode")
     .map((engine) => engine.availabilityZone);
   assert.equal(new Set(zones).size, Math.min(zones.length, ZONES.length));
 });
 
-test("a lost generating engine is replaced, never the last reader", () => {
+test("a lost decode engine is replaced, unless only one prefill engine is left", () => {
   const planned = apply(buildFleet(5, 8));
-  const runners = planned.filter((engine) => engine.role === "decode");
-  const left = planned.filter((engine) => engine !== runners[0]);
-  const missing = computeDecodeEngineCount(12) - (runners.length - 1);
-  assert.equal(planRoles(left).length, missing);
+  const decodeEngines = planned.filter((engine) => engine.role === "decode");
+  const remaining = planned.filter((engine) => engine !== decodeEngines[0]);
+  const missing = computeDecodeEngineCount(12) - (decodeEngines.length - 1);
+  assert.equal(planRoles(remaining).length, missing);
   assert.deepEqual(planRoles([buildEngine("only")]), []);
 });
 
-test("generating engines that don't answer are replaced before the list drops them", () => {
+test("decode engines that don't respond are replaced before the target list drops them", () => {
   const planned = apply(buildFleet(5, 8));
   const down = new Set(
     planned.filter((engine) => engine.role === "decode").map(({ id }) => id),
@@ -80,7 +83,7 @@
   assert.ok(changes.every(({ target }) => isReachable(target)));
 });
 
-test("leaving engines neither count nor change", () => {
+test("leaving engines are neither counted nor changed", () => {
   const fleet = buildFleet(10, 3).map((engine, i) =>
     i < 3 ? { ...engine, leaving: true } : engine
   );
