--- a/packages/heatherarch-forward/calls/call_context.ts
+++ b/packages/heatherarch-forward/calls/call_context.ts
@@ -99,7 +99,7 @@
     this.#undoGone = this.clientResponse.registerDisconnectListener(() =>
       this.#leave()
     );
-    this.dependencies.retryBudget.noteCall(this.service.name, this.nowMs);
+    this.dependencies.retryBudget.recordCall(this.service.name, this.nowMs);
   }
 
   get nowMs(): number {
@@ -141,7 +141,7 @@
   /** Refuses the call if its request may not be sent; returns whether it goes on. */
   admit(): boolean {
     const admission = this.#guard.admit();
-    if (admission.kind === "quarantined") this.#refuseHeld(admission.held);
+    if (admission.kind === "quarantined") this.#refuseHeld(admission.entry);
     if (admission.kind === "onTrial") {
       this.refuse("overloaded", "another copy of the request is on trial", {
         retryAfterMs: TRIAL_RETRY_AFTER_MS,
@@ -198,7 +198,7 @@
 
   /** Spends one further try of the fleet's allowance. */
   spendRetry(): boolean {
-    return this.dependencies.retryBudget.spendTry(
+    return this.dependencies.retryBudget.spendRetry(
       this.service.name,
       this.nowMs,
     );
--- a/packages/heatherarch-forward/calls/call_server.ts
+++ b/packages/heatherarch-forward/calls/call_server.ts
@@ -16,7 +16,7 @@
   ServiceSpec,
 } from "../model.ts";
 import { PlainCallHandler } from "./plain_call_handler.ts";
-import type { RouteTable } from "../beliefs/route_table.ts";
+import type { RouteTable } from "../state/route_table.ts";
 import type { CallDependencies } from "../call_dependencies.ts";
 
 /** A call that says nothing of its prompt. */
--- a/packages/heatherarch-forward/calls/generation_handler.ts
+++ b/packages/heatherarch-forward/calls/generation_handler.ts
@@ -199,7 +199,7 @@
       return;
     }
     this.#tried.add(target.id);
-    run.dependencies.health.noteOutcome(target.id, "failed", run.nowMs);
+    run.dependencies.health.recordOutcome(target.id, "failed", run.nowMs);
     run.dependencies.log.write("info", "streamBroken", {
       call: run.call.id,
       target: target.id,
@@ -275,7 +275,7 @@
         sharedTokens: sumShared(this.#prompt),
         isCold,
         factor: Number(
-          run.dependencies.prefillTimeModel.getFactor(target.id).toFixed(2),
+          run.dependencies.prefillTimeModel.getSlowdown(target.id).toFixed(2),
         ),
         waitedMs: Math.round(waitedMs),
         costMs: Math.round(costMs),
@@ -316,7 +316,7 @@
     const { directory } = serving;
     const since = directory.listServing(service.name)
       .filter((engine) => engine.role === "prefill")
-      .map((engine) => directory.findChangingSince(engine.id, nowMs))
+      .map((engine) => directory.findRoleChangeStartMs(engine.id, nowMs))
       .filter((sinceMs) => sinceMs !== undefined);
     return predictRunnerMs(since, this.#traits.roleChangeMs, nowMs);
   }
@@ -327,7 +327,7 @@
     const kvRoom = this.#traits.kvTokens;
     const candidates = listEngines(this.#run, "generating", this.#tried)
       .map((target): RunCandidate => {
-        const { runs, kvTokens } = ledger.getRuns(target.id, nowMs);
+        const { runs, kvTokens } = ledger.getRunLoad(target.id, nowMs);
         return { target, runs, kvTokens, kvRoom };
       });
     return pickRunner(candidates, zone, drawUnit)?.target;
--- a/packages/heatherarch-forward/calls/quarantine_guard.ts
+++ b/packages/heatherarch-forward/calls/quarantine_guard.ts
@@ -65,7 +65,10 @@
   findQuarantined(): QuarantinedRequest | undefined {
     const { quarantine, clock } = this.#options.dependencies;
     if (quarantine.isEmpty) return undefined;
-    return quarantine.findHeld(this.requestDigest, clock.readMonotonicMs());
+    return quarantine.findQuarantined(
+      this.requestDigest,
+      clock.readMonotonicMs(),
+    );
   }
 
   /**
@@ -91,11 +94,11 @@
     void exchange.ended.then((end) => {
       if (end === "ended") return;
       if (end.isConnectionRefused) {
-        losses.noteEnded(target.id, "refusedConnection");
+        losses.recordCrash(target.id, "refusedConnection");
       }
       if (end.fault !== "lost") return;
       this.#hasLost = true;
-      this.#inquiries.push(losses.take({
+      this.#inquiries.push(losses.investigateLoss({
         call: id,
         request: this.requestDigest,
         account: host,
@@ -116,7 +119,7 @@
   #clear(): void {
     const { quarantine, clock, log } = this.#options.dependencies;
     const crashes = quarantine.countCrashes(this.requestDigest);
-    if (!quarantine.noteSuccess(this.requestDigest, clock.readMonotonicMs())) {
+    if (!quarantine.markSuccess(this.requestDigest, clock.readMonotonicMs())) {
       return;
     }
     log.write("info", "requestCleared", {
--- a/packages/heatherarch-forward/forward_vm.ts
+++ b/packages/heatherarch-forward/forward_vm.ts
@@ -248,7 +248,7 @@
     const { quarantine, clock } = this.#parts;
     quarantine.registerChangeListener(({ kind, request, isOwn }) => {
       const source = isOwn ? "own" : "peer";
-      const held = quarantine.findHeld(request, clock.readMonotonicMs());
+      const held = quarantine.findQuarantined(request, clock.readMonotonicMs());
       if (kind === "cleared") {
         this.#log.write("info", "quarantineLifted", { request, source });
       } else if (held !== undefined) {
@@ -297,7 +297,7 @@
   #noteChanging(targets: readonly string[]): void {
     const nowMs = this.#clock.readMonotonicMs();
     for (const id of targets) {
-      this.#parts.directory.markChanging(id, nowMs + CHANGING_MS, nowMs);
+      this.#parts.directory.markChangingRole(id, nowMs + CHANGING_MS, nowMs);
     }
   }
 
@@ -320,7 +320,7 @@
     metrics.configAge.set(configs.getAgeMs(clock.readMonotonicMs()) / 1000);
     this.#sweepQuarantine();
     reading.forgetDropped("otherIncarnation");
-    const gone = directory.expire(this.#clock.readMonotonicMs());
+    const gone = directory.dropExpired(this.#clock.readMonotonicMs());
     metrics.targets.set(directory.size);
     reading.forgetDropped("grace");
     for (const id of gone) {
@@ -337,7 +337,7 @@
     if (quarantine.isEmpty) return;
     const nowMs = this.#clock.readMonotonicMs();
     quarantine.expire(nowMs);
-    metrics.requestsQuarantined.set(quarantine.listHeld(nowMs).length);
+    metrics.requestsQuarantined.set(quarantine.listQuarantined(nowMs).length);
   }
 
   async #listenStatus(
--- a/packages/heatherarch-forward/tasks/role_keeper.ts
+++ b/packages/heatherarch-forward/tasks/role_keeper.ts
@@ -15,11 +15,11 @@
 } from "heatherarch-core";
 import {
   type ControlRecord,
-  EMPTY_CONTROL,
-  LeaseMachine,
+  EMPTY_CONTROL_STATE,
+  LeaseStateMachine,
 } from "heatherarch-lease";
 import { judgeSlice, type LogPort } from "heatherarch-log";
-import type { ConfigView } from "../beliefs/config_view.ts";
+import type { ActiveConfig } from "../state/active_config.ts";
 import { askEngine } from "./engine_inquiry.ts";
 import type { EventLog } from "../event_log.ts";
 import type { ForwardMetrics } from "../metrics.ts";
@@ -27,8 +27,8 @@
 import type { CallCodec, RoleOrder } from "../ports.ts";
 import { planRoles, type RoleChange } from "../decisions/role_plan.ts";
 import type { TargetConnections } from "../calls/target_connections.ts";
-import type { TargetDirectory } from "../beliefs/target_directory.ts";
-import type { TargetHealth } from "../beliefs/target_health.ts";
+import type { TargetDirectory } from "../state/target_directory.ts";
+import type { TargetHealth } from "../state/target_health.ts";
 
 /** Options of {@linkcode RoleKeeper}. */
 export interface RoleKeeperOptions {
@@ -37,7 +37,7 @@
   readonly log: LogPort;
   readonly leaseMs: number;
   readonly clock: Clock;
-  readonly configs: ConfigView;
+  readonly configs: ActiveConfig;
   readonly directory: TargetDirectory;
   readonly connections: TargetConnections;
   readonly health: TargetHealth;
@@ -81,7 +81,7 @@
 const HTTP_FENCED = 412;
 
 interface Campaign {
-  readonly machine: LeaseMachine;
+  readonly machine: LeaseStateMachine;
   readAtMs: number;
   idleSinceMs: number;
 }
@@ -91,7 +91,7 @@
   readonly #options: RoleKeeperOptions;
   /** Engines whose change has been ordered, with the role and the end of the wait for it. */
   readonly #pending = new Map<string, { role: TargetRole; untilMs: number }>();
-  #state = EMPTY_CONTROL;
+  #state = EMPTY_CONTROL_STATE;
   #campaign: Campaign | undefined;
   #wantedSinceMs = Infinity;
   #engineCount = -1;
@@ -193,7 +193,7 @@
 
   /** An engine that another VM has ordered to change counts in its new role. */
   #applyChanging(target: Target, nowMs: number): Target {
-    if (!this.#options.directory.isChanging(target.id, nowMs)) return target;
+    if (!this.#options.directory.hasRoleChange(target.id, nowMs)) return target;
     return {
       ...target,
       role: target.role === "prefill" ? "decode" : "prefill",
@@ -213,7 +213,7 @@
   #begin(): Campaign {
     const { vmId, incarnation, leaseMs } = this.#options;
     this.#clockPartMs = this.#readClockPart();
-    const machine = new LeaseMachine({
+    const machine = new LeaseStateMachine({
       vm: vmId,
       // A claim of an earlier campaign is another's claim, whose silence is waited for.
       incarnation: `${incarnation}.${this.#campaigns++}`,
@@ -242,7 +242,7 @@
       if (verdict.kind === "gap") {
         // What expired is older than any lease; the claims that follow tell the rest.
         machine.loadState(
-          { ...EMPTY_CONTROL, offset: verdict.first - 1 },
+          { ...EMPTY_CONTROL_STATE, offset: verdict.first - 1 },
           this.#nowMs,
         );
         continue;
--- a/packages/heatherarch-forward/tests/unit/scripted_call.ts
+++ b/packages/heatherarch-forward/tests/unit/scripted_call.ts
@@ -22,20 +22,20 @@
   GenerationHandler,
   MemoryEventLog,
   PlainCallHandler,
-  PromptIndex,
+  PrefillTimeModel,
+  PrefixIndex,
   PromptPlacer,
   ReaderBoard,
-  ReadModel,
   ReadQueue,
-  RetryAllowance,
+  RetryBudget,
   type Target,
+  TargetBackoffs,
   TargetConnections,
   TargetDirectory,
   TargetExchange,
   TargetHealth,
   TargetListGuard,
-  TargetRests,
-  WorkLedger,
+  WorkTracker,
 } from "../../mod.ts";
 import { buildPrompt, buildRoute, buildTarget, TRAITS } from "./fixtures.ts";
 
@@ -160,7 +160,7 @@
   }
 
   #buildServing(clock: RuntimeClock): CallDependencies {
-    const readModel = new ReadModel();
+    const readModel = new PrefillTimeModel();
     const connections = new TargetConnections();
     connections.send = (target, request) => this.#open(target, request);
     const log = new MemoryEventLog();
@@ -171,8 +171,8 @@
       codec: buildCodec(),
       directory: this.#directory,
       health: new TargetHealth(),
-      backoffs: new TargetRests(),
-      workTracker: new WorkLedger(),
+      backoffs: new TargetBackoffs(),
+      workTracker: new WorkTracker(),
       connections,
       targetListGuard: buildIdleGuard(clock),
       quarantine,
@@ -180,14 +180,14 @@
         { quarantine, directory: this.#directory, clock, log, metrics },
         { probe: () => Promise.resolve("accepted") },
       ),
-      retryBudget: new RetryAllowance({
+      retryBudget: new RetryBudget({
         fixedPerWindow: 1000,
         share: 1,
         windowMs: 10_000,
       }),
       placer: new PromptPlacer({ model: readModel }),
       engineJitter: new EngineSpread({ vmId: "vm", drawUnit: () => 0 }),
-      prefixIndex: new PromptIndex(),
+      prefixIndex: new PrefixIndex(),
       retention: new CacheRetention(),
       countVms: () => 1,
       prefillTimeModel: readModel,
--- a/packages/heatherarch-forward/vm_dependencies.ts
+++ b/packages/heatherarch-forward/vm_dependencies.ts
@@ -5,16 +5,16 @@
  */
 import type { Clock } from "heatherarch-core";
 import type { ForwardSettings } from "heatherarch-settings";
-import { CacheRetention } from "./beliefs/cache_retention.ts";
-import { ConfigView } from "./beliefs/config_view.ts";
-import { PromptIndex } from "./beliefs/prompt_index.ts";
-import { ReadModel } from "./beliefs/read_model.ts";
+import { CacheRetention } from "./state/cache_retention.ts";
+import { ActiveConfig } from "./state/active_config.ts";
+import { PrefixIndex } from "./state/prefix_index.ts";
+import { PrefillTimeModel } from "./state/prefill_time_model.ts";
 import { RequestQuarantine } from "heatherarch-quarantine";
-import { RetryAllowance } from "./beliefs/retry_allowance.ts";
-import { TargetDirectory } from "./beliefs/target_directory.ts";
-import { TargetHealth } from "./beliefs/target_health.ts";
-import { TargetRests } from "./beliefs/target_rests.ts";
-import { WorkLedger } from "./beliefs/work_ledger.ts";
+import { RetryBudget } from "./state/retry_budget.ts";
+import { TargetDirectory } from "./state/target_directory.ts";
+import { TargetHealth } from "./state/target_health.ts";
+import { TargetBackoffs } from "./state/target_backoffs.ts";
+import { WorkTracker } from "./state/work_tracker.ts";
 import { EngineSpread } from "./decisions/engine_spread.ts";
 import { PromptPlacer } from "./decisions/prompt_placement.ts";
 import { ReaderBoard } from "./decisions/reader_board.ts";
@@ -30,7 +30,7 @@
 import { ForwardMetrics } from "./metrics.ts";
 import type { CallCodec } from "./ports.ts";
 import type { CallDependencies } from "./call_dependencies.ts";
-import { LossInquiry } from "heatherarch-quarantine";
+import { CrashDetector } from "heatherarch-quarantine";
 
 /** Options of {@linkcode buildCallDependencies}. */
 export interface CallDependenciesOptions {
@@ -70,11 +70,11 @@
 ): CallDependencies {
   const { settings, codec, clock, log, countVms } = options;
   const metrics = new ForwardMetrics();
-  const readModel = new ReadModel();
+  const readModel = new PrefillTimeModel();
   const directory = new TargetDirectory({
     targetHeartbeatMs: settings.store.targetHeartbeatMs,
   });
-  const rests = new TargetRests();
+  const rests = new TargetBackoffs();
   const notices = new ResponseNotices({
     codec,
     directory,
@@ -93,9 +93,9 @@
     quarantine,
     prefillTimeModel: readModel,
     countVms,
-    activeConfig: new ConfigView(),
+    activeConfig: new ActiveConfig(),
     health: new TargetHealth(),
-    workTracker: new WorkLedger(),
+    workTracker: new WorkTracker(),
     crashDetector: buildCrashDetector({
       quarantine,
       directory,
@@ -112,7 +112,7 @@
     retryBudget: buildAllowance(settings),
     prefillQueue: new ReadQueue({ clock }),
     prefillCandidateCache: new ReaderBoard(),
-    prefixIndex: new PromptIndex(),
+    prefixIndex: new PrefixIndex(),
     retention: new CacheRetention(),
     placer: new PromptPlacer({ model: readModel }),
     engineJitter: new EngineSpread({
@@ -151,8 +151,8 @@
     "quarantine" | "directory" | "clock" | "log" | "metrics"
   >,
   targetProbe: Pick<TargetProbe, "probe"> = new TargetProbe(),
-): LossInquiry {
-  return new LossInquiry({
+): CrashDetector {
+  return new CrashDetector({
     targetProbe,
     quarantine,
     clock,
@@ -168,7 +168,7 @@
         reason,
         probe,
       }),
-    onEnded: (target, evidence, requests) => {
+    onCrash: (target, evidence, requests) => {
       metrics.targetsEnded.inc();
       log.write("warn", "targetEnded", { target, evidence, requests });
     },
@@ -184,7 +184,7 @@
   target: string,
   purpose: SendPurpose,
 ): string | undefined {
-  if (rests.isResting(target, clock.readMonotonicMs())) {
+  if (rests.isInBackoff(target, clock.readMonotonicMs())) {
     return "the target rests";
   }
   if (purpose === "release") return undefined;
@@ -199,9 +199,9 @@
   });
 }
 
-function buildAllowance({ retries }: ForwardSettings): RetryAllowance {
+function buildAllowance({ retries }: ForwardSettings): RetryBudget {
   const { share, fixedPerWindow, windowSeconds } = retries;
-  return new RetryAllowance({
+  return new RetryBudget({
     share,
     fixedPerWindow,
     windowMs: windowSeconds * MS_PER_SECOND,
--- a/packages/heatherarch-forward/vm_tasks.ts
+++ b/packages/heatherarch-forward/vm_tasks.ts
@@ -76,7 +76,7 @@
       parts.storeReader.applyTargets(entries, isFull),
     onListLost: (source) => parts.storeReader.noteHubLost(source),
     getListReadAtMs: () => parts.storeReader.listReadAtMs,
-    onListRead: (atMs) => parts.directory.notePeerRead(atMs),
+    onListRead: (atMs) => parts.directory.recordPeerRead(atMs),
     configReads: planConfigReads(settings.store),
     loadConfig: () => parts.storeReader.loadConfig(),
     onLiveVms: wiring.onLiveVms,
