--- a/packages/heatherarch-forward/calls/call_context.ts
+++ b/packages/heatherarch-forward/calls/call_context.ts
@@ -145,7 +145,7 @@
     if (admission.kind === "onTrial") {
       this.refuse("overloaded", "another copy of the request is on trial", {
         retryAfterMs: TRIAL_RETRY_AFTER_MS,
-        detail: { request: this.#guard.requestDigest },
+        detail: { request: this.#guard.digest },
       });
     }
     return !this.hasEnded;
@@ -239,7 +239,7 @@
   ): void {
     assertInvariant(!this.mayHaveRun, "refused-not-run", this.call.id);
     if (this.hasEnded) return;
-    this.clientResponse.sendError(
+    this.clientResponse.fail(
       new ServeError(kind, reason, options),
       this.call.id,
     );
@@ -268,7 +268,7 @@
       this.finish("broken", { reason });
       return;
     }
-    this.clientResponse.sendError(new ServeError(kind, reason), this.call.id);
+    this.clientResponse.fail(new ServeError(kind, reason), this.call.id);
     this.finish("failed", { reason });
   }
 
@@ -295,7 +295,7 @@
     if (this.clientResponse.isHeadSent) this.clientResponse.destroy();
     else {
       const kind = this.mayHaveRun ? "deadlineExceeded" : "overloaded";
-      this.clientResponse.sendError(new ServeError(kind, reason), this.call.id);
+      this.clientResponse.fail(new ServeError(kind, reason), this.call.id);
     }
     this.finish("expired", { reason });
     exchange?.abort(reason);
--- a/packages/heatherarch-forward/calls/call_server.ts
+++ b/packages/heatherarch-forward/calls/call_server.ts
@@ -44,22 +44,19 @@
   }
 
   /** Serves one call to its end. Never rejects. */
-  async serve(call: ForwardedCall, caller: ClientResponse): Promise<void> {
+  async serve(call: ForwardedCall, response: ClientResponse): Promise<void> {
     const { metrics, log } = this.#serving;
     metrics.inFlight.inc();
     try {
-      await this.#route(call, caller);
+      await this.#route(call, response);
     } catch (error) {
       log.write("error", "callCrashed", {
         call: call.id,
         error: String((error as Error)?.stack ?? error),
       });
       // What the call did before is not known here.
-      if (caller.isHeadSent) caller.destroy();
-      else {caller.sendError(
-          new ServeError("internal", "internal error"),
-          call.id,
-        );}
+      if (response.isHeadSent) response.destroy();
+      else response.fail(new ServeError("internal", "internal error"), call.id);
     } finally {
       metrics.inFlight.dec();
     }
@@ -119,7 +116,7 @@
     reason: string,
   ): void {
     const { activeConfig: configs, log, clock } = this.#serving;
-    caller.sendError(new ServeError(kind, reason), call.id);
+    caller.fail(new ServeError(kind, reason), call.id);
     log.write("warn", "callRejected", {
       call: call.id,
       kind,
--- a/packages/heatherarch-forward/calls/client_response.ts
+++ b/packages/heatherarch-forward/calls/client_response.ts
@@ -75,7 +75,7 @@
   }
 
   /** Answers with an error of this VM's own. */
-  sendError(error: ServeError, callId: string): void {
+  fail(error: ServeError, callId: string): void {
     if (this.#gone || this.#response.headersSent) return;
     const body = Buffer.from(JSON.stringify(buildErrorBody(error, callId)));
     this.#response.statusCode = error.status;
--- a/packages/heatherarch-forward/calls/quarantine_guard.ts
+++ b/packages/heatherarch-forward/calls/quarantine_guard.ts
@@ -37,7 +37,7 @@
     this.#options = options;
     this.#undoListener = options.dependencies.quarantine.registerChangeListener(
       ({ kind, request }) => {
-        if (kind !== "held" || request !== this.requestDigest) return;
+        if (kind !== "held" || request !== this.digest) return;
         const held = this.findQuarantined();
         if (held !== undefined) options.onQuarantined(held);
       },
@@ -45,7 +45,7 @@
   }
 
   /** Digest of the request, which its repeats share. */
-  get requestDigest(): string {
+  get digest(): string {
     return this.#request ??= hashRequest(this.#options.call);
   }
 
@@ -54,7 +54,7 @@
     const { quarantine, clock } = this.#options.dependencies;
     if (quarantine.isEmpty) return { kind: "free" };
     const admission = quarantine.admit(
-      this.requestDigest,
+      this.digest,
       clock.readMonotonicMs(),
     );
     if (admission.kind === "trial") this.#endTrial = admission.end;
@@ -66,7 +66,7 @@
     const { quarantine, clock } = this.#options.dependencies;
     if (quarantine.isEmpty) return undefined;
     return quarantine.findQuarantined(
-      this.requestDigest,
+      this.digest,
       clock.readMonotonicMs(),
     );
   }
@@ -83,7 +83,7 @@
     }
     if (!this.#hasLost) return true;
     return !this.#options.dependencies.quarantine.isLastTrial(
-      this.requestDigest,
+      this.digest,
     );
   }
 
@@ -100,7 +100,7 @@
       this.#hasLost = true;
       this.#inquiries.push(losses.investigateLoss({
         call: id,
-        request: this.requestDigest,
+        request: this.digest,
         account: host,
         target: target.id,
         address: target.address,
@@ -118,13 +118,11 @@
 
   #clear(): void {
     const { quarantine, clock, log } = this.#options.dependencies;
-    const crashes = quarantine.countCrashes(this.requestDigest);
-    if (!quarantine.markSuccess(this.requestDigest, clock.readMonotonicMs())) {
-      return;
-    }
+    const crashes = quarantine.countCrashes(this.digest);
+    if (!quarantine.markSuccess(this.digest, clock.readMonotonicMs())) return;
     log.write("info", "requestCleared", {
       call: this.#options.call.id,
-      request: this.requestDigest,
+      request: this.digest,
       crashes,
     });
   }
--- a/packages/heatherarch-forward/decisions/target_choice.ts
+++ b/packages/heatherarch-forward/scheduling/target_selection.ts
@@ -6,8 +6,8 @@
 import type { CallContext } from "../calls/call_context.ts";
 import type { Target } from "../model.ts";
 
-/** Options of {@linkcode listOpenTargets}. */
-export interface TargetChoice {
+/** Options of {@linkcode listAvailableTargets}. */
+export interface TargetSelectionOptions {
   readonly run: CallContext;
   /** Targets that the call has tried already. */
   readonly tried: ReadonlySet<string>;
@@ -16,8 +16,8 @@
 }
 
 /** Targets that may be tried now; avoided ones only if there is no other. */
-export function listOpenTargets(
-  { run, tried, accepts = acceptAny }: TargetChoice,
+export function listAvailableTargets(
+  { run, tried, accepts = acceptAny }: TargetSelectionOptions,
 ): Target[] {
   const { directory, health, backoffs: rests, connections } = run.dependencies;
   const { name, maxConnections } = run.service;
@@ -36,7 +36,7 @@
  * Time until the first rest ends, milliseconds, if all targets that could serve the call rest;
  * undefined otherwise.
  */
-export function findRestMs(
+export function findBackoffMs(
   run: CallContext,
   accepts: (target: Target) => boolean = acceptAny,
 ): number | undefined {
--- a/packages/heatherarch-forward/tasks/ingress.ts
+++ b/packages/heatherarch-forward/tasks/ingress.ts
@@ -148,7 +148,7 @@
   ): void {
     // What is left of the request can't be told from a next one.
     if (!request.complete) response.setHeader("Connection", "close");
-    caller.sendError(error, "");
+    caller.fail(error, "");
     this.#options.log.write("warn", "callRejected", {
       kind: error.kind,
       reason: error.message,
--- a/packages/heatherarch-forward/vm_dependencies.ts
+++ b/packages/heatherarch-forward/vm_dependencies.ts
@@ -15,10 +15,10 @@
 import { TargetHealth } from "./state/target_health.ts";
 import { TargetBackoffs } from "./state/target_backoffs.ts";
 import { WorkTracker } from "./state/work_tracker.ts";
-import { EngineSpread } from "./decisions/engine_spread.ts";
-import { PromptPlacer } from "./decisions/prompt_placement.ts";
-import { ReaderBoard } from "./decisions/reader_board.ts";
-import { ReadQueue } from "./decisions/read_queue.ts";
+import { EngineJitter } from "./scheduling/engine_jitter.ts";
+import { PromptPlacer } from "./scheduling/prompt_placement.ts";
+import { PrefillCandidateCache } from "./scheduling/prefill_candidate_cache.ts";
+import { PrefillQueue } from "./scheduling/prefill_queue.ts";
 import type { EventLog } from "./event_log.ts";
 import { ResponseNotices } from "./calls/response_notices.ts";
 import { TargetListGuard } from "./calls/target_list_guard.ts";
@@ -110,12 +110,12 @@
     }),
     targetListGuard: buildListGuard(options, metrics),
     retryBudget: buildAllowance(settings),
-    prefillQueue: new ReadQueue({ clock }),
-    prefillCandidateCache: new ReaderBoard(),
+    prefillQueue: new PrefillQueue({ clock }),
+    prefillCandidateCache: new PrefillCandidateCache(),
     prefixIndex: new PrefixIndex(),
     retention: new CacheRetention(),
     placer: new PromptPlacer({ model: readModel }),
-    engineJitter: new EngineSpread({
+    engineJitter: new EngineJitter({
       vmId: settings.vm.id,
       drawUnit: Math.random,
     }),
