--- a/packages/heatherarch-forward/tests/unit/scripted_call.ts
+++ b/packages/heatherarch-forward/tests/unit/scripted_call.ts
@@ -220,7 +220,7 @@
       destroy: () => {
         this.#isWhole = false;
       },
-      sendError: (error: ServeError) => {
+      fail: (error: ServeError) => {
         this.#status = error.status;
         this.#isWhole = true;
       },
