--- a/packages/heatherarch-forward/calls/attempt_result.ts
+++ b/packages/heatherarch-forward/calls/attempt_result.ts
@@ -11,7 +11,7 @@
   type ResponseHead,
   type TargetExchange,
 } from "./target_exchange.ts";
-import type { TryOutcome } from "../state/target_health.ts";
+import type { AttemptOutcome } from "../state/target_health.ts";
 
 /** How a try ended, up to the head of its answer. */
 export type AttemptResult =
@@ -100,7 +100,7 @@
   const sentAtMs = run.nowMs;
   let timer: NodeJS.Timeout;
   const look = (): void => {
-    const heardAtMs = run.dependencies.health.getLastAnswerAtMs(target.id);
+    const heardAtMs = run.dependencies.health.getLastResponseAtMs(target.id);
     if (isPatient && run.nowMs - heardAtMs < ALIVE_MS) {
       timer = setTimeout(look, ALIVE_MS);
       return;
@@ -211,7 +211,7 @@
   });
 }
 
-function rateEnd(end: AttemptResult): TryOutcome {
+function rateEnd(end: AttemptResult): AttemptOutcome {
   switch (end.kind) {
     case "answer":
       return end.head.status >= 500 ? "failed" : "answered";
--- a/packages/heatherarch-forward/state/target_health.ts
+++ b/packages/heatherarch-forward/state/target_health.ts
@@ -9,7 +9,7 @@
  */
 
 /** How a try at a target ended, as far as its health goes. */
-export type TryOutcome = "answered" | "failed" | "unreachable";
+export type AttemptOutcome = "answered" | "failed" | "unreachable";
 
 interface Belief {
   /** Tries in a row that found it unreachable. */
@@ -41,7 +41,11 @@
   readonly #beliefs = new Map<string, Belief>();
 
   /** Takes in the end of a try; returns true where the target is avoided from now on. */
-  recordOutcome(target: string, outcome: TryOutcome, nowMs: number): boolean {
+  recordOutcome(
+    target: string,
+    outcome: AttemptOutcome,
+    nowMs: number,
+  ): boolean {
     const belief = this.#open(target);
     const wasAvoided = belief.avoidUntilMs > nowMs;
     belief.samples++;
@@ -74,7 +78,7 @@
   }
 
   /** Monotonic time of a target's last answer; -Infinity where there was none. */
-  getLastAnswerAtMs(target: string): number {
+  getLastResponseAtMs(target: string): number {
     return this.#beliefs.get(target)?.heardAtMs ?? -Infinity;
   }
 
