--- a/packages/heatherarch-forward/serving.ts
+++ b/packages/heatherarch-forward/call_dependencies.ts
@@ -18,36 +18,36 @@
 import type { RequestQuarantine } from "heatherarch-quarantine";
 import type { PrefillCandidateCache } from "./scheduling/prefill_candidate_cache.ts";
 import type { RetryBudget } from "./state/retry_budget.ts";
-import type { ListGuard } from "./life/list_guard.ts";
-import type { TargetConnections } from "./life/target_connections.ts";
+import type { TargetListGuard } from "./calls/target_list_guard.ts";
+import type { TargetConnections } from "./calls/target_connections.ts";
 import type { TargetDirectory } from "./state/target_directory.ts";
 import type { TargetHealth } from "./state/target_health.ts";
 import type { TargetBackoffs } from "./state/target_backoffs.ts";
 import type { WorkTracker } from "./state/work_tracker.ts";
 
 /** Parts of one VM that serve calls. */
-export interface Serving {
+export interface CallDependencies {
   readonly clock: Clock;
   readonly codec: CallCodec;
-  readonly configs: ActiveConfig;
+  readonly activeConfig: ActiveConfig;
   readonly directory: TargetDirectory;
   readonly health: TargetHealth;
-  readonly rests: TargetBackoffs;
-  readonly ledger: WorkTracker;
+  readonly backoffs: TargetBackoffs;
+  readonly workTracker: WorkTracker;
   readonly connections: TargetConnections;
-  readonly listGuard: ListGuard;
-  readonly losses: CrashDetector;
+  readonly targetListGuard: TargetListGuard;
+  readonly crashDetector: CrashDetector;
   readonly quarantine: RequestQuarantine;
-  readonly allowance: RetryBudget;
+  readonly retryBudget: RetryBudget;
   readonly placer: PromptPlacer;
-  readonly spread: EngineJitter;
-  readonly prompts: PrefixIndex;
+  readonly engineJitter: EngineJitter;
+  readonly prefixIndex: PrefixIndex;
   readonly retention: CacheRetention;
   /** Number of VMs that share the load. */
   readonly countVms: () => number;
-  readonly readModel: PrefillTimeModel;
-  readonly readQueue: PrefillQueue;
-  readonly readerBoard: PrefillCandidateCache;
+  readonly prefillTimeModel: PrefillTimeModel;
+  readonly prefillQueue: PrefillQueue;
+  readonly prefillCandidateCache: PrefillCandidateCache;
   readonly log: EventLog;
   readonly metrics: ForwardMetrics;
   /** Uniform in [0, 1). */
--- a/packages/heatherarch-forward/scheduling/engine_selection.ts
+++ b/packages/heatherarch-forward/scheduling/engine_selection.ts
@@ -3,7 +3,7 @@
  *
  * @module
  */
-import type { CallRun } from "../life/call_run.ts";
+import type { CallContext } from "../calls/call_context.ts";
 import type { Target } from "../model.ts";
 import { findBackoffMs, listAvailableTargets } from "./target_selection.ts";
 
@@ -12,7 +12,7 @@
 
 /** Lists the engines that may be tried now. Avoided engines are listed only if no other is left. */
 export function listAvailableEngines(
-  run: CallRun,
+  run: CallContext,
   phase: InferencePhase,
   tried: ReadonlySet<string>,
 ): Target[] {
@@ -28,7 +28,7 @@
  * undefined otherwise.
  */
 export function findEngineBackoffMs(
-  run: CallRun,
+  run: CallContext,
   phase: InferencePhase,
 ): number | undefined {
   return findBackoffMs(run, (target) => servesPhase(target, phase));
--- a/packages/heatherarch-forward/scheduling/prefill_candidate_cache.ts
+++ b/packages/heatherarch-forward/scheduling/prefill_candidate_cache.ts
@@ -7,7 +7,7 @@
  *
  * @module
  */
-import type { CallRun } from "../life/call_run.ts";
+import type { CallContext } from "../calls/call_context.ts";
 import { listAvailableEngines } from "./engine_selection.ts";
 import type { Target } from "../model.ts";
 import type { PrefillCandidate } from "./prompt_placement.ts";
@@ -33,7 +33,7 @@
 
   /** Lists the engines that may prefill the prompt of `run` now, without those in `tried`. */
   listCandidates(
-    run: CallRun,
+    run: CallContext,
     tried: ReadonlySet<string>,
   ): readonly PrefillCandidate[] {
     const { candidates } = this.#getSnapshot(run);
@@ -44,23 +44,24 @@
   }
 
   /** Lists all prefill engines of the service, including those that are not available now. */
-  listPrefillEngines(run: CallRun): readonly Target[] {
+  listPrefillEngines(run: CallContext): readonly Target[] {
     return this.#getSnapshot(run).prefillEngines;
   }
 
-  #getSnapshot(run: CallRun): Snapshot {
-    const { directory, ledger } = run.serving;
+  #getSnapshot(run: CallContext): Snapshot {
+    const { directory, workTracker } = run.dependencies;
     const { name } = run.service;
     const serving = directory.listServing(name);
     const snapshot = this.#snapshot;
     const isCurrent = snapshot !== undefined && snapshot.service === name &&
-      snapshot.version === ledger.version && snapshot.serving === serving &&
+      snapshot.version === workTracker.version &&
+      snapshot.serving === serving &&
       run.nowMs - snapshot.atMs <= MAX_AGE_MS;
     if (isCurrent) return snapshot;
     this.#snapshot = {
       service: name,
       atMs: run.nowMs,
-      version: ledger.version,
+      version: workTracker.version,
       serving,
       candidates: buildCandidates(run, NO_TARGETS),
       prefillEngines: serving.filter((target) => target.role === "prefill"),
@@ -70,13 +71,13 @@
 }
 
 function buildCandidates(
-  run: CallRun,
+  run: CallContext,
   tried: ReadonlySet<string>,
 ): PrefillCandidate[] {
-  const { ledger } = run.serving;
+  const { workTracker } = run.dependencies;
   const nowMs = run.nowMs;
   return listAvailableEngines(run, "reading", tried).map((target) => ({
     target,
-    backlogMs: ledger.getPrefillBacklogMs(target.id, nowMs),
+    backlogMs: workTracker.getPrefillBacklogMs(target.id, nowMs),
   }));
 }
--- a/packages/heatherarch-forward/scheduling/prompt_placement.ts
+++ b/packages/heatherarch-forward/scheduling/prompt_placement.ts
@@ -11,7 +11,7 @@
  * @module
  */
 import { pickRendezvous } from "heatherarch-core";
-import type { EngineTraits, GenerationFacts, Target } from "../model.ts";
+import type { EngineTraits, GenerationParams, Target } from "../model.ts";
 import type { PrefillTimeModel } from "../state/prefill_time_model.ts";
 
 /** An engine that can prefill a prompt. */
@@ -97,14 +97,14 @@
   }
 
   /** Key of a prompt's shared prefix; undefined if the prefix is too short to have an owner. */
-  findPrefixKey(prompt: GenerationFacts): string | undefined {
+  findPrefixKey(prompt: GenerationParams): string | undefined {
     if (sumPrefixTokens(prompt) < this.#options.minKeyTokens) return undefined;
     return prompt.parts.at(-2)?.id;
   }
 
   /** Picks the best candidate; returns undefined if there is none. */
   pickEngine(
-    prompt: GenerationFacts,
+    prompt: GenerationParams,
     context: PlacementContext,
   ): PromptPlacement | undefined {
     const key = this.findPrefixKey(prompt);
@@ -127,7 +127,7 @@
   }
 
   #estimateWithoutPrefix(
-    { promptTokens }: GenerationFacts,
+    { promptTokens }: GenerationParams,
     { target, backlogMs }: PrefillCandidate,
   ): PromptPlacement {
     const { model } = this.#options;
@@ -146,7 +146,7 @@
 
   /** Estimates a placement, and the time that it must save compared to others. */
   #estimatePlacement(
-    prompt: GenerationFacts,
+    prompt: GenerationParams,
     key: string,
     { target, backlogMs }: PrefillCandidate,
     context: PlacementContext,
@@ -210,7 +210,7 @@
 }
 
 /** Tokens of all parts of a prompt except the last one, which is not shared. */
-export function sumPrefixTokens(prompt: GenerationFacts): number {
+export function sumPrefixTokens(prompt: GenerationParams): number {
   return prompt.parts.slice(0, -1).reduce((sum, part) => sum + part.tokens, 0);
 }
 
--- a/packages/heatherarch-forward/scheduling/target_selection.ts
+++ b/packages/heatherarch-forward/scheduling/target_selection.ts
@@ -4,12 +4,12 @@
  *
  * @module
  */
-import type { CallRun } from "../life/call_run.ts";
+import type { CallContext } from "../calls/call_context.ts";
 import type { Target } from "../model.ts";
 
 /** Options of {@linkcode listAvailableTargets}. */
 export interface TargetSelectionOptions {
-  readonly run: CallRun;
+  readonly run: CallContext;
   /** Targets that the call has tried already. */
   readonly tried: ReadonlySet<string>;
   /** Whether a target can serve the call; by default every target can. */
@@ -20,15 +20,15 @@
 export function listAvailableTargets(
   { run, tried, accepts = acceptAny }: TargetSelectionOptions,
 ): Target[] {
-  const { directory, health, rests, connections } = run.serving;
+  const { directory, health, backoffs, connections } = run.dependencies;
   const { name, maxConnections } = run.service;
   const nowMs = run.nowMs;
   const available = directory.listServing(name)
     .filter(accepts)
     .filter(({ id }) => !tried.has(id))
-    .filter(({ id }) => !rests.isInBackoff(id, nowMs))
+    .filter(({ id }) => !backoffs.isInBackoff(id, nowMs))
     .filter(({ id }) => !directory.hasRoleChange(id, nowMs))
-    .filter((target) => connections.hasRoom(target, maxConnections));
+    .filter((target) => connections.hasCapacity(target, maxConnections));
   const healthy = available.filter(({ id }) => !health.isAvoided(id, nowMs));
   return healthy.length > 0 ? healthy : available;
 }
@@ -38,17 +38,17 @@
  * backoff; undefined otherwise.
  */
 export function findBackoffMs(
-  run: CallRun,
+  run: CallContext,
   accepts: (target: Target) => boolean = acceptAny,
 ): number | undefined {
-  const { directory, rests } = run.serving;
+  const { directory, backoffs } = run.dependencies;
   const nowMs = run.nowMs;
   const targets = directory.listServing(run.service.name)
     .filter(accepts)
     .filter(({ id }) => !directory.hasRoleChange(id, nowMs));
   if (targets.length === 0) return undefined;
   const backoffMs = Math.min(
-    ...targets.map(({ id }) => rests.getEndMs(id) - nowMs),
+    ...targets.map(({ id }) => backoffs.getEndMs(id) - nowMs),
   );
   return backoffMs > 0 ? backoffMs : undefined;
 }
--- a/packages/heatherarch-forward/tests/unit/prefill_candidate_cache_test.ts
+++ b/packages/heatherarch-forward/tests/unit/prefill_candidate_cache_test.ts
@@ -1,7 +1,7 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import {
-  type CallRun,
+  type CallContext,
   PrefillCandidateCache,
   type Target,
   TargetDirectory,
@@ -21,18 +21,18 @@
     ...["a", "b", "c"].map((id) => buildEngine(id)),
     buildEngine("d", { role: "decode" }),
   ]);
-  const ledger = new WorkTracker();
+  const workTracker = new WorkTracker();
   const checked: string[] = [];
   const run = {
     nowMs: 0,
     service: { name: "s", maxConnections: 10 },
-    serving: {
+    dependencies: {
       directory,
-      ledger,
+      workTracker,
       health: { isAvoided: () => false },
-      rests: { isInBackoff: () => false },
+      backoffs: { isInBackoff: () => false },
       connections: {
-        hasRoom: ({ id }: Target) => {
+        hasCapacity: ({ id }: Target) => {
           checked.push(id);
           return true;
         },
@@ -41,9 +41,9 @@
   };
   const cache = new PrefillCandidateCache();
   const listBacklogs = (tried: string[] = []) =>
-    cache.listCandidates(run as unknown as CallRun, new Set(tried))
+    cache.listCandidates(run as unknown as CallContext, new Set(tried))
       .map(({ target, backlogMs }) => `${target.id} ${backlogMs}`);
-  return { cache, ledger, applyList, run, checked, listBacklogs };
+  return { cache, workTracker, applyList, run, checked, listBacklogs };
 }
 
 test("prompts that are placed together share one snapshot", () => {
@@ -55,18 +55,18 @@
 });
 
 test("own work, work of peers and a new target list take effect at once", () => {
-  const { listBacklogs, ledger, applyList, run, cache } = createCache();
+  const { listBacklogs, workTracker, applyList, run, cache } = createCache();
   listBacklogs();
-  ledger.beginPrefill("b", { costMs: 40, lane: 0 }, 0);
+  workTracker.beginPrefill("b", { costMs: 40, lane: 0 }, 0);
   assert.deepEqual(listBacklogs(), ["a 0", "b 40", "c 0"]);
-  ledger.setPeerWork("vm-2", [["c", 0, 0, 30, 0, 0, 0]], 0);
+  workTracker.setPeerWork("vm-2", [["c", 0, 0, 30, 0, 0, 0]], 0);
   assert.deepEqual(listBacklogs(), ["a 0", "b 40", "c 30"]);
   applyList([buildEngine("b"), buildEngine("c")]);
   assert.deepEqual(listBacklogs(), ["b 40", "c 30"]);
   run.nowMs = 10;
   assert.deepEqual(listBacklogs(), ["b 30", "c 20"]);
   assert.deepEqual(
-    cache.listPrefillEngines(run as unknown as CallRun).map(({ id }) => id),
+    cache.listPrefillEngines(run as unknown as CallContext).map(({ id }) => id),
     ["b", "c"],
   );
 });
--- a/packages/heatherarch-forward/tests/unit/prefill_queue_test.ts
+++ b/packages/heatherarch-forward/tests/unit/prefill_queue_test.ts
@@ -208,15 +208,19 @@
 function countOnTime(jobs: readonly Job[], maxBacklogMs: number): number {
   const clock = new ManualClock();
   const queue = new PrefillQueue({ clock, maxBacklogMs });
-  const tracker = new WorkTracker();
+  const workTracker = new WorkTracker();
   let onTime = 0;
   let next = 0;
   let running: { doneAtMs: number; end: () => void }[] = [];
   const begin = (job: Job, { lane }: LanePlacement): void => {
     const nowMs = clock.readMonotonicMs();
-    const doneAtMs = nowMs + tracker.getPrefillBacklogMs("e", nowMs) +
+    const doneAtMs = nowMs + workTracker.getPrefillBacklogMs("e", nowMs) +
       job.costMs;
-    const end = tracker.beginPrefill("e", { costMs: job.costMs, lane }, nowMs);
+    const end = workTracker.beginPrefill(
+      "e",
+      { costMs: job.costMs, lane },
+      nowMs,
+    );
     running.push({ doneAtMs, end });
     if (doneAtMs + 50 <= job.arriveMs + 600) onTime++;
   };
@@ -235,10 +239,10 @@
         findPlacement: () =>
           buildPlacement(
             job.costMs,
-            tracker.getPrefillBacklogMs("e", clock.readMonotonicMs()),
+            workTracker.getPrefillBacklogMs("e", clock.readMonotonicMs()),
           ),
         mayPrefillLate: () =>
-          !tracker.hasLatePrefill("e", clock.readMonotonicMs()),
+          !workTracker.hasLatePrefill("e", clock.readMonotonicMs()),
         onOutcome: (outcome) => {
           if (outcome.kind === "placed") begin(job, outcome.placed);
         },
