--- a/packages/heatherarch-forward/tests/unit/prefill_queue_test.ts
+++ b/packages/heatherarch-forward/tests/unit/prefill_queue_test.ts
@@ -177,11 +177,11 @@
   for (let i = 0; i < 20; i++) enqueue(`usual ${i}`, 1);
   engine.backlogMs = 100;
   // Booked with 2.5 s because other prompts wait, but prefilled in 1 s on an unloaded engine.
-  const place = (): PromptPlacement => ({
+  const findPlacement = (): PromptPlacement => ({
     ...buildPlacement(2500, engine.backlogMs),
     unloadedMs: 1000,
   });
-  enqueue("large", 2500, { findPlacement: place });
+  enqueue("large", 2500, { findPlacement });
   advance(300, 60);
   assert.equal(findLane("large"), LATE_LANE);
 });
--- a/packages/heatherarch-forward/tests/unit/prompt_placement_test.ts
+++ b/packages/heatherarch-forward/tests/unit/prompt_placement_test.ts
@@ -179,8 +179,8 @@
   own.recordHolder("k1", "a", "reading", 0);
   own.recordHolder("k1", "a", "reading", 10);
   own.applyPeerUpdates([["k2", "b", 1]], 10);
-  const { updates: notes, cursor } = own.listUpdates(0);
-  assert.deepEqual(notes, [["k1", "a", 0]]);
+  const { updates, cursor } = own.listUpdates(0);
+  assert.deepEqual(updates, [["k1", "a", 0]]);
   own.recordHolder("k1", "a", "read", 300);
   own.recordHolder("k1", "a", "reading", 400);
   assert.deepEqual(own.listUpdates(cursor).updates, [["k1", "a", 1]]);
