--- a/packages/heatherarch-forward/tasks/store_reading.ts
+++ b/packages/heatherarch-forward/tasks/store_reading.ts
@@ -14,7 +14,7 @@
 import type { KeyedEntry, KeyedTopicPort } from "../ports.ts";
 import type { PrefixIndex } from "../state/prefix_index.ts";
 import type { PrefillTimeModel } from "../state/prefill_time_model.ts";
-import type { TargetConnections } from "../life/target_connections.ts";
+import type { TargetConnections } from "../calls/target_connections.ts";
 import type { TargetDirectory } from "../state/target_directory.ts";
 import type { TargetHealth } from "../state/target_health.ts";
 import type { TargetBackoffs } from "../state/target_backoffs.ts";
@@ -215,7 +215,7 @@
       this.#forget(id);
       this.#logLeaving("targetLeaving", id, source);
     }
-    connections.keepOnly(
+    connections.closeAllExcept(
       new Set(directory.listAll().map((target) => target.id)),
     );
   }
