--- a/packages/heatherarch-forward/scheduling/prefill_candidate_cache.ts
+++ b/packages/heatherarch-forward/scheduling/prefill_candidate_cache.ts
@@ -7,7 +7,7 @@
  *
  * @module
  */
-import type { CallRun } from "../life/call_run.ts";
+import type { CallContext } from "../calls/call_context.ts";
 import { listAvailableEngines } from "./engine_selection.ts";
 import type { Target } from "../model.ts";
 import type { PrefillCandidate } from "./prompt_placement.ts";
@@ -33,7 +33,7 @@
 
   /** Engines that may read the prompt of `run` now, but for those in `tried`. */
   listCandidates(
-    run: CallRun,
+    run: CallContext,
     tried: ReadonlySet<string>,
   ): readonly PrefillCandidate[] {
     const { candidates } = this.#look(run);
@@ -44,12 +44,12 @@
   }
 
   /** All engines of the service that read, also those that may get nothing now. */
-  listPrefillEngines(run: CallRun): readonly Target[] {
+  listPrefillEngines(run: CallContext): readonly Target[] {
     return this.#look(run).readers;
   }
 
-  #look(run: CallRun): Seen {
-    const { directory, ledger } = run.serving;
+  #look(run: CallContext): Seen {
+    const { directory, workTracker: ledger } = run.dependencies;
     const { name } = run.service;
     const serving = directory.listServing(name);
     const seen = this.#seen;
@@ -70,10 +70,10 @@
 }
 
 function buildCandidates(
-  run: CallRun,
+  run: CallContext,
   tried: ReadonlySet<string>,
 ): PrefillCandidate[] {
-  const { ledger } = run.serving;
+  const { workTracker: ledger } = run.dependencies;
   const nowMs = run.nowMs;
   return listAvailableEngines(run, "reading", tried).map((target) => ({
     target,
