--- a/packages/heatherarch-daemon/bin/heatherarchd.ts
+++ b/packages/heatherarch-daemon/bin/heatherarchd.ts
@@ -16,7 +16,7 @@
 import { EntryVm } from "../entry_vm.ts";
 import { createLogger } from "../logger.ts";
 
-const EXIT_BAD_SETTINGS = 2;
+const EXIT_INVALID_SETTINGS = 2;
 
 const args = await yargs(hideBin(process.argv))
   .scriptName("heatherarchd")
@@ -57,10 +57,10 @@
     text = readFileSync(file, "utf8");
   } catch (error) {
     console.error(`${file}: ${(error as Error).message}`);
-    process.exit(EXIT_BAD_SETTINGS);
+    process.exit(EXIT_INVALID_SETTINGS);
   }
   const parsed = readProcessSettings(text);
   if (parsed.ok) return parsed.val as ProcessSettings;
   console.error(`${file}:\n${formatFaults(parsed.val as Fault[])}`);
-  process.exit(EXIT_BAD_SETTINGS);
+  process.exit(EXIT_INVALID_SETTINGS);
 }
--- a/packages/heatherarch-daemon/claim_service.ts
+++ b/packages/heatherarch-daemon/claim_service.ts
@@ -65,38 +65,38 @@
 type ClaimCall = z.infer<typeof CLAIM_CALL>;
 type ConcludeCall = z.infer<typeof CONCLUDE_CALL>;
 
-const CONCLUDE_RETRY_MS = 500;
-const CONCLUDE_LIMIT_MS = 600_000;
+const CONCLUDE_RETRY_DELAY_MS = 500;
+const CONCLUDE_TIMEOUT_MS = 600_000;
 /** A claim without an outcome is called unknown, not in progress, after this long. */
-const IN_PROGRESS_LIMIT_MS = 60_000;
+const MAX_IN_PROGRESS_AGE_MS = 60_000;
 /**
  * A claim younger than this is in progress whatever is known of its VM: one that has just
  * started may not have been heard yet (links take up to some seconds under load).
  */
-const FRESH_CLAIM_MS = 5000;
+const MEMBERSHIP_GRACE_MS = 5000;
 
 /** Claims for one VM, and the shards that it owns. */
 export class ClaimService implements ClaimClient {
   readonly #options: ClaimServiceOptions;
   readonly #shards = new Map<number, ClaimShard>();
-  #concluding = 0;
+  #pendingOutcomes = 0;
 
   constructor(options: ClaimServiceOptions) {
     this.#options = options;
     const { mesh } = options;
     mesh.registerCall(
       "claims.claim",
-      (body) => this.#claimHere(CLAIM_CALL.parse(body)),
+      (body) => this.#claimLocally(CLAIM_CALL.parse(body)),
     );
     mesh.registerCall(
       "claims.conclude",
-      (body) => this.#concludeHere(CONCLUDE_CALL.parse(body)),
+      (body) => this.#concludeLocally(CONCLUDE_CALL.parse(body)),
     );
   }
 
   /** Outcomes that are not in the log yet. */
-  get concluding(): number {
-    return this.#concluding;
+  get pendingOutcomes(): number {
+    return this.#pendingOutcomes;
   }
 
   listCounters(): ClaimShardCounters[] {
@@ -108,7 +108,7 @@
   ): Promise<ClaimAnswer> {
     const { vmId, incarnation } = this.#options;
     const claimId = createId("claim");
-    return await this.#claimAs({
+    return await this.#claimWithId({
       ...request,
       claimId,
       vm: `${vmId}/${incarnation}`,
@@ -116,11 +116,11 @@
   }
 
   /** Claims under an id that may have been used before: the fold grants it again. */
-  async #claimAs(call: ClaimCall): Promise<ClaimAnswer> {
+  async #claimWithId(call: ClaimCall): Promise<ClaimAnswer> {
     const { clock, settings } = this.#options;
     const sentAtMs = clock.readMonotonicMs();
     const owner = this.#findOwner(call.key);
-    const verdict = await this.#ask(owner, call);
+    const verdict = await this.#requestVerdict(owner, call);
     const validUntilMs = sentAtMs + settings.permissionMs;
     const isValid = (): boolean =>
       clock.readMonotonicMs() < validUntilMs &&
@@ -129,7 +129,7 @@
       return this.#buildAnswer(verdict.val as ClaimVerdict, call, isValid);
     }
     // Never used: the key is given back as soon as the log answers.
-    void this.#concludeLater({ claimId: call.claimId, key: call.key });
+    void this.#concludeWithRetries({ claimId: call.claimId, key: call.key });
     const message =
       `the key can't be confirmed, so the call was not run (${verdict.val})`;
     return buildRefusal(
@@ -141,7 +141,7 @@
   async flush(timeoutMs: number): Promise<void> {
     const until = this.#options.clock.readMonotonicMs() + timeoutMs;
     while (
-      this.#concluding > 0 && this.#options.clock.readMonotonicMs() < until
+      this.#pendingOutcomes > 0 && this.#options.clock.readMonotonicMs() < until
     ) await sleep(20);
   }
 
@@ -152,9 +152,9 @@
   ): ClaimAnswer {
     switch (verdict.kind) {
       case "granted":
-        return { kind: "granted", claim: this.#buildHeld(call, isValid) };
+        return { kind: "granted", claim: this.#buildHeldClaim(call, isValid) };
       case "taken":
-        return this.#buildTaken(verdict.holder);
+        return this.#buildTakenAnswer(verdict.holder);
       case "reused":
         return buildRefusal(
           new ServeError("keyReused", "the key was used for another call"),
@@ -167,13 +167,14 @@
     }
   }
 
-  #buildTaken(holder: KeyState): ClaimAnswer {
+  #buildTakenAnswer(holder: KeyState): ClaimAnswer {
     if (holder.outcome !== undefined) {
       return { kind: "answered", answer: holder.outcome };
     }
     const ageMs = this.#options.clock.readWallMs() - holder.claimedAtMs;
-    const isAlive = ageMs < FRESH_CLAIM_MS || this.#isAlive(holder.vm);
-    if (ageMs < IN_PROGRESS_LIMIT_MS && isAlive) {
+    const isAlive = ageMs < MEMBERSHIP_GRACE_MS ||
+      this.#isHolderAlive(holder.vm);
+    if (ageMs < MAX_IN_PROGRESS_AGE_MS && isAlive) {
       const message = "a call with this key is in progress";
       return buildRefusal(new ServeError("keyInProgress", message));
     }
@@ -183,18 +184,18 @@
     return buildRefusal(new ServeError("outcomeUnknown", message));
   }
 
-  #buildHeld(call: ClaimCall, isValid: () => boolean): HeldClaim {
+  #buildHeldClaim(call: ClaimCall, isValid: () => boolean): HeldClaim {
     const { claimId, key } = call;
     return {
       isValid,
       conclude: (answer: KeptAnswer) =>
-        void this.#concludeLater({ claimId, key, answer }),
-      renew: () => this.#claimAs(call),
-      release: () => void this.#concludeLater({ claimId, key }),
+        void this.#concludeWithRetries({ claimId, key, answer }),
+      renew: () => this.#claimWithId(call),
+      release: () => void this.#concludeWithRetries({ claimId, key }),
     };
   }
 
-  #isAlive(holder: string): boolean {
+  #isHolderAlive(holder: string): boolean {
     const { vmId, incarnation, membership } = this.#options;
     if (holder === `${vmId}/${incarnation}`) return true;
     const [id, heldBy] = holder.split("/");
@@ -215,13 +216,13 @@
   }
 
   /** Asks the owner; the reason where no verdict could be had. */
-  async #ask(
+  async #requestVerdict(
     owner: string,
     call: ClaimCall,
   ): Promise<Result<ClaimVerdict, string>> {
     const { vmId, mesh, settings } = this.#options;
     try {
-      if (owner === vmId) return Ok(await this.#claimHere(call));
+      if (owner === vmId) return Ok(await this.#claimLocally(call));
       const reply = await mesh.call(
         owner,
         "claims.claim",
@@ -234,11 +235,11 @@
     }
   }
 
-  #claimHere(call: ClaimCall): Promise<ClaimVerdict> {
+  #claimLocally(call: ClaimCall): Promise<ClaimVerdict> {
     return this.#getShard(call.key).claim({ op: "claim", ...call });
   }
 
-  async #concludeHere(call: ConcludeCall): Promise<boolean> {
+  async #concludeLocally(call: ConcludeCall): Promise<boolean> {
     const { claimId, key, answer } = call;
     await this.#getShard(key).conclude(
       answer === undefined
@@ -248,15 +249,15 @@
     return true;
   }
 
-  async #concludeLater(call: ConcludeCall): Promise<void> {
+  async #concludeWithRetries(call: ConcludeCall): Promise<void> {
     const { clock, mesh, vmId } = this.#options;
-    const until = clock.readMonotonicMs() + CONCLUDE_LIMIT_MS;
-    this.#concluding++;
+    const until = clock.readMonotonicMs() + CONCLUDE_TIMEOUT_MS;
+    this.#pendingOutcomes++;
     try {
       while (clock.readMonotonicMs() < until) {
         try {
           const owner = this.#findOwner(call.key);
-          if (owner === vmId) await this.#concludeHere(call);
+          if (owner === vmId) await this.#concludeLocally(call);
           else {await mesh.call(
               owner,
               "claims.conclude",
@@ -265,11 +266,11 @@
             );}
           return;
         } catch {
-          await sleep(CONCLUDE_RETRY_MS);
+          await sleep(CONCLUDE_RETRY_DELAY_MS);
         }
       }
     } finally {
-      this.#concluding--;
+      this.#pendingOutcomes--;
     }
   }
 
--- a/packages/heatherarch-daemon/parts.ts
+++ b/packages/heatherarch-daemon/components.ts
@@ -32,7 +32,7 @@
 import { ZoneView } from "./zone_view.ts";
 
 /** The parts of the process, as the container holds them. */
-export interface Parts {
+export interface Components {
   readonly settings: ProcessSettings;
   readonly logger: Logger;
   readonly clock: Clock;
@@ -51,12 +51,12 @@
   readonly control: ControlTask;
   readonly claims: ClaimService;
   readonly quarantine: RequestQuarantine;
-  readonly requests: QuarantineWatch;
+  readonly quarantineWatch: QuarantineWatch;
   readonly executor: OrderExecutor;
   readonly watcher: TargetWatcher;
-  readonly heartbeats: HeartbeatBuilder;
+  readonly heartbeatBuilder: HeartbeatBuilder;
   readonly gateway: Gateway;
-  readonly operators: OperatorServer;
+  readonly operatorServer: OperatorServer;
 }
 
 /** Reads a certificate and its key, in PEM. */
@@ -70,15 +70,15 @@
 }
 
 /** Builds the table of targets. */
-export function buildTable(
-  { identity, clock, tracker, settings }: Parts,
+export function buildTargetTable(
+  { identity, clock, tracker, settings }: Components,
 ): TargetTable {
   const { availabilityZone } = identity;
   return new TargetTable({ availabilityZone, clock, tracker, settings });
 }
 
 /** Builds the reader of the configuration stream. */
-export function buildConfigReader(parts: Parts): ConfigReader {
+export function buildConfigReader(parts: Components): ConfigReader {
   const { identity, log, clock, membership, mesh, logger, settings } = parts;
   return new ConfigReader({
     vmId: identity.id,
@@ -94,7 +94,7 @@
 }
 
 /** Builds the claims of idempotency keys. */
-export function buildClaims(parts: Parts): ClaimService {
+export function buildClaimService(parts: Components): ClaimService {
   const { identity, log, clock, membership, mesh, settings } = parts;
   return new ClaimService({
     vmId: identity.id,
@@ -110,7 +110,7 @@
 }
 
 /** Builds the watcher of targets. */
-export function buildWatcher(parts: Parts): TargetWatcher {
+export function buildTargetWatcher(parts: Components): TargetWatcher {
   const { identity, clock, membership, table, settings, config } = parts;
   return new TargetWatcher({
     vmId: identity.id,
@@ -125,20 +125,20 @@
 }
 
 /** Builds the view of the zone's demand and of other zones. */
-export function buildZoneView(parts: Parts): ZoneView {
+export function buildZoneView(parts: Components): ZoneView {
   const { identity, clock, membership, demand } = parts;
   const { availabilityZone } = identity;
   return new ZoneView({ availabilityZone, clock, membership, demand });
 }
 
 /** Builds what is known of requests that end targets. */
-export function buildQuarantine({ settings }: Parts): RequestQuarantine {
+export function buildQuarantine({ settings }: Components): RequestQuarantine {
   const { maxCrashes, holdSeconds } = settings.quarantine;
   return new RequestQuarantine({ maxCrashes, holdMs: holdSeconds * 1000 });
 }
 
 /** Builds the watch over requests, with a line in the log for each end of a target. */
-export function buildRequestWatch(parts: Parts): QuarantineWatch {
+export function buildQuarantineWatch(parts: Components): QuarantineWatch {
   const { quarantine, clock, table, logger } = parts;
   const losses = new CrashDetector({
     targetProbe: new TargetProbe(),
@@ -164,7 +164,7 @@
 }
 
 /** Builds the mesh of this VM. */
-export function buildMesh(parts: Parts): MeshNode {
+export function buildMesh(parts: Components): MeshNode {
   const { settings, identity, clock, membership, metrics } = parts;
   const { mesh, listen, network } = settings;
   const tls = listen.meshTls;
@@ -176,7 +176,7 @@
     membership,
     translate: (address) => network.translate[address] ?? address,
     // The builder is looked up late: it needs parts that need the mesh.
-    buildHeartbeat: (link, peer) => parts.heartbeats.build(link, peer),
+    buildHeartbeat: (link, peer) => parts.heartbeatBuilder.build(link, peer),
     onFault: (fault) => metrics.faults.inc({ kind: `mesh:${fault}` }),
     ...(tls === undefined ? {} : {
       tls: {
@@ -189,7 +189,7 @@
 }
 
 /** Builds the task that holds, or follows, the zone's lease. */
-export function buildControl(parts: Parts): ControlTask {
+export function buildControlTask(parts: Components): ControlTask {
   const { settings, identity, log, clock, membership, logger, table } = parts;
   return new ControlTask({
     vmId: identity.id,
@@ -202,7 +202,7 @@
     pollWaitMs: settings.platform.pollWaitMs,
     snapshotEveryRecords: settings.platform.snapshotEveryRecords,
     logger,
-    onState: (state) => {
+    onStateChange: (state) => {
       const { availabilityZone } = identity;
       const before = table.getChanging(availabilityZone).targets;
       const changing = Object.keys(state.open);
@@ -219,7 +219,7 @@
 }
 
 /** Builds what gives orders to engines under the lease. */
-export function buildExecutor(parts: Parts): OrderExecutor {
+export function buildOrderExecutor(parts: Components): OrderExecutor {
   const {
     settings,
     identity,
@@ -241,6 +241,6 @@
     logger,
     readFleet: () => parts.config.state.fleet,
     readDemand: () => parts.zones.readDemand(),
-    noteOutcome: (result) => parts.metrics.roleChanges.inc({ result }),
+    onOutcome: (result) => parts.metrics.roleChanges.inc({ result }),
   });
 }
--- a/packages/heatherarch-daemon/config_reader.ts
+++ b/packages/heatherarch-daemon/config_reader.ts
@@ -44,14 +44,14 @@
 
 const RELAYS_PER_ZONE = 2;
 /** How often a VM that is no relay looks at the log itself. */
-const FOLLOWER_POLL_MS = 5000;
-const PEER_CALL_MS = 1000;
-const RETRY_MS = 200;
+const FOLLOWER_POLL_INTERVAL_MS = 5000;
+const PEER_CALL_TIMEOUT_MS = 1000;
+const RETRY_DELAY_MS = 200;
 /** Between a follower's looks at whether it has become a relay. */
-const FOLLOWER_IDLE_MS = 1000;
+const RELAY_CHECK_INTERVAL_MS = 1000;
 const READ_PAGE = 500;
 
-const PEER_ANSWER = z.union([
+const PEER_RESPONSE = z.union([
   z.object({
     kind: z.literal("records"),
     records: z.array(
@@ -81,7 +81,7 @@
     this.#options = options;
     options.mesh.registerCall(
       "config.read",
-      async (body) => this.#answerPeer(body),
+      async (body) => this.#handlePeerRequest(body),
     );
     options.mesh.registerHeartbeatListener((heartbeat, from) => {
       if (heartbeat.configOffset > this.state.offset) {
@@ -124,21 +124,21 @@
       const nowMs = this.#options.clock.readMonotonicMs();
       const relay = this.isRelay();
       if (!relay && nowMs < nextPollMs) {
-        await sleep(FOLLOWER_IDLE_MS);
+        await sleep(RELAY_CHECK_INTERVAL_MS);
         continue;
       }
       try {
         const current = await this.#readLog(
           relay ? this.#options.pollWaitMs : 0,
         );
-        this.#notePlatform(true);
-        if (current) nextPollMs = nowMs + FOLLOWER_POLL_MS;
+        this.#setPlatformUp(true);
+        if (current) nextPollMs = nowMs + FOLLOWER_POLL_INTERVAL_MS;
         if (relay) await this.#writeSnapshotWhenDue();
       } catch (error) {
         if (!(error instanceof LogUnavailableError)) throw error;
-        this.#notePlatform(false);
-        await this.#fetchFromAnyPeer();
-        await sleep(RETRY_MS);
+        this.#setPlatformUp(false);
+        await this.#fetchFromPeers();
+        await sleep(RETRY_DELAY_MS);
       }
     }
   }
@@ -150,7 +150,7 @@
   /** Reads the log up to its end now, whatever this VM's part is. */
   async catchUp(): Promise<void> {
     while (!(await this.#readLog(0)));
-    this.#notePlatform(true);
+    this.#setPlatformUp(true);
   }
 
   /** Whether this VM reads the log for its availability zone. */
@@ -179,8 +179,8 @@
   async #recoverFromGap(): Promise<void> {
     const records = await readWholeStream(this.#options.log, CONFIG_STREAM);
     const state = loadConfigSnapshot(records);
-    if (state !== undefined && this.#takeState(state)) return;
-    await this.#fetchFromAnyPeer();
+    if (state !== undefined && this.#loadState(state)) return;
+    await this.#fetchFromPeers();
     throw new LogUnavailableError(
       "records were trimmed and no snapshot bridges them",
     );
@@ -193,23 +193,23 @@
       const isSnapshot = parseConfigRecord(record.data)?.type === "snapshot";
       if (isSnapshot) this.#snapshotOffset = record.offset;
     }
-    this.#tell(previous);
+    this.#notifyListeners(previous);
   }
 
-  #takeState(state: ConfigState): boolean {
+  #loadState(state: ConfigState): boolean {
     const previous = this.#view.state;
     if (!this.#view.takeState(state)) return false;
     this.#snapshotOffset = state.offset;
-    this.#tell(previous);
+    this.#notifyListeners(previous);
     return true;
   }
 
-  #tell(previous: ConfigState): void {
+  #notifyListeners(previous: ConfigState): void {
     for (const listener of this.#listeners) listener(this.state, previous);
     this.#options.mesh.sendHeartbeats();
   }
 
-  #notePlatform(up: boolean): void {
+  #setPlatformUp(up: boolean): void {
     if (up === this.#platformUp) return;
     this.#platformUp = up;
     this.#options.logger.info(
@@ -220,7 +220,7 @@
     );
   }
 
-  async #fetchFromAnyPeer(): Promise<void> {
+  async #fetchFromPeers(): Promise<void> {
     const peers = this.#options.membership.listMembers()
       .filter((member) => this.#options.mesh.hasLink(member.id))
       .sort((a, b) => b.configOffset - a.configOffset);
@@ -236,15 +236,15 @@
         peerId,
         "config.read",
         body,
-        PEER_CALL_MS,
+        PEER_CALL_TIMEOUT_MS,
       );
-      const answer = PEER_ANSWER.parse(reply);
+      const answer = PEER_RESPONSE.parse(reply);
       if (answer.kind === "records") {
         this.#applyRecords(answer.records as LogRecord[]);
         return;
       }
       const state = parseConfigState(answer.state);
-      if (state !== undefined) this.#takeState(state);
+      if (state !== undefined) this.#loadState(state);
     } catch {
       // The peer is gone or talks nonsense; the next heartbeat or poll tries again.
     } finally {
@@ -252,7 +252,7 @@
     }
   }
 
-  #answerPeer(body: unknown): unknown {
+  #handlePeerRequest(body: unknown): unknown {
     const { from } = PEER_REQUEST.parse(body);
     return this.#view.buildUpdate(from);
   }
--- a/packages/heatherarch-daemon/control_task.ts
+++ b/packages/heatherarch-daemon/control_task.ts
@@ -37,14 +37,14 @@
   readonly snapshotEveryRecords: number;
   readonly logger: Logger;
   /** Called after each record that changed the state. */
-  readonly onState: (state: ControlState) => void;
+  readonly onStateChange: (state: ControlState) => void;
 }
 
 /** VMs of a zone that read its control stream and may claim its lease. */
 const CANDIDATES_PER_ZONE = 3;
-const TICK_MS = 100;
-const RETRY_MS = 150;
-const IDLE_MS = 300;
+const TICK_INTERVAL_MS = 100;
+const RETRY_DELAY_MS = 150;
+const CANDIDATE_CHECK_INTERVAL_MS = 300;
 const READ_PAGE = 500;
 
 /** The control stream of one availability zone, as one VM sees it. */
@@ -83,17 +83,17 @@
 
   /** Reads and ticks until stopped. */
   async run(): Promise<void> {
-    this.#timer = setInterval(() => this.#tick(), TICK_MS);
+    this.#timer = setInterval(() => this.#tick(), TICK_INTERVAL_MS);
     while (!this.#stopped) {
       if (!this.isCandidate()) {
-        await sleep(IDLE_MS);
+        await sleep(CANDIDATE_CHECK_INTERVAL_MS);
         continue;
       }
       try {
-        await this.#readOnce();
+        await this.#readPage();
       } catch (error) {
         if (!(error instanceof LogUnavailableError)) throw error;
-        await sleep(RETRY_MS);
+        await sleep(RETRY_DELAY_MS);
       }
     }
   }
@@ -148,7 +148,7 @@
     return true;
   }
 
-  async #readOnce(): Promise<void> {
+  async #readPage(): Promise<void> {
     const from = this.state.offset + 1;
     const sentAtMs = this.#options.clock.readMonotonicMs();
     const slice = await this.#options.log.read(this.#stream, from, {
@@ -163,7 +163,7 @@
       await this.#recoverFromGap();
       return;
     }
-    for (const record of verdict.records) this.#apply(record);
+    for (const record of verdict.records) this.#applyRecord(record);
     if (verdict.current) this.#readSentAtMs = sentAtMs;
     await this.#writeSnapshotWhenDue();
   }
@@ -176,10 +176,10 @@
     }
     this.machine.loadState(state, this.#options.clock.readMonotonicMs());
     this.#snapshotOffset = state.offset;
-    this.#tellState();
+    this.#notifyState();
   }
 
-  #apply(record: LogRecord): void {
+  #applyRecord(record: LogRecord): void {
     if (record.offset !== this.state.offset + 1) return;
     const before = this.state;
     this.machine.applyRecord(record, this.#options.clock.readMonotonicMs());
@@ -193,11 +193,11 @@
         fencing: claim?.claimOffset,
       });
     }
-    this.#tellState();
+    this.#notifyState();
   }
 
-  #tellState(): void {
-    this.#options.onState(this.state);
+  #notifyState(): void {
+    this.#options.onStateChange(this.state);
     for (const wake of [...this.#waiters]) wake();
   }
 
@@ -208,7 +208,7 @@
         this.#waiters.delete(wake);
         resolve();
       };
-      const timer = setTimeout(wake, TICK_MS);
+      const timer = setTimeout(wake, TICK_INTERVAL_MS);
       this.#waiters.add(wake);
     });
   }
--- a/packages/heatherarch-daemon/entry_vm.ts
+++ b/packages/heatherarch-daemon/entry_vm.ts
@@ -27,25 +27,25 @@
 } from "heatherarch-mesh";
 import { DemandMeter, EngineModel, LoadTracker } from "heatherarch-policy";
 import type { ProcessSettings } from "heatherarch-settings";
-import { buildGateway, REMOTE_READ_MS } from "./gateway_parts.ts";
+import { buildGateway, REMOTE_READ_TIMEOUT_MS } from "./gateway_builder.ts";
 import { HeartbeatBuilder } from "./heartbeat_builder.ts";
 import { INVARIANT_VIOLATED, type Logger } from "./logger.ts";
 import { Metrics } from "./metrics.ts";
 import { OperatorServer } from "./operator_server.ts";
 import {
-  buildClaims,
+  buildClaimService,
   buildConfigReader,
-  buildControl,
-  buildExecutor,
+  buildControlTask,
   buildMesh,
+  buildOrderExecutor,
   buildQuarantine,
-  buildRequestWatch,
-  buildTable,
-  buildWatcher,
+  buildQuarantineWatch,
+  buildTargetTable,
+  buildTargetWatcher,
   buildZoneView,
-  type Parts,
+  type Components,
   readCertificate,
-} from "./parts.ts";
+} from "./components.ts";
 import { publishChange } from "./publisher.ts";
 import { buildStatus } from "./status_report.ts";
 
@@ -57,30 +57,30 @@
 
 const DEMAND_WINDOW_MS = 3000;
 const REPORT_LAG_MS = 300;
-const METRICS_MS = 1000;
-const FLUSH_MS = 5000;
+const METRICS_INTERVAL_MS = 1000;
+const FLUSH_TIMEOUT_MS = 5000;
 /** How long a VM waits for a first sight of targets before it calls itself ready. */
-const TARGETS_GRACE_MS = 5000;
+const DISCOVERY_GRACE_MS = 5000;
 
 /** The process. */
 export class EntryVm {
-  readonly #container: AwilixContainer<Parts>;
+  readonly #container: AwilixContainer<Components>;
   readonly #timers: NodeJS.Timeout[] = [];
-  #undoViolations: (() => void) | undefined;
+  #unregisterViolationListener: (() => void) | undefined;
   #leaving = false;
-  #closedToCallers = false;
+  #rejectsRequests = false;
   #stopping: Promise<void> | undefined;
   /** Monotonic time from which there was a configuration to serve by. */
   #servingFromMs: number | undefined;
 
   constructor(options: EntryVmOptions) {
-    this.#container = createContainer<Parts>({
+    this.#container = createContainer<Components>({
       injectionMode: InjectionMode.PROXY,
     });
-    this.#register(options);
+    this.#registerComponents(options);
   }
 
-  get #parts(): Parts {
+  get #components(): Components {
     return this.#container.cradle;
   }
 
@@ -95,9 +95,9 @@
       executor,
       watcher,
       metrics,
-    } = this.#parts;
-    const { logger, gateway, operators } = this.#parts;
-    this.#undoViolations = registerViolationListener((error) =>
+    } = this.#components;
+    const { logger, gateway, operatorServer: operators } = this.#components;
+    this.#unregisterViolationListener = registerViolationListener((error) =>
       logger.error(INVARIANT_VIOLATED, {
         invariant: error.invariant,
         detail: error.message,
@@ -109,17 +109,21 @@
       this.#applySpeeds();
     });
     mesh.registerHeartbeatListener((heartbeat, from) =>
-      this.#takeHeartbeat(heartbeat, from)
+      this.#handleHeartbeat(heartbeat, from)
     );
     mesh.registerCall("stream.read", async (body) => {
       const { requestId, from } = body as { requestId: string; from: number };
-      return await gateway.store.readNext(requestId, from, REMOTE_READ_MS / 3);
+      return await gateway.store.readNext(
+        requestId,
+        from,
+        REMOTE_READ_TIMEOUT_MS / 3,
+      );
     });
-    this.#parts.membership.noteListed(settings.mesh.peers);
+    this.#components.membership.noteListed(settings.mesh.peers);
     await mesh.start();
-    void this.#guard("config", config.run());
-    void this.#guard("control", control.run());
-    void this.#guard("executor", executor.run());
+    void this.#superviseComponent("config", config.run());
+    void this.#superviseComponent("control", control.run());
+    void this.#superviseComponent("executor", executor.run());
     watcher.start();
     void this.#pollVmList();
     const { operators: operatorsAt, callers } = settings.listen;
@@ -131,7 +135,9 @@
       splitAddress(callers).host,
       splitAddress(callers).port,
     );
-    this.#timers.push(setInterval(() => this.#updateMetrics(), METRICS_MS));
+    this.#timers.push(
+      setInterval(() => this.#updateMetrics(), METRICS_INTERVAL_MS),
+    );
     metrics.members.set(1);
     logger.info("started", {
       callers,
@@ -156,30 +162,30 @@
       claims,
       logger,
       config,
-    } = this.#parts;
+    } = this.#components;
     logger.info("shutting down", { inFlight: gateway.inFlight });
     this.#leaving = true;
     mesh.sendHeartbeats();
     executor.stop();
     await sleep(settings.shutdown.noticeMs);
-    this.#closedToCallers = true;
+    this.#rejectsRequests = true;
     const drained = await gateway.drain(settings.shutdown.drainTimeoutMs);
-    const until = performance.now() + FLUSH_MS;
+    const until = performance.now() + FLUSH_TIMEOUT_MS;
     while (executor.isBusy && performance.now() < until) await sleep(20);
     await control.resign();
-    await claims.flush(FLUSH_MS);
+    await claims.flush(FLUSH_TIMEOUT_MS);
     for (const timer of this.#timers) clearInterval(timer);
-    this.#parts.watcher.stop();
+    this.#components.watcher.stop();
     config.stop();
-    this.#undoViolations?.();
+    this.#unregisterViolationListener?.();
     gateway.close();
-    this.#parts.operators.close();
+    this.#components.operatorServer.close();
     mesh.stop();
-    await this.#parts.table.close();
+    await this.#components.table.close();
     logger.info("stopped", { drained, inFlight: gateway.inFlight });
   }
 
-  #register({ settings, logger }: EntryVmOptions): void {
+  #registerComponents({ settings, logger }: EntryVmOptions): void {
     const clock = new RuntimeClock();
     const { vm, platform } = settings;
     const identity: LinkIdentity = {
@@ -204,26 +210,30 @@
       model: asValue(new EngineModel()),
       demand: asValue(new DemandMeter(DEMAND_WINDOW_MS)),
       zones: asFunction(buildZoneView).singleton(),
-      table: asFunction(buildTable).singleton(),
+      table: asFunction(buildTargetTable).singleton(),
       mesh: asFunction(buildMesh).singleton(),
       config: asFunction(buildConfigReader).singleton(),
-      control: asFunction(buildControl).singleton(),
-      claims: asFunction(buildClaims).singleton(),
+      control: asFunction(buildControlTask).singleton(),
+      claims: asFunction(buildClaimService).singleton(),
       quarantine: asFunction(buildQuarantine).singleton(),
-      requests: asFunction(buildRequestWatch).singleton(),
-      executor: asFunction(buildExecutor).singleton(),
-      watcher: asFunction(buildWatcher).singleton(),
-      heartbeats: asFunction((parts: Parts) => this.#buildHeartbeats(parts))
+      quarantineWatch: asFunction(buildQuarantineWatch).singleton(),
+      executor: asFunction(buildOrderExecutor).singleton(),
+      watcher: asFunction(buildTargetWatcher).singleton(),
+      heartbeatBuilder: asFunction((parts: Components) =>
+        this.#buildHeartbeatBuilder(parts)
+      )
         .singleton(),
-      gateway: asFunction((parts: Parts) =>
+      gateway: asFunction((parts: Components) =>
         buildGateway(parts, () => this.#readRefusal())
       ).singleton(),
-      operators: asFunction((parts: Parts) => this.#buildOperators(parts))
+      operatorServer: asFunction((parts: Components) =>
+        this.#buildOperatorServer(parts)
+      )
         .singleton(),
     });
   }
 
-  #buildHeartbeats(parts: Parts): HeartbeatBuilder {
+  #buildHeartbeatBuilder(parts: Components): HeartbeatBuilder {
     const { identity, membership, table, config, control, demand, clock } =
       parts;
     return new HeartbeatBuilder({
@@ -233,7 +243,7 @@
       table,
       subsetSize: parts.settings.targets.subsetSize,
       isPlanner: (vmId) => control.isCandidate(vmId),
-      readIntervalMs: () => this.#parts.mesh.intervalMs,
+      readIntervalMs: () => this.#components.mesh.intervalMs,
       readProgress: () => ({
         configOffset: config.state.offset,
         controlOffset:
@@ -241,36 +251,36 @@
         leaving: this.#leaving,
       }),
       readDemand: () => demand.read(clock.readMonotonicMs()),
-      listCrashes: (cursor) =>
+      listCrashReports: (cursor) =>
         parts.quarantine.listReports(cursor, clock.readMonotonicMs()),
     });
   }
 
-  #buildOperators(parts: Parts): OperatorServer {
+  #buildOperatorServer(parts: Components): OperatorServer {
     const { settings, config, table, metrics } = parts;
     const tls = settings.listen.operatorsTls;
     return new OperatorServer({
       settings,
       readConfig: () => config.state,
-      readStatus: () => buildStatus(this.#parts, this.#leaving),
+      readStatus: () => buildStatus(this.#components, this.#leaving),
       readMetrics: () => {
         this.#updateMetrics();
         return metrics.registry.metrics();
       },
-      readUnready: () => this.#readUnready(),
-      publish: (request) => publishChange(this.#parts, request),
+      readUnreadyReason: () => this.#readUnreadyReason(),
+      publish: (request) => publishChange(this.#components, request),
       markLeaving: (target) => {
         table.leaving.mark(target, config.state.offset);
-        this.#parts.mesh.sendHeartbeats();
+        this.#components.mesh.sendHeartbeats();
       },
     }, tls === undefined ? {} : { tls: readCertificate(tls) });
   }
 
   #readRefusal(): ServeError | undefined {
-    if (this.#closedToCallers) {
+    if (this.#rejectsRequests) {
       return new ServeError("shuttingDown", "this VM is shutting down");
     }
-    const { config } = this.#parts;
+    const { config } = this.#components;
     if (!config.isLoaded) {
       return new ServeError(
         "notReady",
@@ -287,40 +297,40 @@
   }
 
   /** Why the balancer should send nothing here. */
-  #readUnready(): string | undefined {
+  #readUnreadyReason(): string | undefined {
     if (this.#leaving) return "shutting down";
     const refusal = this.#readRefusal();
     if (refusal !== undefined) return refusal.message;
-    const { table, clock } = this.#parts;
+    const { table, clock } = this.#components;
     const nowMs = clock.readMonotonicMs();
     this.#servingFromMs ??= nowMs;
     // With every target out of reach the VM is as good as any other after a while.
-    if (nowMs - this.#servingFromMs > TARGETS_GRACE_MS) return undefined;
-    const unseen = this.#parts.config.state.fleet?.services.find((service) =>
-      table.listCandidates(service.name).length === 0
-    );
+    if (nowMs - this.#servingFromMs > DISCOVERY_GRACE_MS) return undefined;
+    const unseen = this.#components.config.state.fleet?.services.find((
+      service,
+    ) => table.listCandidates(service.name).length === 0);
     return unseen && `no target of ${unseen.name} has been seen yet`;
   }
 
   /** One model serves all model services: the first one's speeds are its start. */
   #applySpeeds(): void {
-    const { config, model } = this.#parts;
+    const { config, model } = this.#components;
     const services = config.state.fleet?.services ?? [];
     const first = services.find((service) => service.kind === "model");
     if (first?.kind === "model") model.setSpeeds(first.speeds);
   }
 
-  #takeHeartbeat(heartbeat: Heartbeat, from: LinkIdentity): void {
-    const { table, zones, quarantine, clock } = this.#parts;
+  #handleHeartbeat(heartbeat: Heartbeat, from: LinkIdentity): void {
+    const { table, zones, quarantine, clock } = this.#components;
     for (const mark of heartbeat.leavingTargets ?? []) {
       table.leaving.mark(mark.target, mark.sinceOffset);
     }
-    for (const row of heartbeat.reports ?? []) table.noteReport(row, from.id);
+    for (const row of heartbeat.reports ?? []) table.recordReport(row, from.id);
     table.refreshReports(from.id);
     if (heartbeat.crashes !== undefined) {
       quarantine.mergePeerReports(heartbeat.crashes, clock.readMonotonicMs());
     }
-    zones.noteHeartbeat(heartbeat, from);
+    zones.recordHeartbeat(heartbeat, from);
     if (heartbeat.changing !== undefined) {
       const [controlOffset, targets] = heartbeat.changing;
       table.applyChanging(from.availabilityZone, { controlOffset, targets });
@@ -328,7 +338,7 @@
   }
 
   async #pollVmList(): Promise<void> {
-    const { settings, vmList, membership, watcher } = this.#parts;
+    const { settings, vmList, membership, watcher } = this.#components;
     while (this.#stopping === undefined) {
       try {
         const vms = await vmList.readVms();
@@ -342,7 +352,7 @@
             : []
         );
         membership.noteListed([...settings.mesh.peers, ...entries]);
-        watcher.noteListed(vms);
+        watcher.recordListing(vms);
       } catch {
         // The list is a hint; membership goes on by what peers answer.
       }
@@ -352,7 +362,7 @@
 
   #updateMetrics(): void {
     const { metrics, config, control, gateway, membership, mesh, clock } =
-      this.#parts;
+      this.#components;
     const nowMs = clock.readMonotonicMs();
     metrics.configOffset.set(config.state.offset);
     if (Number.isFinite(config.currentAtMs)) {
@@ -368,11 +378,17 @@
   }
 
   /** A part that ends with an error takes the process down; the platform starts a new one. */
-  async #guard(part: string, running: Promise<void>): Promise<void> {
+  async #superviseComponent(
+    part: string,
+    running: Promise<void>,
+  ): Promise<void> {
     try {
       await running;
     } catch (error) {
-      this.#parts.logger.error("part failed", { part, error: String(error) });
+      this.#components.logger.error("part failed", {
+        part,
+        error: String(error),
+      });
       process.exitCode = 1;
       await this.stop();
       process.exit(1);
--- a/packages/heatherarch-daemon/gateway_parts.ts
+++ b/packages/heatherarch-daemon/gateway_builder.ts
@@ -13,25 +13,25 @@
   type Router,
 } from "heatherarch-policy";
 import type { RoutingKind } from "heatherarch-settings";
-import { type Parts, readCertificate } from "./parts.ts";
+import { type Components, readCertificate } from "./components.ts";
 
 /** Longest wait for the stream of a request that another VM serves, milliseconds. */
-export const REMOTE_READ_MS = 3000;
+export const REMOTE_READ_TIMEOUT_MS = 3000;
 
 /** Builds the gateway; `readRefusal` tells why this VM takes no requests now, if it doesn't. */
 export function buildGateway(
-  parts: Parts,
+  parts: Components,
   readRefusal: () => ServeError | undefined,
 ): Gateway {
   const tls = parts.settings.listen.callersTls;
   return new Gateway(
-    buildHost(parts, readRefusal),
+    buildGatewayHost(parts, readRefusal),
     tls === undefined ? {} : { tls: readCertificate(tls) },
   );
 }
 
-function buildHost(
-  parts: Parts,
+function buildGatewayHost(
+  parts: Components,
   readRefusal: () => ServeError | undefined,
 ): GatewayHost {
   const { settings, clock, model, metrics } = parts;
@@ -49,24 +49,29 @@
       share: settings.requests.lookupReserveShare,
     }),
     claims: parts.claims,
-    requests: parts.requests,
+    requests: parts.quarantineWatch,
     events: metrics,
     readRefusal,
     readFleet: () => parts.config.state.fleet,
     findProfile: (name) => parts.config.state.profiles[name]?.profile,
-    getRouter: createRouters(model),
+    getRouter: createRouterCache(model),
     countVms: () => parts.zones.countVms(),
     readRemoteStream: async (vmId, requestId, from) => {
       const unknown = { texts: [], state: "unknown" as const, model: "" };
       const body = { requestId, from };
-      const call = parts.mesh.call(vmId, "stream.read", body, REMOTE_READ_MS);
+      const call = parts.mesh.call(
+        vmId,
+        "stream.read",
+        body,
+        REMOTE_READ_TIMEOUT_MS,
+      );
       return await (call as Promise<typeof unknown>).catch(() => unknown);
     },
   };
 }
 
 /** One router of each kind, created when it is first asked for. */
-function createRouters(model: EngineModel): (kind: RoutingKind) => Router {
+function createRouterCache(model: EngineModel): (kind: RoutingKind) => Router {
   const routers = new Map<RoutingKind, Router>();
   return (kind) => {
     const router = routers.get(kind) ?? createRouter(kind, model);
--- a/packages/heatherarch-daemon/heartbeat_builder.ts
+++ b/packages/heatherarch-daemon/heartbeat_builder.ts
@@ -34,24 +34,24 @@
   };
   readonly readDemand: () => Demand;
   /** What is known of requests that end targets, from a cursor on. */
-  readonly listCrashes: (cursor: number | undefined) => CrashReportPage;
+  readonly listCrashReports: (cursor: number | undefined) => CrashReportPage;
 }
 
 interface LinkProgress {
   crashCursor: number | undefined;
   leavingVersion: number;
   rowVersion: number;
-  changing: string;
+  changingKey: string;
 }
 
 type CrashMessage = NonNullable<Heartbeat["crashes"]>[number];
 
 /** A VM of another zone is told of this many times fewer targets. */
-const OTHER_ZONE_DIVISOR = 8;
+const CROSS_ZONE_SUBSET_DIVISOR = 8;
 
 /** Targets that one peer is told of, as long as the zone's targets are these. */
 interface Subset {
-  readonly of: readonly Target[];
+  readonly targets: readonly Target[];
   readonly ids: ReadonlySet<string>;
 }
 
@@ -72,7 +72,7 @@
         crashCursor: undefined,
         leavingVersion: 0,
         rowVersion: 0,
-        changing: "",
+        changingKey: "",
       };
       this.#progress.set(link, progress);
     }
@@ -102,7 +102,7 @@
 
   /** Each VM passes on what is new to it, so that it reaches all over any links. */
   #buildCrashes(progress: LinkProgress): Partial<Heartbeat> {
-    const { reports: notes, cursor } = this.#options.listCrashes(
+    const { reports: notes, cursor } = this.#options.listCrashReports(
       progress.crashCursor,
     );
     progress.crashCursor = cursor;
@@ -123,7 +123,7 @@
       (target, report) => {
         if (subset !== undefined && !subset.has(target.id)) return false;
         return sameZone
-          ? report.from === vmId
+          ? report.watcher === vmId
           : target.availabilityZone === availabilityZone;
       },
     );
@@ -137,16 +137,20 @@
    */
   #pickSubset(peer: LinkIdentity): ReadonlySet<string> | undefined {
     const { table, subsetSize, isPlanner, availabilityZone } = this.#options;
-    const of = table.listZoneTargets(availabilityZone);
-    if (of.length <= subsetSize || isPlanner(peer.id)) return undefined;
+    const targets = table.listZoneTargets(availabilityZone);
+    if (targets.length <= subsetSize || isPlanner(peer.id)) return undefined;
     const known = this.#subsets.get(peer.id);
-    if (known?.of === of) return known.ids;
+    if (known?.targets === targets) return known.ids;
     const sameZone = peer.availabilityZone === availabilityZone;
     const size = sameZone
       ? subsetSize
-      : Math.ceil(subsetSize / OTHER_ZONE_DIVISOR);
-    const picked = pickRendezvous(peer.id, of.map((target) => target.id), size);
-    const subset = { of, ids: new Set(picked) };
+      : Math.ceil(subsetSize / CROSS_ZONE_SUBSET_DIVISOR);
+    const picked = pickRendezvous(
+      peer.id,
+      targets.map((target) => target.id),
+      size,
+    );
+    const subset = { targets, ids: new Set(picked) };
     this.#subsets.set(peer.id, subset);
     return subset.ids;
   }
@@ -155,8 +159,8 @@
     const { table, availabilityZone } = this.#options;
     const { controlOffset, targets } = table.getChanging(availabilityZone);
     const key = targets.join(" ");
-    if (key === progress.changing) return {};
-    progress.changing = key;
+    if (key === progress.changingKey) return {};
+    progress.changingKey = key;
     return { changing: [controlOffset, [...targets]] };
   }
 
--- a/packages/heatherarch-daemon/metrics.ts
+++ b/packages/heatherarch-daemon/metrics.ts
@@ -13,7 +13,7 @@
 import { registerViolationListener } from "heatherarch-core";
 import type { GatewayEvents, RequestEnd } from "heatherarch-gateway";
 
-const SECONDS = [
+const LATENCY_BUCKETS_SECONDS = [
   0.005,
   0.01,
   0.025,
@@ -28,7 +28,7 @@
   15,
   60,
 ];
-const GAP_SECONDS = [
+const TOKEN_GAP_BUCKETS_SECONDS = [
   0.005,
   0.01,
   0.015,
@@ -104,7 +104,7 @@
   readonly firstToken = this.#createHistogram(
     "first_token_seconds",
     "Time to the first token",
-    SECONDS,
+    LATENCY_BUCKETS_SECONDS,
     [
       "profile",
     ],
@@ -112,13 +112,13 @@
   readonly tokenGap = this.#createHistogram(
     "token_gap_seconds",
     "Mean gap between tokens of an answer",
-    GAP_SECONDS,
+    TOKEN_GAP_BUCKETS_SECONDS,
     ["profile"],
   );
   readonly duration = this.#createHistogram(
     "request_seconds",
     "Time to the whole answer",
-    SECONDS,
+    LATENCY_BUCKETS_SECONDS,
     [
       "service",
     ],
--- a/packages/heatherarch-daemon/operator_server.ts
+++ b/packages/heatherarch-daemon/operator_server.ts
@@ -32,9 +32,9 @@
   readonly readStatus: () => unknown;
   readonly readMetrics: () => Promise<string>;
   /** Why the balancer should send nothing here; undefined where it should. */
-  readonly readUnready: () => string | undefined;
+  readonly readUnreadyReason: () => string | undefined;
   /** Publishes a change; resolves with the verdict that the fold gave. */
-  readonly publish: (request: PublishRequest) => Promise<PublishAnswer>;
+  readonly publish: (request: PublishRequest) => Promise<PublishResult>;
   /** Takes an operator's direct word that a target is leaving. */
   readonly markLeaving: (target: string) => void;
 }
@@ -49,7 +49,7 @@
 }
 
 /** What became of a publication. */
-export interface PublishAnswer {
+export interface PublishResult {
   readonly verdict: "accepted" | "rejected";
   readonly offset: number;
   readonly reason?: string;
@@ -110,7 +110,7 @@
         ctx.body = { status: "ok" };
         return;
       case "/readyz": {
-        const unready = this.#host.readUnready();
+        const unready = this.#host.readUnreadyReason();
         ctx.status = unready === undefined ? 200 : 503;
         ctx.body = {
           ready: unready === undefined,
@@ -174,7 +174,7 @@
       throw new ServeError("badRequest", formatFaults(buildFaults(body.error)));
     }
     const { baseRevision, id = createId("pub") } = body.data;
-    const change = checkChange(body.data.change);
+    const change = parseChange(body.data.change);
     try {
       const answer = await this.#host.publish({
         id,
@@ -198,7 +198,7 @@
   }
 }
 
-function checkChange(change: unknown): ConfigChange {
+function parseChange(change: unknown): ConfigChange {
   const record = parseConfigRecord({
     type: "change",
     format: 1,
--- a/packages/heatherarch-daemon/order_executor.ts
+++ b/packages/heatherarch-daemon/order_executor.ts
@@ -31,10 +31,10 @@
 import type { Logger } from "./logger.ts";
 import type { TargetTable } from "./target_table.ts";
 import {
-  isAsOrdered,
+  isOrderFulfilled,
   type PlannedOrder,
-  VersionWatch,
-} from "./version_watch.ts";
+  VersionChecker,
+} from "./version_checker.ts";
 
 /** What an order is given under. */
 export type OrderAuthority =
@@ -56,22 +56,22 @@
   readonly logger: Logger;
   readonly readFleet: () => Fleet | null;
   readonly readDemand: () => Demand;
-  readonly noteOutcome: (result: OrderResult) => void;
+  readonly onOutcome: (result: OrderResult) => void;
 }
 
 const READ_TIMEOUT_MS = 1000;
 const ORDER_TIMEOUT_MS = 2000;
 const APPEND_TIMEOUT_MS = 3000;
 /** Between looks for something to do. */
-const IDLE_MS = 250;
-const LOOP_MS = 100;
+const STEP_INTERVAL_MS = 250;
+const POLL_INTERVAL_MS = 100;
 /** Longest wait for the zone's other VMs to have read an intent. */
-const SPREAD_LIMIT_MS = 2000;
-const DRAIN_LIMIT_MS = 60_000;
+const INTENT_PROPAGATION_TIMEOUT_MS = 2000;
+const DRAIN_TIMEOUT_MS = 60_000;
 /** Idle reads in a row before an engine counts as drained. */
-const IDLE_READS = 3;
-const IDLE_READ_GAP_MS = 150;
-const CHANGE_LIMIT_MS = 60_000;
+const REQUIRED_IDLE_READS = 3;
+const IDLE_READ_INTERVAL_MS = 150;
+const CHANGE_TIMEOUT_MS = 60_000;
 /** Why an order that was announced is not given. */
 const LEASE_LAPSED = "authority lapsed before the order was written";
 
@@ -79,16 +79,16 @@
 export class OrderExecutor {
   readonly #options: OrderExecutorOptions;
   #planner: RolePlanner | undefined;
-  #plannerOf: Fleet["planning"] | undefined;
+  #plannerSettings: Fleet["planning"] | undefined;
   #nextPlanMs = 0;
   #authorityFromMs: number | undefined;
-  readonly #versions: VersionWatch;
+  readonly #versionChecker: VersionChecker;
   #stopped = false;
   #busy = false;
 
   constructor(options: OrderExecutorOptions) {
     this.#options = options;
-    this.#versions = new VersionWatch({
+    this.#versionChecker = new VersionChecker({
       clock: options.clock,
       table: options.table,
       readState: (target) => this.#readState(target),
@@ -109,7 +109,7 @@
   /** Works until stopped. */
   async run(): Promise<void> {
     while (!this.#stopped) {
-      await sleep(IDLE_MS);
+      await sleep(STEP_INTERVAL_MS);
       if (!this.#options.control.hasAuthority()) {
         this.#authorityFromMs = undefined;
         continue;
@@ -127,13 +127,13 @@
   async #step(): Promise<void> {
     const { control } = this.#options;
     const [open] = Object.values(control.state.open);
-    if (open !== undefined) return await this.#resolve(open);
-    const next = await this.#findOutdated() ?? this.#planNext();
+    if (open !== undefined) return await this.#resolveOpenIntent(open);
+    const next = await this.#findOutdated() ?? this.#planRoleChange();
     if (next !== undefined) await this.#execute(next.target, next.order);
   }
 
   /** Settles an order that was left open, by what the engine itself says. */
-  async #resolve(intent: OpenIntent): Promise<void> {
+  async #resolveOpenIntent(intent: OpenIntent): Promise<void> {
     const target = this.#options.table.findTarget(intent.target);
     if (target === undefined) {
       return await this.#conclude(intent, "abandoned", "no such target");
@@ -148,7 +148,7 @@
       return;
     }
     if (state.busyWithOrder) return;
-    const done = isAsOrdered(state, intent.order);
+    const done = isOrderFulfilled(state, intent.order);
     await this.#conclude(
       intent,
       done ? "done" : "abandoned",
@@ -168,17 +168,17 @@
     const fleet = this.#options.readFleet();
     if (fleet === null) return undefined;
     const engines = this.#listEngines(fleet).map(({ id }) => id);
-    return await this.#versions.findOutdated(fleet, engines);
+    return await this.#versionChecker.findOutdated(fleet, engines);
   }
 
-  #planNext(): PlannedOrder | undefined {
+  #planRoleChange(): PlannedOrder | undefined {
     const fleet = this.#options.readFleet();
     const nowMs = this.#options.clock.readMonotonicMs();
     if (fleet === null || nowMs < this.#nextPlanMs) return undefined;
     this.#nextPlanMs = nowMs + fleet.planning.intervalMs;
     const engines = this.#listEngines(fleet);
-    if (this.#plannerOf !== fleet.planning) {
-      this.#plannerOf = fleet.planning;
+    if (this.#plannerSettings !== fleet.planning) {
+      this.#plannerSettings = fleet.planning;
       this.#planner = createRolePlanner(fleet.planning, this.#options.model);
     }
     const change = this.#planner?.plan({
@@ -239,7 +239,7 @@
     if (problem !== "") {
       return await this.#conclude(intent, "abandoned", problem);
     }
-    const answer = await this.#give(target, intent);
+    const answer = await this.#sendOrder(target, intent);
     if (answer !== "") return await this.#conclude(intent, "failed", answer);
     await this.#awaitOutcome(target, intent);
     if (order.kind !== "setRole") return;
@@ -253,17 +253,17 @@
     const { clock, control } = this.#options;
     const startMs = clock.readMonotonicMs();
     while (
-      !this.#hasSpread(intent) &&
-      clock.readMonotonicMs() - startMs < SPREAD_LIMIT_MS
+      !this.#hasPropagated(intent) &&
+      clock.readMonotonicMs() - startMs < INTENT_PROPAGATION_TIMEOUT_MS
     ) {
-      await sleep(LOOP_MS);
+      await sleep(POLL_INTERVAL_MS);
     }
     let idleReads = 0;
-    while (idleReads < IDLE_READS) {
+    while (idleReads < REQUIRED_IDLE_READS) {
       if (!control.hasAuthority() || this.#stopped) {
         return "authority lost while draining";
       }
-      if (clock.readMonotonicMs() - startMs > DRAIN_LIMIT_MS) {
+      if (clock.readMonotonicMs() - startMs > DRAIN_TIMEOUT_MS) {
         return "draining took too long";
       }
       if (this.#findStatus(target.id).directive !== "active") {
@@ -273,12 +273,12 @@
       const idle = state !== undefined && state.running + state.waiting === 0;
       const own = this.#findStatus(target.id).outstandingHere;
       idleReads = idle && own === 0 ? idleReads + 1 : 0;
-      await sleep(IDLE_READ_GAP_MS);
+      await sleep(IDLE_READ_INTERVAL_MS);
     }
     return "";
   }
 
-  #hasSpread(intent: OpenIntent): boolean {
+  #hasPropagated(intent: OpenIntent): boolean {
     const { membership, availabilityZone } = this.#options;
     return membership.listMembers()
       .filter((member) => member.status === "live")
@@ -287,7 +287,7 @@
   }
 
   /** Gives the order; the reason where it was not taken. */
-  async #give(target: Target, intent: OpenIntent): Promise<string> {
+  async #sendOrder(target: Target, intent: OpenIntent): Promise<string> {
     const { control, table } = this.#options;
     const engine = table.getEngine(target);
     const before = await this.#readState(target);
@@ -323,12 +323,12 @@
     const startMs = clock.readMonotonicMs();
     while (
       control.hasAuthority() &&
-      clock.readMonotonicMs() - startMs < CHANGE_LIMIT_MS
+      clock.readMonotonicMs() - startMs < CHANGE_TIMEOUT_MS
     ) {
-      await sleep(LOOP_MS);
+      await sleep(POLL_INTERVAL_MS);
       const state = await this.#readState(target);
       if (state === undefined || state.busyWithOrder) continue;
-      const done = isAsOrdered(state, intent.order);
+      const done = isOrderFulfilled(state, intent.order);
       return await this.#conclude(intent, done ? "done" : "failed", "");
     }
     if (control.hasAuthority()) {
@@ -341,7 +341,7 @@
     result: OrderResult,
     detail: string,
   ): Promise<void> {
-    const { control, logger, noteOutcome } = this.#options;
+    const { control, logger, onOutcome: noteOutcome } = this.#options;
     const { intentId, target } = intent;
     const read = await control.appendAndRead(
       {
--- a/packages/heatherarch-daemon/publisher.ts
+++ b/packages/heatherarch-daemon/publisher.ts
@@ -10,8 +10,8 @@
   CONFIG_STREAM,
   LogUnavailableError,
 } from "heatherarch-log";
-import type { PublishAnswer, PublishRequest } from "./operator_server.ts";
-import type { Parts } from "./parts.ts";
+import type { PublishRequest, PublishResult } from "./operator_server.ts";
+import type { Components } from "./components.ts";
 
 const PUBLISH_TIMEOUT_MS = 8000;
 /** Where the platform is known to be out, an operator's word spreads soon. */
@@ -22,9 +22,9 @@
  * does not answer.
  */
 export async function publishChange(
-  parts: Parts,
+  parts: Components,
   request: PublishRequest,
-): Promise<PublishAnswer> {
+): Promise<PublishResult> {
   const { config, log, clock } = parts;
   const record = {
     type: "change" as const,
--- a/packages/heatherarch-daemon/status_report.ts
+++ b/packages/heatherarch-daemon/status_report.ts
@@ -3,10 +3,10 @@
  *
  * @module
  */
-import type { Parts } from "./parts.ts";
+import type { Components } from "./components.ts";
 
 /** What `GET /v1/status` answers. */
-export function buildStatus(parts: Parts, leaving: boolean): unknown {
+export function buildStatus(parts: Components, leaving: boolean): unknown {
   const {
     identity,
     config,
--- a/packages/heatherarch-daemon/target_table.ts
+++ b/packages/heatherarch-daemon/target_table.ts
@@ -32,7 +32,7 @@
   readonly leaving: boolean;
   readonly unreachable: boolean;
   /** VM that watches the target. */
-  readonly from: string;
+  readonly watcher: string;
   /** Increases with each change of the row. */
   readonly version: number;
 }
@@ -60,14 +60,14 @@
   readonly targets: readonly string[];
 }
 
-const NOTHING_CHANGING: ChangingTargets = { controlOffset: -1, targets: [] };
+const NO_CHANGING_TARGETS: ChangingTargets = { controlOffset: -1, targets: [] };
 const FLAG_BUSY = 1;
 const FLAG_LEAVING = 2;
 const FLAG_UNREACHABLE = 4;
-const EJECT_FIRST_MS = 250;
-const EJECT_LIMIT_MS = 4000;
+const INITIAL_EJECTION_MS = 250;
+const MAX_EJECTION_MS = 4000;
 /** Extra time to reach another availability zone, for ranking. */
-const OTHER_ZONE_MS = 8;
+const CROSS_ZONE_ROUND_TRIP_MS = 8;
 
 interface Ejection {
   readonly untilMs: number;
@@ -83,11 +83,11 @@
   readonly #reports = new Map<string, TargetReport>();
   readonly #ejections = new Map<string, Ejection>();
   #targets = new Map<string, Target>();
-  #byService = new Map<string, Target[]>();
-  readonly #byZone = new Map<string, readonly Target[]>();
+  #targetsByService = new Map<string, Target[]>();
+  readonly #targetsByZone = new Map<string, readonly Target[]>();
   #config: ConfigState | undefined;
-  readonly #changing = new Map<string, ChangingTargets>();
-  #versions = 0;
+  readonly #changingByZone = new Map<string, ChangingTargets>();
+  #lastVersion = 0;
 
   constructor(options: TargetTableOptions) {
     this.#options = options;
@@ -98,12 +98,12 @@
     this.#config = state;
     const targets = state.fleet?.targets ?? [];
     this.#targets = new Map(targets.map((target) => [target.id, target]));
-    this.#byService = new Map();
-    this.#byZone.clear();
+    this.#targetsByService = new Map();
+    this.#targetsByZone.clear();
     for (const target of targets) {
-      const list = this.#byService.get(target.service) ?? [];
+      const list = this.#targetsByService.get(target.service) ?? [];
       list.push(target);
-      this.#byService.set(target.service, list);
+      this.#targetsByService.set(target.service, list);
     }
     for (
       const [id, { directive, revision }] of Object.entries(state.directives)
@@ -111,29 +111,29 @@
       if (directive === "active") this.leaving.restore(id, revision);
       else this.leaving.mark(id, revision);
     }
-    this.#closeRemoved();
+    this.#closeRemovedTargets();
   }
 
   /** Takes in which targets of a zone have an open order, as of a control offset. */
   applyChanging(availabilityZone: string, changing: ChangingTargets): void {
-    const known = this.#changing.get(availabilityZone);
+    const known = this.#changingByZone.get(availabilityZone);
     if (known !== undefined && changing.controlOffset < known.controlOffset) {
       return;
     }
-    this.#changing.set(availabilityZone, changing);
+    this.#changingByZone.set(availabilityZone, changing);
   }
 
   /** Targets of a zone with an open order, as far as this VM has heard. */
   getChanging(availabilityZone: string): ChangingTargets {
-    return this.#changing.get(availabilityZone) ?? NOTHING_CHANGING;
+    return this.#changingByZone.get(availabilityZone) ?? NO_CHANGING_TARGETS;
   }
 
   listCandidates(service: string): Candidate[] {
     const nowMs = this.#options.clock.readMonotonicMs();
     const usable: Candidate[] = [];
     const ejected: Candidate[] = [];
-    for (const target of this.#byService.get(service) ?? []) {
-      if (this.#judge(target, nowMs) !== "") continue;
+    for (const target of this.#targetsByService.get(service) ?? []) {
+      if (this.#findExclusionReason(target, nowMs) !== "") continue;
       const out = (this.#ejections.get(target.id)?.untilMs ?? 0) > nowMs;
       (out ? ejected : usable).push(this.#buildCandidate(target));
     }
@@ -153,12 +153,12 @@
 
   /** Targets of one zone; the same array until the configuration changes. */
   listZoneTargets(availabilityZone: string): readonly Target[] {
-    let list = this.#byZone.get(availabilityZone);
+    let list = this.#targetsByZone.get(availabilityZone);
     if (list === undefined) {
       list = this.listTargets().filter((target) =>
         target.availabilityZone === availabilityZone
       );
-      this.#byZone.set(availabilityZone, list);
+      this.#targetsByZone.set(availabilityZone, list);
     }
     return list;
   }
@@ -191,7 +191,10 @@
 
   noteFailure(id: string): void {
     const failures = (this.#ejections.get(id)?.failures ?? 0) + 1;
-    const ms = Math.min(EJECT_LIMIT_MS, EJECT_FIRST_MS * 2 ** (failures - 1));
+    const ms = Math.min(
+      MAX_EJECTION_MS,
+      INITIAL_EJECTION_MS * 2 ** (failures - 1),
+    );
     this.#ejections.set(id, {
       untilMs: this.#options.clock.readMonotonicMs() + ms,
       failures,
@@ -203,7 +206,7 @@
   }
 
   /** Takes in a report of a target that this VM or a peer watches. */
-  noteReport(row: ReportRow, from: string): void {
+  recordReport(row: ReportRow, from: string): void {
     const [id, role, flags, running, waiting, pendingPrefillTokens] = row;
     const known = this.#reports.get(id);
     const same = known !== undefined && isSameRow(buildRow(id, known), row);
@@ -216,8 +219,8 @@
       waiting,
       pendingPrefillTokens,
       atMs: this.#options.clock.readMonotonicMs(),
-      from,
-      version: same ? known.version : ++this.#versions,
+      watcher: from,
+      version: same ? known.version : ++this.#lastVersion,
     });
   }
 
@@ -225,7 +228,7 @@
   refreshReports(from: string): void {
     const atMs = this.#options.clock.readMonotonicMs();
     for (const [id, report] of this.#reports) {
-      if (report.from === from) this.#reports.set(id, { ...report, atMs });
+      if (report.watcher === from) this.#reports.set(id, { ...report, atMs });
     }
   }
 
@@ -243,7 +246,7 @@
       ) continue;
       rows.push(buildRow(id, report));
     }
-    return { rows, version: this.#versions };
+    return { rows, version: this.#lastVersion };
   }
 
   /** The state of all targets, for operators. */
@@ -251,7 +254,7 @@
     const nowMs = this.#options.clock.readMonotonicMs();
     return this.listTargets().map((target) => {
       const report = this.#reports.get(target.id);
-      const reason = this.#judge(target, nowMs);
+      const reason = this.#findExclusionReason(target, nowMs);
       return {
         id: target.id,
         service: target.service,
@@ -276,7 +279,7 @@
   }
 
   /** Why a target gets no new work; empty where it may. */
-  #judge(target: Target, nowMs: number): string {
+  #findExclusionReason(target: Target, nowMs: number): string {
     const directive = this.#config?.directives[target.id]?.directive ??
       "active";
     if (directive !== "active") return directive;
@@ -307,7 +310,7 @@
         this.#options.clock.readMonotonicMs(),
       ),
       maxConcurrent: target.maxConcurrent,
-      roundTripMs: sameZone ? 0 : OTHER_ZONE_MS,
+      roundTripMs: sameZone ? 0 : CROSS_ZONE_ROUND_TRIP_MS,
     };
   }
 
@@ -327,7 +330,7 @@
   }
 
   /** Targets that left the fleet are forgotten once nothing of ours runs on them. */
-  #closeRemoved(): void {
+  #closeRemovedTargets(): void {
     for (const id of [...this.#engines.keys(), ...this.#services.keys()]) {
       if (
         this.#targets.has(id) || this.#options.tracker.countOutstanding(id) > 0
--- a/packages/heatherarch-daemon/target_watcher.ts
+++ b/packages/heatherarch-daemon/target_watcher.ts
@@ -24,15 +24,15 @@
 }
 
 /** Failed reads in a row after which a target counts as unreachable. */
-const FAILURES_TO_UNREACHABLE = 2;
+const UNREACHABLE_AFTER_FAILURES = 2;
 
 /** Polls targets. */
 export class TargetWatcher {
   readonly #options: TargetWatcherOptions;
-  readonly #busy = new Set<string>();
+  readonly #readsInProgress = new Set<string>();
   readonly #failures = new Map<string, number>();
   #timer: NodeJS.Timeout | undefined;
-  #nextRoundMs = 0;
+  #nextPollMs = 0;
 
   constructor(options: TargetWatcherOptions) {
     this.#options = options;
@@ -61,7 +61,7 @@
   }
 
   /** Takes in the platform's list: a hint that a target is leaving. */
-  noteListed(vms: readonly ListedVm[]): void {
+  recordListing(vms: readonly ListedVm[]): void {
     const { table, readConfigOffset } = this.#options;
     for (const vm of vms) {
       if (vm.kind === "target" && vm.state === "leaving") {
@@ -73,37 +73,39 @@
   #tick(): void {
     const { table, availabilityZone, settings, clock } = this.#options;
     const nowMs = clock.readMonotonicMs();
-    if (nowMs < this.#nextRoundMs) return;
+    if (nowMs < this.#nextPollMs) return;
     const watched = table.listZoneTargets(availabilityZone)
       .filter((target) => this.isWatching(target));
     const intervalMs = Math.max(
       settings.reportIntervalMs,
       settings.reportPerTargetMs * watched.length,
     );
-    this.#nextRoundMs = nowMs + intervalMs - settings.reportIntervalMs / 2;
+    this.#nextPollMs = nowMs + intervalMs - settings.reportIntervalMs / 2;
     for (const target of watched) {
-      if (this.#busy.has(target.id)) continue;
-      this.#busy.add(target.id);
-      void this.#read(target).finally(() => this.#busy.delete(target.id));
+      if (this.#readsInProgress.has(target.id)) continue;
+      this.#readsInProgress.add(target.id);
+      void this.#readTarget(target).finally(() =>
+        this.#readsInProgress.delete(target.id)
+      );
     }
   }
 
-  async #read(target: Target): Promise<void> {
+  async #readTarget(target: Target): Promise<void> {
     const { table, vmId } = this.#options;
     try {
       const row = await this.#readRow(target);
       this.#failures.delete(target.id);
-      table.noteReport(row, vmId);
+      table.recordReport(row, vmId);
     } catch {
       const failures = (this.#failures.get(target.id) ?? 0) + 1;
       this.#failures.set(target.id, failures);
-      if (failures < FAILURES_TO_UNREACHABLE) return;
+      if (failures < UNREACHABLE_AFTER_FAILURES) return;
       const flags = buildFlags({
         busyWithOrder: false,
         leaving: false,
         unreachable: true,
       });
-      table.noteReport([
+      table.recordReport([
         target.id,
         ENGINE_ROLES.indexOf(target.role),
         flags,
--- a/packages/heatherarch-daemon/tests/unit/order_executor_test.ts
+++ b/packages/heatherarch-daemon/tests/unit/order_executor_test.ts
@@ -129,7 +129,7 @@
     logger: createLogger({ level: "error", vm: "vm-1" }),
     settings: { settleMs: 0 } as ProcessSettings["lease"],
     readFleet: () => FLEET,
-    noteOutcome: () => undefined,
+    onOutcome: () => undefined,
   };
   return new OrderExecutor(options as OrderExecutorOptions);
 }
--- a/packages/heatherarch-daemon/version_watch.ts
+++ b/packages/heatherarch-daemon/version_checker.ts
@@ -13,8 +13,8 @@
   readonly order: EngineOrder;
 }
 
-/** Options of {@linkcode VersionWatch}. */
-export interface VersionWatchOptions {
+/** Options of {@linkcode VersionChecker}. */
+export interface VersionCheckerOptions {
   readonly clock: Clock;
   readonly table: Pick<TargetTable, "findTarget">;
   /** Reads an engine's state; undefined where it does not answer. */
@@ -24,19 +24,19 @@
 }
 
 /** Engines whose version is looked at in one step. */
-const VERIFIED_PER_STEP = 4;
+const MAX_CHECKS_PER_STEP = 4;
 /** An engine may have been restarted with other weights: all are looked at again. */
-const VERIFY_AGAIN_MS = 30_000;
+const REVERIFY_INTERVAL_MS = 30_000;
 
 /** Looks at the engines of one availability zone, a few at a time. */
-export class VersionWatch {
-  readonly #options: VersionWatchOptions;
+export class VersionChecker {
+  readonly #options: VersionCheckerOptions;
   /** Engines seen with the published model and version. */
   readonly #verified = new Set<string>();
-  #verifiedOf: Fleet | undefined;
-  #verifyAgainMs = 0;
+  #verifiedFleet: Fleet | undefined;
+  #nextClearMs = 0;
 
-  constructor(options: VersionWatchOptions) {
+  constructor(options: VersionCheckerOptions) {
     this.#options = options;
   }
 
@@ -45,24 +45,27 @@
     fleet: Fleet,
     engines: readonly string[],
   ): Promise<PlannedOrder | undefined> {
-    this.#forgetOld(fleet);
+    this.#clearWhenDue(fleet);
     const unverified = engines.filter((id) => !this.#verified.has(id));
-    for (const id of unverified.slice(0, VERIFIED_PER_STEP)) {
-      const planned = await this.#check(fleet, id);
+    for (const id of unverified.slice(0, MAX_CHECKS_PER_STEP)) {
+      const planned = await this.#checkEngine(fleet, id);
       if (planned !== undefined) return planned;
     }
     return undefined;
   }
 
-  #forgetOld(fleet: Fleet): void {
+  #clearWhenDue(fleet: Fleet): void {
     const nowMs = this.#options.clock.readMonotonicMs();
-    if (this.#verifiedOf === fleet && nowMs < this.#verifyAgainMs) return;
-    this.#verifiedOf = fleet;
-    this.#verifyAgainMs = nowMs + VERIFY_AGAIN_MS;
+    if (this.#verifiedFleet === fleet && nowMs < this.#nextClearMs) return;
+    this.#verifiedFleet = fleet;
+    this.#nextClearMs = nowMs + REVERIFY_INTERVAL_MS;
     this.#verified.clear();
   }
 
-  async #check(fleet: Fleet, id: string): Promise<PlannedOrder | undefined> {
+  async #checkEngine(
+    fleet: Fleet,
+    id: string,
+  ): Promise<PlannedOrder | undefined> {
     const { table, readState, mayOrder } = this.#options;
     const target = table.findTarget(id);
     const service = fleet.services.find(({ name }) => name === target?.service);
@@ -72,7 +75,7 @@
     const { models, version } = service;
     const model = models.includes(state.model) ? state.model : models[0];
     const order: EngineOrder = { kind: "loadModel", model, version };
-    if (!isAsOrdered(state, order)) {
+    if (!isOrderFulfilled(state, order)) {
       return mayOrder(target) ? { target, order } : undefined;
     }
     this.#verified.add(id);
@@ -81,7 +84,10 @@
 }
 
 /** Whether an engine is as an order wants it. */
-export function isAsOrdered(state: EngineState, order: EngineOrder): boolean {
+export function isOrderFulfilled(
+  state: EngineState,
+  order: EngineOrder,
+): boolean {
   return order.kind === "setRole"
     ? state.role === order.role
     : state.model === order.model && state.version === order.version;
--- a/packages/heatherarch-daemon/zone_view.ts
+++ b/packages/heatherarch-daemon/zone_view.ts
@@ -26,7 +26,7 @@
 }
 
 /** How long a peer's demand counts after its last heartbeat. */
-const DEMAND_KEPT_MS = 15_000;
+const DEMAND_MAX_AGE_MS = 15_000;
 
 /** Sums up heartbeats. */
 export class ZoneView {
@@ -39,7 +39,7 @@
   }
 
   /** Takes in what a heartbeat says of demand and zone. */
-  noteHeartbeat(heartbeat: Heartbeat, from: LinkIdentity): void {
+  recordHeartbeat(heartbeat: Heartbeat, from: LinkIdentity): void {
     const nowMs = this.#options.clock.readMonotonicMs();
     if (heartbeat.zone !== undefined) {
       const [configOffset, vms] = heartbeat.zone;
@@ -63,7 +63,7 @@
     const heard: Demand[] = [];
     for (const [id, entry] of this.#peerDemand) {
       const live = membership.getMember(id)?.status === "live";
-      if (!live || nowMs - entry.atMs > DEMAND_KEPT_MS) {
+      if (!live || nowMs - entry.atMs > DEMAND_MAX_AGE_MS) {
         this.#peerDemand.delete(id);
       } else heard.push(entry.demand);
     }
