--- a/packages/heatherarch-daemon/claim_service.ts
+++ b/packages/heatherarch-daemon/claim_service.ts
@@ -139,9 +139,10 @@
 
   /** Waits until outcomes have reached the log. */
   async flush(timeoutMs: number): Promise<void> {
-    const until = this.#options.clock.readMonotonicMs() + timeoutMs;
+    const deadlineMs = this.#options.clock.readMonotonicMs() + timeoutMs;
     while (
-      this.#pendingOutcomes > 0 && this.#options.clock.readMonotonicMs() < until
+      this.#pendingOutcomes > 0 &&
+      this.#options.clock.readMonotonicMs() < deadlineMs
     ) await sleep(20);
   }
 
@@ -198,10 +199,10 @@
   #isHolderAlive(holder: string): boolean {
     const { vmId, incarnation, membership } = this.#options;
     if (holder === `${vmId}/${incarnation}`) return true;
-    const [id, heldBy] = holder.split("/");
+    const [id, holderIncarnation] = holder.split("/");
     const member = membership.getMember(id);
     return member !== undefined && member.status !== "suspect" &&
-      member.incarnation === heldBy;
+      member.incarnation === holderIncarnation;
   }
 
   /** The VM of this zone that owns the key's shard, by the membership as seen here. */
@@ -251,10 +252,10 @@
 
   async #concludeWithRetries(call: ConcludeCall): Promise<void> {
     const { clock, mesh, vmId } = this.#options;
-    const until = clock.readMonotonicMs() + CONCLUDE_TIMEOUT_MS;
+    const deadlineMs = clock.readMonotonicMs() + CONCLUDE_TIMEOUT_MS;
     this.#pendingOutcomes++;
     try {
-      while (clock.readMonotonicMs() < until) {
+      while (clock.readMonotonicMs() < deadlineMs) {
         try {
           const owner = this.#findOwner(call.key);
           if (owner === vmId) await this.#concludeLocally(call);
@@ -276,11 +277,11 @@
 
   #getShard(key: string): ClaimShard {
     const { settings, log, clock, snapshotEveryRecords } = this.#options;
-    const number = computeShard(key, settings.shards);
-    let shard = this.#shards.get(number);
+    const shardNumber = computeShard(key, settings.shards);
+    let shard = this.#shards.get(shardNumber);
     if (shard === undefined) {
       shard = new ClaimShard({
-        shard: number,
+        shard: shardNumber,
         log,
         clock,
         batchMs: settings.batchMs,
@@ -290,7 +291,7 @@
         keyWindowMs: settings.keyWindowMs,
         futureSkewMs: settings.futureSkewMs,
       });
-      this.#shards.set(number, shard);
+      this.#shards.set(shardNumber, shard);
     }
     return shard;
   }
--- a/packages/heatherarch-daemon/components.ts
+++ b/packages/heatherarch-daemon/components.ts
@@ -78,8 +78,9 @@
 }
 
 /** Builds the reader of the configuration stream. */
-export function buildConfigReader(parts: Components): ConfigReader {
-  const { identity, log, clock, membership, mesh, logger, settings } = parts;
+export function buildConfigReader(components: Components): ConfigReader {
+  const { identity, log, clock, membership, mesh, logger, settings } =
+    components;
   return new ConfigReader({
     vmId: identity.id,
     availabilityZone: identity.availabilityZone,
@@ -94,8 +95,8 @@
 }
 
 /** Builds the claims of idempotency keys. */
-export function buildClaimService(parts: Components): ClaimService {
-  const { identity, log, clock, membership, mesh, settings } = parts;
+export function buildClaimService(components: Components): ClaimService {
+  const { identity, log, clock, membership, mesh, settings } = components;
   return new ClaimService({
     vmId: identity.id,
     incarnation: identity.incarnation,
@@ -110,8 +111,8 @@
 }
 
 /** Builds the watcher of targets. */
-export function buildTargetWatcher(parts: Components): TargetWatcher {
-  const { identity, clock, membership, table, settings, config } = parts;
+export function buildTargetWatcher(components: Components): TargetWatcher {
+  const { identity, clock, membership, table, settings, config } = components;
   return new TargetWatcher({
     vmId: identity.id,
     availabilityZone: identity.availabilityZone,
@@ -125,8 +126,8 @@
 }
 
 /** Builds the view of the zone's demand and of other zones. */
-export function buildZoneView(parts: Components): ZoneView {
-  const { identity, clock, membership, demand } = parts;
+export function buildZoneView(components: Components): ZoneView {
+  const { identity, clock, membership, demand } = components;
   const { availabilityZone } = identity;
   return new ZoneView({ availabilityZone, clock, membership, demand });
 }
@@ -138,20 +139,24 @@
 }
 
 /** Builds the watch over requests, with a line in the log for each end of a target. */
-export function buildQuarantineWatch(parts: Components): QuarantineWatch {
-  const { quarantine, clock, table, logger } = parts;
-  const losses = new CrashDetector({
+export function buildQuarantineWatch(components: Components): QuarantineWatch {
+  const { quarantine, clock, table, logger } = components;
+  const crashDetector = new CrashDetector({
     targetProbe: new TargetProbe(),
     quarantine,
     clock,
-    isInService: (life) => table.isInService(getTargetId(life)),
+    isInService: (incarnation) => table.isInService(getTargetId(incarnation)),
     onLoss: (loss, probe) => logger.info("exchange lost", { ...loss, probe }),
-    onCrash: (life, evidence, requests) => {
-      watch.noteEnded(life);
-      logger.warn("target ended", { target: life, evidence, requests });
+    onCrash: (incarnation, evidence, requests) => {
+      watch.noteEnded(incarnation);
+      logger.warn("target ended", { target: incarnation, evidence, requests });
     },
   });
-  const watch = new QuarantineWatch({ quarantine, losses, clock });
+  const watch = new QuarantineWatch({
+    quarantine,
+    losses: crashDetector,
+    clock,
+  });
   quarantine.registerChangeListener(({ kind, request, isOwn }) =>
     logger.warn(`request ${kind === "held" ? "quarantined" : "cleared"}`, {
       request,
@@ -164,8 +169,8 @@
 }
 
 /** Builds the mesh of this VM. */
-export function buildMesh(parts: Components): MeshNode {
-  const { settings, identity, clock, membership, metrics } = parts;
+export function buildMesh(components: Components): MeshNode {
+  const { settings, identity, clock, membership, metrics } = components;
   const { mesh, listen, network } = settings;
   const tls = listen.meshTls;
   return new MeshNode({
@@ -176,7 +181,8 @@
     membership,
     translate: (address) => network.translate[address] ?? address,
     // The builder is looked up late: it needs parts that need the mesh.
-    buildHeartbeat: (link, peer) => parts.heartbeatBuilder.build(link, peer),
+    buildHeartbeat: (link, peer) =>
+      components.heartbeatBuilder.build(link, peer),
     onFault: (fault) => metrics.faults.inc({ kind: `mesh:${fault}` }),
     ...(tls === undefined ? {} : {
       tls: {
@@ -189,8 +195,9 @@
 }
 
 /** Builds the task that holds, or follows, the zone's lease. */
-export function buildControlTask(parts: Components): ControlTask {
-  const { settings, identity, log, clock, membership, logger, table } = parts;
+export function buildControlTask(components: Components): ControlTask {
+  const { settings, identity, log, clock, membership, logger, table } =
+    components;
   return new ControlTask({
     vmId: identity.id,
     incarnation: identity.incarnation,
@@ -212,14 +219,14 @@
       });
       // Renewals are no news to peers.
       if (before.join(" ") !== changing.join(" ")) {
-        parts.mesh.sendHeartbeats();
+        components.mesh.sendHeartbeats();
       }
     },
   });
 }
 
 /** Builds what gives orders to engines under the lease. */
-export function buildOrderExecutor(parts: Components): OrderExecutor {
+export function buildOrderExecutor(components: Components): OrderExecutor {
   const {
     settings,
     identity,
@@ -229,7 +236,7 @@
     membership,
     model,
     logger,
-  } = parts;
+  } = components;
   return new OrderExecutor({
     availabilityZone: identity.availabilityZone,
     clock,
@@ -239,8 +246,8 @@
     model,
     settings: settings.lease,
     logger,
-    readFleet: () => parts.config.state.fleet,
-    readDemand: () => parts.zones.readDemand(),
-    onOutcome: (result) => parts.metrics.roleChanges.inc({ result }),
+    readFleet: () => components.config.state.fleet,
+    readDemand: () => components.zones.readDemand(),
+    onOutcome: (result) => components.metrics.roleChanges.inc({ result }),
   });
 }
--- a/packages/heatherarch-daemon/config_reader.ts
+++ b/packages/heatherarch-daemon/config_reader.ts
@@ -122,18 +122,18 @@
     let nextPollMs = 0;
     while (!this.#stopped) {
       const nowMs = this.#options.clock.readMonotonicMs();
-      const relay = this.isRelay();
-      if (!relay && nowMs < nextPollMs) {
+      const isRelay = this.isRelay();
+      if (!isRelay && nowMs < nextPollMs) {
         await sleep(RELAY_CHECK_INTERVAL_MS);
         continue;
       }
       try {
-        const current = await this.#readLog(
-          relay ? this.#options.pollWaitMs : 0,
+        const isCurrent = await this.#readLog(
+          isRelay ? this.#options.pollWaitMs : 0,
         );
         this.#setPlatformUp(true);
-        if (current) nextPollMs = nowMs + FOLLOWER_POLL_INTERVAL_MS;
-        if (relay) await this.#writeSnapshotWhenDue();
+        if (isCurrent) nextPollMs = nowMs + FOLLOWER_POLL_INTERVAL_MS;
+        if (isRelay) await this.#writeSnapshotWhenDue();
       } catch (error) {
         if (!(error instanceof LogUnavailableError)) throw error;
         this.#setPlatformUp(false);
--- a/packages/heatherarch-daemon/control_task.ts
+++ b/packages/heatherarch-daemon/control_task.ts
@@ -131,11 +131,11 @@
     isRead: (state: ControlState) => boolean,
     timeoutMs: number,
   ): Promise<boolean> {
-    const until = this.#options.clock.readMonotonicMs() + timeoutMs;
+    const deadlineMs = this.#options.clock.readMonotonicMs() + timeoutMs;
     let nextAppendMs = -Infinity;
     while (!isRead(this.state)) {
       const nowMs = this.#options.clock.readMonotonicMs();
-      if (nowMs >= until || this.#stopped) return false;
+      if (nowMs >= deadlineMs || this.#stopped) return false;
       if (nowMs >= nextAppendMs) {
         // Repeated with the same id: the fold drops the second one.
         nextAppendMs = nowMs + timeoutMs / 3;
@@ -222,12 +222,15 @@
         );
       }
     }
-    const has = this.machine.hasAuthority(nowMs);
-    if (has === this.#hadAuthority) return;
-    this.#hadAuthority = has;
-    this.#options.logger.info(has ? "authority gained" : "authority lost", {
-      fencing: this.machine.fencing,
-    });
+    const hasAuthority = this.machine.hasAuthority(nowMs);
+    if (hasAuthority === this.#hadAuthority) return;
+    this.#hadAuthority = hasAuthority;
+    this.#options.logger.info(
+      hasAuthority ? "authority gained" : "authority lost",
+      {
+        fencing: this.machine.fencing,
+      },
+    );
   }
 
   async #writeSnapshotWhenDue(): Promise<void> {
--- a/packages/heatherarch-daemon/entry_vm.ts
+++ b/packages/heatherarch-daemon/entry_vm.ts
@@ -96,7 +96,7 @@
       watcher,
       metrics,
     } = this.#components;
-    const { logger, gateway, operatorServer: operators } = this.#components;
+    const { logger, gateway, operatorServer } = this.#components;
     this.#unregisterViolationListener = registerViolationListener((error) =>
       logger.error(INVARIANT_VIOLATED, {
         invariant: error.invariant,
@@ -126,10 +126,10 @@
     void this.#superviseComponent("executor", executor.run());
     watcher.start();
     void this.#pollVmList();
-    const { operators: operatorsAt, callers } = settings.listen;
-    await operators.listen(
-      splitAddress(operatorsAt).host,
-      splitAddress(operatorsAt).port,
+    const { operators: operatorsAddress, callers } = settings.listen;
+    await operatorServer.listen(
+      splitAddress(operatorsAddress).host,
+      splitAddress(operatorsAddress).port,
     );
     await gateway.listen(
       splitAddress(callers).host,
@@ -141,7 +141,7 @@
     metrics.members.set(1);
     logger.info("started", {
       callers,
-      operators: operatorsAt,
+      operators: operatorsAddress,
       mesh: settings.listen.mesh,
     });
   }
@@ -170,8 +170,8 @@
     await sleep(settings.shutdown.noticeMs);
     this.#rejectsRequests = true;
     const drained = await gateway.drain(settings.shutdown.drainTimeoutMs);
-    const until = performance.now() + FLUSH_TIMEOUT_MS;
-    while (executor.isBusy && performance.now() < until) await sleep(20);
+    const deadlineMs = performance.now() + FLUSH_TIMEOUT_MS;
+    while (executor.isBusy && performance.now() < deadlineMs) await sleep(20);
     await control.resign();
     await claims.flush(FLUSH_TIMEOUT_MS);
     for (const timer of this.#timers) clearInterval(timer);
@@ -219,29 +219,29 @@
       quarantineWatch: asFunction(buildQuarantineWatch).singleton(),
       executor: asFunction(buildOrderExecutor).singleton(),
       watcher: asFunction(buildTargetWatcher).singleton(),
-      heartbeatBuilder: asFunction((parts: Components) =>
-        this.#buildHeartbeatBuilder(parts)
+      heartbeatBuilder: asFunction((components: Components) =>
+        this.#buildHeartbeatBuilder(components)
       )
         .singleton(),
-      gateway: asFunction((parts: Components) =>
-        buildGateway(parts, () => this.#readRefusal())
+      gateway: asFunction((components: Components) =>
+        buildGateway(components, () => this.#readRefusal())
       ).singleton(),
-      operatorServer: asFunction((parts: Components) =>
-        this.#buildOperatorServer(parts)
+      operatorServer: asFunction((components: Components) =>
+        this.#buildOperatorServer(components)
       )
         .singleton(),
     });
   }
 
-  #buildHeartbeatBuilder(parts: Components): HeartbeatBuilder {
+  #buildHeartbeatBuilder(components: Components): HeartbeatBuilder {
     const { identity, membership, table, config, control, demand, clock } =
-      parts;
+      components;
     return new HeartbeatBuilder({
       vmId: identity.id,
       availabilityZone: identity.availabilityZone,
       membership,
       table,
-      subsetSize: parts.settings.targets.subsetSize,
+      subsetSize: components.settings.targets.subsetSize,
       isPlanner: (vmId) => control.isCandidate(vmId),
       readIntervalMs: () => this.#components.mesh.intervalMs,
       readProgress: () => ({
@@ -252,12 +252,12 @@
       }),
       readDemand: () => demand.read(clock.readMonotonicMs()),
       listCrashReports: (cursor) =>
-        parts.quarantine.listReports(cursor, clock.readMonotonicMs()),
+        components.quarantine.listReports(cursor, clock.readMonotonicMs()),
     });
   }
 
-  #buildOperatorServer(parts: Components): OperatorServer {
-    const { settings, config, table, metrics } = parts;
+  #buildOperatorServer(components: Components): OperatorServer {
+    const { settings, config, table, metrics } = components;
     const tls = settings.listen.operatorsTls;
     return new OperatorServer({
       settings,
@@ -306,18 +306,19 @@
     this.#servingFromMs ??= nowMs;
     // With every target out of reach the VM is as good as any other after a while.
     if (nowMs - this.#servingFromMs > DISCOVERY_GRACE_MS) return undefined;
-    const unseen = this.#components.config.state.fleet?.services.find((
+    const unseenService = this.#components.config.state.fleet?.services.find((
       service,
     ) => table.listCandidates(service.name).length === 0);
-    return unseen && `no target of ${unseen.name} has been seen yet`;
+    return unseenService &&
+      `no target of ${unseenService.name} has been seen yet`;
   }
 
   /** One model serves all model services: the first one's speeds are its start. */
   #applySpeeds(): void {
     const { config, model } = this.#components;
     const services = config.state.fleet?.services ?? [];
-    const first = services.find((service) => service.kind === "model");
-    if (first?.kind === "model") model.setSpeeds(first.speeds);
+    const modelService = services.find((service) => service.kind === "model");
+    if (modelService?.kind === "model") model.setSpeeds(modelService.speeds);
   }
 
   #handleHeartbeat(heartbeat: Heartbeat, from: LinkIdentity): void {
@@ -379,14 +380,14 @@
 
   /** A part that ends with an error takes the process down; the platform starts a new one. */
   async #superviseComponent(
-    part: string,
-    running: Promise<void>,
+    component: string,
+    task: Promise<void>,
   ): Promise<void> {
     try {
-      await running;
+      await task;
     } catch (error) {
       this.#components.logger.error("part failed", {
-        part,
+        part: component,
         error: String(error),
       });
       process.exitCode = 1;
--- a/packages/heatherarch-daemon/gateway_builder.ts
+++ b/packages/heatherarch-daemon/gateway_builder.ts
@@ -20,46 +20,46 @@
 
 /** Builds the gateway; `readRefusal` tells why this VM takes no requests now, if it doesn't. */
 export function buildGateway(
-  parts: Components,
+  components: Components,
   readRefusal: () => ServeError | undefined,
 ): Gateway {
-  const tls = parts.settings.listen.callersTls;
+  const tls = components.settings.listen.callersTls;
   return new Gateway(
-    buildGatewayHost(parts, readRefusal),
+    buildGatewayHost(components, readRefusal),
     tls === undefined ? {} : { tls: readCertificate(tls) },
   );
 }
 
 function buildGatewayHost(
-  parts: Components,
+  components: Components,
   readRefusal: () => ServeError | undefined,
 ): GatewayHost {
-  const { settings, clock, model, metrics } = parts;
+  const { settings, clock, model, metrics } = components;
   return {
-    vmId: parts.identity.id,
+    vmId: components.identity.id,
     clock,
     limits: settings.requests,
     claimLimits: settings.claims,
-    targets: parts.table,
-    tracker: parts.tracker,
+    targets: components.table,
+    tracker: components.tracker,
     model,
-    demand: parts.demand,
+    demand: components.demand,
     retries: new RetryBudget({ share: settings.requests.retryShare }),
     lookups: new LookupReserve({
       share: settings.requests.lookupReserveShare,
     }),
-    claims: parts.claims,
-    requests: parts.quarantineWatch,
+    claims: components.claims,
+    requests: components.quarantineWatch,
     events: metrics,
     readRefusal,
-    readFleet: () => parts.config.state.fleet,
-    findProfile: (name) => parts.config.state.profiles[name]?.profile,
+    readFleet: () => components.config.state.fleet,
+    findProfile: (name) => components.config.state.profiles[name]?.profile,
     getRouter: createRouterCache(model),
-    countVms: () => parts.zones.countVms(),
+    countVms: () => components.zones.countVms(),
     readRemoteStream: async (vmId, requestId, from) => {
       const unknown = { texts: [], state: "unknown" as const, model: "" };
       const body = { requestId, from };
-      const call = parts.mesh.call(
+      const call = components.mesh.call(
         vmId,
         "stream.read",
         body,
--- a/packages/heatherarch-daemon/heartbeat_builder.ts
+++ b/packages/heatherarch-daemon/heartbeat_builder.ts
@@ -102,12 +102,12 @@
 
   /** Each VM passes on what is new to it, so that it reaches all over any links. */
   #buildCrashes(progress: LinkProgress): Partial<Heartbeat> {
-    const { reports: notes, cursor } = this.#options.listCrashReports(
+    const { reports, cursor } = this.#options.listCrashReports(
       progress.crashCursor,
     );
     progress.crashCursor = cursor;
-    if (notes.length === 0) return {};
-    return { crashes: notes.map((note): CrashMessage => [...note]) };
+    if (reports.length === 0) return {};
+    return { crashes: reports.map((report): CrashMessage => [...report]) };
   }
 
   /** Own zone: what this VM watches itself. Other zones: all that is known of this zone. */
@@ -175,14 +175,14 @@
     };
   }
 
-  #summarizeZone(own: number): [number, number] {
+  #summarizeZone(ownOffset: number): [number, number] {
     const { membership, availabilityZone } = this.#options;
     const live = membership.listMembers().filter((member) =>
       member.status === "live" && member.availabilityZone === availabilityZone
     );
     const lowest = live.reduce(
       (low, member) => Math.min(low, member.configOffset),
-      own,
+      ownOffset,
     );
     return [lowest, live.length + 1];
   }
--- a/packages/heatherarch-daemon/operator_server.ts
+++ b/packages/heatherarch-daemon/operator_server.ts
@@ -110,11 +110,11 @@
         ctx.body = { status: "ok" };
         return;
       case "/readyz": {
-        const unready = this.#host.readUnreadyReason();
-        ctx.status = unready === undefined ? 200 : 503;
+        const unreadyReason = this.#host.readUnreadyReason();
+        ctx.status = unreadyReason === undefined ? 200 : 503;
         ctx.body = {
-          ready: unready === undefined,
-          ...(unready ? { reason: unready } : {}),
+          ready: unreadyReason === undefined,
+          ...(unreadyReason ? { reason: unreadyReason } : {}),
         };
         return;
       }
@@ -176,21 +176,21 @@
     const { baseRevision, id = createId("pub") } = body.data;
     const change = parseChange(body.data.change);
     try {
-      const answer = await this.#host.publish({
+      const result = await this.#host.publish({
         id,
         author,
         baseRevision,
         change,
       });
-      if (answer.verdict === "rejected") {
-        throw new ServeError("conflict", answer.reason ?? "");
+      if (result.verdict === "rejected") {
+        throw new ServeError("conflict", result.reason ?? "");
       }
-      return { id, ...answer };
+      return { id, ...result };
     } catch (thrown) {
       const error = toServeError(thrown);
-      const leaving = change.kind === "directTarget" &&
+      const isLeaving = change.kind === "directTarget" &&
         LEAVING_DIRECTIVES.includes(change.directive);
-      if (error.kind !== "platformUnavailable" || !leaving) throw error;
+      if (error.kind !== "platformUnavailable" || !isLeaving) throw error;
       // A drain also works during an outage: the word spreads from VM to VM.
       this.#host.markLeaving(change.target);
       return { id, verdict: "spreading", offset: -1, reason: error.message };
@@ -215,17 +215,17 @@
 }
 
 async function readJson(ctx: Koa.Context): Promise<unknown> {
-  const parts: Buffer[] = [];
+  const chunks: Buffer[] = [];
   let size = 0;
-  for await (const part of ctx.req) {
-    size += (part as Buffer).length;
+  for await (const chunk of ctx.req) {
+    size += (chunk as Buffer).length;
     if (size > MAX_BODY_BYTES) {
       throw new ServeError("payloadTooLarge", "the body is too large");
     }
-    parts.push(part as Buffer);
+    chunks.push(chunk as Buffer);
   }
   try {
-    return JSON.parse(Buffer.concat(parts).toString("utf8"));
+    return JSON.parse(Buffer.concat(chunks).toString("utf8"));
   } catch (error) {
     throw new ServeError(
       "badRequest",
--- a/packages/heatherarch-daemon/order_executor.ts
+++ b/packages/heatherarch-daemon/order_executor.ts
@@ -126,8 +126,8 @@
 
   async #step(): Promise<void> {
     const { control } = this.#options;
-    const [open] = Object.values(control.state.open);
-    if (open !== undefined) return await this.#resolveOpenIntent(open);
+    const [intent] = Object.values(control.state.open);
+    if (intent !== undefined) return await this.#resolveOpenIntent(intent);
     const next = await this.#findOutdated() ?? this.#planRoleChange();
     if (next !== undefined) await this.#execute(next.target, next.order);
   }
@@ -148,10 +148,10 @@
       return;
     }
     if (state.busyWithOrder) return;
-    const done = isOrderFulfilled(state, intent.order);
+    const isFulfilled = isOrderFulfilled(state, intent.order);
     await this.#conclude(
       intent,
-      done ? "done" : "abandoned",
+      isFulfilled ? "done" : "abandoned",
       "resolved by the state of the engine",
     );
   }
@@ -195,7 +195,7 @@
 
   #listEngines(fleet: Fleet): PlannedEngine[] {
     const { availabilityZone, table } = this.#options;
-    const models = new Set(
+    const modelServices = new Set(
       fleet.services.filter((service) => service.kind === "model").map((
         service,
       ) => service.name),
@@ -204,7 +204,7 @@
       .filter((status) =>
         status.availabilityZone === availabilityZone && status.usable
       )
-      .filter((status) => models.has(status.service))
+      .filter((status) => modelServices.has(status.service))
       .map((status) => ({
         id: status.id,
         role: status.role,
@@ -216,7 +216,7 @@
   async #execute(target: Target, order: EngineOrder): Promise<void> {
     const { control, logger } = this.#options;
     const id = createId("ord");
-    const announced = await control.appendAndRead(
+    const isAnnounced = await control.appendAndRead(
       {
         type: "intent",
         format: CONTROL_FORMAT,
@@ -228,19 +228,19 @@
       (state) => state.open[target.id]?.intentId === id,
       APPEND_TIMEOUT_MS,
     );
-    if (!announced) return;
+    if (!isAnnounced) return;
     const intent = control.state.open[target.id];
     const announcedAtMs = this.#options.clock.readMonotonicMs();
     logger.info("order announced", {
       target: target.id,
       order: describeOrder(order),
     });
-    const problem = await this.#drain(target, intent);
-    if (problem !== "") {
-      return await this.#conclude(intent, "abandoned", problem);
+    const drainFailure = await this.#drain(target, intent);
+    if (drainFailure !== "") {
+      return await this.#conclude(intent, "abandoned", drainFailure);
     }
-    const answer = await this.#sendOrder(target, intent);
-    if (answer !== "") return await this.#conclude(intent, "failed", answer);
+    const failure = await this.#sendOrder(target, intent);
+    if (failure !== "") return await this.#conclude(intent, "failed", failure);
     await this.#awaitOutcome(target, intent);
     if (order.kind !== "setRole") return;
     this.#planner?.recordChange?.(
@@ -270,9 +270,9 @@
         return "target is leaving";
       }
       const state = await this.#readState(target);
-      const idle = state !== undefined && state.running + state.waiting === 0;
-      const own = this.#findStatus(target.id).outstandingHere;
-      idleReads = idle && own === 0 ? idleReads + 1 : 0;
+      const isIdle = state !== undefined && state.running + state.waiting === 0;
+      const outstanding = this.#findStatus(target.id).outstandingHere;
+      idleReads = isIdle && outstanding === 0 ? idleReads + 1 : 0;
       await sleep(IDLE_READ_INTERVAL_MS);
     }
     return "";
@@ -290,8 +290,8 @@
   async #sendOrder(target: Target, intent: OpenIntent): Promise<string> {
     const { control, table } = this.#options;
     const engine = table.getEngine(target);
-    const before = await this.#readState(target);
-    if (before === undefined || before.busyWithOrder) {
+    const state = await this.#readState(target);
+    if (state === undefined || state.busyWithOrder) {
       return "engine not ready for an order";
     }
     const { claimOffset } = intent;
@@ -328,8 +328,8 @@
       await sleep(POLL_INTERVAL_MS);
       const state = await this.#readState(target);
       if (state === undefined || state.busyWithOrder) continue;
-      const done = isOrderFulfilled(state, intent.order);
-      return await this.#conclude(intent, done ? "done" : "failed", "");
+      const isFulfilled = isOrderFulfilled(state, intent.order);
+      return await this.#conclude(intent, isFulfilled ? "done" : "failed", "");
     }
     if (control.hasAuthority()) {
       await this.#conclude(intent, "failed", "no outcome in time");
@@ -343,7 +343,7 @@
   ): Promise<void> {
     const { control, logger, onOutcome: noteOutcome } = this.#options;
     const { intentId, target } = intent;
-    const read = await control.appendAndRead(
+    const isRead = await control.appendAndRead(
       {
         type: "outcome",
         format: CONTROL_FORMAT,
@@ -356,7 +356,7 @@
       (state) => state.open[target]?.intentId !== intentId,
       APPEND_TIMEOUT_MS,
     );
-    if (!read) return;
+    if (!isRead) return;
     noteOutcome(result);
     logger.info("order concluded", {
       target,
--- a/packages/heatherarch-daemon/publisher.ts
+++ b/packages/heatherarch-daemon/publisher.ts
@@ -22,10 +22,10 @@
  * does not answer.
  */
 export async function publishChange(
-  parts: Components,
+  components: Components,
   request: PublishRequest,
 ): Promise<PublishResult> {
-  const { config, log, clock } = parts;
+  const { config, log, clock } = components;
   const record = {
     type: "change" as const,
     format: CONFIG_FORMAT,
--- a/packages/heatherarch-daemon/status_report.ts
+++ b/packages/heatherarch-daemon/status_report.ts
@@ -6,7 +6,7 @@
 import type { Components } from "./components.ts";
 
 /** What `GET /v1/status` answers. */
-export function buildStatus(parts: Components, leaving: boolean): unknown {
+export function buildStatus(components: Components, leaving: boolean): unknown {
   const {
     identity,
     config,
@@ -18,7 +18,7 @@
     gateway,
     mesh,
     zones,
-  } = parts;
+  } = components;
   const nowMs = clock.readMonotonicMs();
   const { claim } = control.state;
   return {
--- a/packages/heatherarch-daemon/target_table.ts
+++ b/packages/heatherarch-daemon/target_table.ts
@@ -134,8 +134,8 @@
     const ejected: Candidate[] = [];
     for (const target of this.#targetsByService.get(service) ?? []) {
       if (this.#findExclusionReason(target, nowMs) !== "") continue;
-      const out = (this.#ejections.get(target.id)?.untilMs ?? 0) > nowMs;
-      (out ? ejected : usable).push(this.#buildCandidate(target));
+      const isEjected = (this.#ejections.get(target.id)?.untilMs ?? 0) > nowMs;
+      (isEjected ? ejected : usable).push(this.#buildCandidate(target));
     }
     return usable.length > 0 ? usable : ejected;
   }
@@ -191,12 +191,12 @@
 
   noteFailure(id: string): void {
     const failures = (this.#ejections.get(id)?.failures ?? 0) + 1;
-    const ms = Math.min(
+    const ejectionMs = Math.min(
       MAX_EJECTION_MS,
       INITIAL_EJECTION_MS * 2 ** (failures - 1),
     );
     this.#ejections.set(id, {
-      untilMs: this.#options.clock.readMonotonicMs() + ms,
+      untilMs: this.#options.clock.readMonotonicMs() + ejectionMs,
       failures,
     });
   }
@@ -206,10 +206,10 @@
   }
 
   /** Takes in a report of a target that this VM or a peer watches. */
-  recordReport(row: ReportRow, from: string): void {
+  recordReport(row: ReportRow, watcher: string): void {
     const [id, role, flags, running, waiting, pendingPrefillTokens] = row;
     const known = this.#reports.get(id);
-    const same = known !== undefined && isSameRow(buildRow(id, known), row);
+    const isSame = known !== undefined && isSameRow(buildRow(id, known), row);
     this.#reports.set(id, {
       role: ENGINE_ROLES[role] ?? "mixed",
       busyWithOrder: (flags & FLAG_BUSY) !== 0,
@@ -219,30 +219,32 @@
       waiting,
       pendingPrefillTokens,
       atMs: this.#options.clock.readMonotonicMs(),
-      watcher: from,
-      version: same ? known.version : ++this.#lastVersion,
+      watcher,
+      version: isSame ? known.version : ++this.#lastVersion,
     });
   }
 
   /** A watcher is alive: what it reported and has not changed since still holds. */
-  refreshReports(from: string): void {
+  refreshReports(watcher: string): void {
     const atMs = this.#options.clock.readMonotonicMs();
     for (const [id, report] of this.#reports) {
-      if (report.watcher === from) this.#reports.set(id, { ...report, atMs });
+      if (report.watcher === watcher) {
+        this.#reports.set(id, { ...report, atMs });
+      }
     }
   }
 
   /** Rows that changed after `version`, of targets that `picks` says yes to. */
   listRowsSince(
     version: number,
-    picks: (target: Target, report: TargetReport) => boolean,
+    isIncluded: (target: Target, report: TargetReport) => boolean,
   ): { rows: ReportRow[]; version: number } {
     const rows: ReportRow[] = [];
     for (const [id, report] of this.#reports) {
       const target = this.#targets.get(id);
       if (
         report.version <= version || target === undefined ||
-        !picks(target, report)
+        !isIncluded(target, report)
       ) continue;
       rows.push(buildRow(id, report));
     }
--- a/packages/heatherarch-daemon/target_watcher.ts
+++ b/packages/heatherarch-daemon/target_watcher.ts
@@ -136,14 +136,14 @@
     const state = await table.getEngine(target).readState({ timeoutMs });
     const flags = buildFlags({ ...state, unreachable: false });
     const { running, waiting } = state;
-    const pending = Math.round(state.pendingPrefillTokens);
+    const pendingPrefillTokens = Math.round(state.pendingPrefillTokens);
     return [
       target.id,
       ENGINE_ROLES.indexOf(state.role),
       flags,
       running,
       waiting,
-      pending,
+      pendingPrefillTokens,
     ];
   }
 }
--- a/packages/heatherarch-daemon/tests/unit/claim_service_test.ts
+++ b/packages/heatherarch-daemon/tests/unit/claim_service_test.ts
@@ -10,20 +10,20 @@
 /** A log in memory whose time is the clock's. */
 function buildLog(clock: ManualClock): LogPort {
   const streams = new Map<string, LogRecord[]>();
-  const open = (stream: string): LogRecord[] => {
+  const getRecords = (stream: string): LogRecord[] => {
     const records = streams.get(stream) ?? [];
     streams.set(stream, records);
     return records;
   };
   return {
     append: (stream, data) => {
-      const records = open(stream);
+      const records = getRecords(stream);
       const offset = records.length;
       records.push({ offset, appendedAtMs: clock.readWallMs(), data });
       return Promise.resolve(offset);
     },
     read: (stream, from) => {
-      const records = open(stream);
+      const records = getRecords(stream);
       return Promise.resolve({
         records: records.slice(from),
         first: 0,
@@ -71,12 +71,12 @@
   const request = { key: "k", madeAtMs: START_MS, fingerprint: "f" };
   const first = await buildService("vm-a", log, clock).claim(request);
   assert.equal(first.kind, "granted");
-  const other = buildService("vm-b", log, clock);
-  const soon = await other.claim(request);
-  assert.ok(soon.kind === "refused");
-  assert.equal(soon.error.kind, "keyInProgress");
+  const service = buildService("vm-b", log, clock);
+  const fresh = await service.claim(request);
+  assert.ok(fresh.kind === "refused");
+  assert.equal(fresh.error.kind, "keyInProgress");
   clock.advance(6000);
-  const late = await other.claim(request);
-  assert.ok(late.kind === "refused");
-  assert.equal(late.error.kind, "outcomeUnknown");
+  const old = await service.claim(request);
+  assert.ok(old.kind === "refused");
+  assert.equal(old.error.kind, "outcomeUnknown");
 });
--- a/packages/heatherarch-daemon/tests/unit/order_executor_test.ts
+++ b/packages/heatherarch-daemon/tests/unit/order_executor_test.ts
@@ -137,7 +137,7 @@
 // A lease that lapsed and was claimed again during a slow read ended the process.
 test("an order announced under an earlier claim is given up, and the process goes on", async () => {
   const violations: string[] = [];
-  const undo = registerViolationListener(({ invariant }) =>
+  const unregister = registerViolationListener(({ invariant }) =>
     violations.push(invariant)
   );
   const lease = new LapsingLease();
@@ -149,7 +149,7 @@
     executor.stop();
     await running;
   } finally {
-    undo();
+    unregister();
   }
   assert.deepEqual(violations, []);
   assert.deepEqual(lease.orders, []);
--- a/packages/heatherarch-daemon/zone_view.ts
+++ b/packages/heatherarch-daemon/zone_view.ts
@@ -60,14 +60,14 @@
   readDemand(): Demand {
     const { clock, demand, membership } = this.#options;
     const nowMs = clock.readMonotonicMs();
-    const heard: Demand[] = [];
+    const peerDemands: Demand[] = [];
     for (const [id, entry] of this.#peerDemand) {
-      const live = membership.getMember(id)?.status === "live";
-      if (!live || nowMs - entry.atMs > DEMAND_MAX_AGE_MS) {
+      const isLive = membership.getMember(id)?.status === "live";
+      if (!isLive || nowMs - entry.atMs > DEMAND_MAX_AGE_MS) {
         this.#peerDemand.delete(id);
-      } else heard.push(entry.demand);
+      } else peerDemands.push(entry.demand);
     }
-    return sumDemand([demand.read(nowMs), ...heard]);
+    return sumDemand([demand.read(nowMs), ...peerDemands]);
   }
 
   /** Live VMs of all zones, this one included. */
