--- a/packages/heatherarch-daemon/target_table.ts
+++ b/packages/heatherarch-daemon/target_table.ts
@@ -225,12 +225,10 @@
   }
 
   /** A watcher is alive: what it reported and has not changed since still holds. */
-  refreshReports(watcher: string): void {
+  refreshReports(vmId: string): void {
     const atMs = this.#options.clock.readMonotonicMs();
     for (const [id, report] of this.#reports) {
-      if (report.watcher === watcher) {
-        this.#reports.set(id, { ...report, atMs });
-      }
+      if (report.watcher === vmId) this.#reports.set(id, { ...report, atMs });
     }
   }
 
