--- a/packages/heatherarch-daemon/claim_service.ts
+++ b/packages/heatherarch-daemon/claim_service.ts
@@ -1,6 +1,6 @@
 /**
- * At-most-once claims across the VMs of an availability zone: finds the owner of a key's
- * shard, asks it, and limits the permission that comes back.
+ * At-most-once claims across the VMs of an availability zone: sends a claim to the VM that owns the
+ * key's shard, and limits the time for which a granted claim is valid.
  *
  * @module
  */
@@ -67,15 +67,15 @@
 
 const CONCLUDE_RETRY_DELAY_MS = 500;
 const CONCLUDE_TIMEOUT_MS = 600_000;
-/** A claim without an outcome is called unknown, not in progress, after this long. */
+/** A claim without an outcome counts as in progress up to this age, and then as unknown. */
 const MAX_IN_PROGRESS_AGE_MS = 60_000;
 /**
- * A claim younger than this is in progress whatever is known of its VM: one that has just
- * started may not have been heard yet (links take up to some seconds under load).
+ * A claim younger than this counts as in progress even if its VM is not a known member. A VM that
+ * has just started may be unknown here, since links take up to some seconds to open under load.
  */
 const MEMBERSHIP_GRACE_MS = 5000;
 
-/** Claims for one VM, and the shards that it owns. */
+/** Makes the claims of one VM, and serves the shards that this VM owns. */
 export class ClaimService implements ClaimClient {
   readonly #options: ClaimServiceOptions;
   readonly #shards = new Map<number, ClaimShard>();
@@ -94,7 +94,7 @@
     );
   }
 
-  /** Outcomes that are not in the log yet. */
+  /** Number of outcomes that are not in the log yet. */
   get pendingOutcomes(): number {
     return this.#pendingOutcomes;
   }
@@ -115,7 +115,7 @@
     });
   }
 
-  /** Claims under an id that may have been used before: the fold grants it again. */
+  /** Claims with an id that may have been used before. The fold grants the same id again. */
   async #claimWithId(call: ClaimCall): Promise<ClaimAnswer> {
     const { clock, settings } = this.#options;
     const sentAtMs = clock.readMonotonicMs();
@@ -128,16 +128,16 @@
     if (verdict.ok) {
       return this.#buildAnswer(verdict.val as ClaimVerdict, call, isValid);
     }
-    // Never used: the key is given back as soon as the log answers.
+    // The claim is not used, so the key is released as soon as the log responds.
     void this.#concludeWithRetries({ claimId: call.claimId, key: call.key });
     const message =
-      `the key can't be confirmed, so the call was not run (${verdict.val})`;
+      `the key could not be claimed, so the call was not run (${verdict.val})`;
     return buildRefusal(
       new ServeError("platformUnavailable", message, { run: "no" }),
     );
   }
 
-  /** Waits until outcomes have reached the log. */
+  /** Waits until all outcomes are in the log, or until the timeout. */
   async flush(timeoutMs: number): Promise<void> {
     const deadlineMs = this.#options.clock.readMonotonicMs() + timeoutMs;
     while (
@@ -162,7 +162,7 @@
         );
       case "expired": {
         const message =
-          "the key's time lies outside the window in which keys are remembered";
+          "the key's time is outside the window in which keys are kept";
         return buildRefusal(new ServeError("keyExpired", message));
       }
     }
@@ -180,7 +180,7 @@
       return buildRefusal(new ServeError("keyInProgress", message));
     }
     const message =
-      "a call with this key was begun and its outcome is not known; " +
+      "a call with this key was started and its outcome is unknown; " +
       "it will not be run again";
     return buildRefusal(new ServeError("outcomeUnknown", message));
   }
@@ -205,7 +205,7 @@
       member.incarnation === holderIncarnation;
   }
 
-  /** The VM of this zone that owns the key's shard, by the membership as seen here. */
+  /** Returns the VM that owns the key's shard, according to this VM's view of the membership. */
   #findOwner(key: string): string {
     const { membership, availabilityZone, settings } = this.#options;
     const shard = computeShard(key, settings.shards);
@@ -216,7 +216,7 @@
     )[0];
   }
 
-  /** Asks the owner; the reason where no verdict could be had. */
+  /** Requests a verdict from the owner. Returns the error message if there is none. */
   async #requestVerdict(
     owner: string,
     call: ClaimCall,
@@ -250,6 +250,7 @@
     return true;
   }
 
+  /** Concludes or releases a claim, and retries until it is recorded or until the timeout. */
   async #concludeWithRetries(call: ConcludeCall): Promise<void> {
     const { clock, mesh, vmId } = this.#options;
     const deadlineMs = clock.readMonotonicMs() + CONCLUDE_TIMEOUT_MS;
--- a/packages/heatherarch-daemon/components.ts
+++ b/packages/heatherarch-daemon/components.ts
@@ -1,5 +1,5 @@
 /**
- * The parts of the process, and the builders of those that need nothing but other parts.
+ * Components of the process, and builders of those that depend only on other components.
  *
  * @module
  */
@@ -31,7 +31,7 @@
 import { TargetWatcher } from "./target_watcher.ts";
 import { ZoneView } from "./zone_view.ts";
 
-/** The parts of the process, as the container holds them. */
+/** Components of the process by their keys in the container. */
 export interface Components {
   readonly settings: ProcessSettings;
   readonly logger: Logger;
@@ -59,7 +59,7 @@
   readonly operatorServer: OperatorServer;
 }
 
-/** Reads a certificate and its key, in PEM. */
+/** Reads a certificate and its private key in PEM format. */
 export function readCertificate(
   tls: { certificateFile: string; privateKeyFile: string },
 ) {
@@ -69,7 +69,7 @@
   };
 }
 
-/** Builds the table of targets. */
+/** Builds the target table. */
 export function buildTargetTable(
   { identity, clock, tracker, settings }: Components,
 ): TargetTable {
@@ -94,7 +94,7 @@
   });
 }
 
-/** Builds the claims of idempotency keys. */
+/** Builds the service that claims idempotency keys. */
 export function buildClaimService(components: Components): ClaimService {
   const { identity, log, clock, membership, mesh, settings } = components;
   return new ClaimService({
@@ -110,7 +110,7 @@
   });
 }
 
-/** Builds the watcher of targets. */
+/** Builds the watcher that reads the state of targets. */
 export function buildTargetWatcher(components: Components): TargetWatcher {
   const { identity, clock, membership, table, settings, config } = components;
   return new TargetWatcher({
@@ -125,20 +125,20 @@
   });
 }
 
-/** Builds the view of the zone's demand and of other zones. */
+/** Builds the view of the zone's demand and of the other zones. */
 export function buildZoneView(components: Components): ZoneView {
   const { identity, clock, membership, demand } = components;
   const { availabilityZone } = identity;
   return new ZoneView({ availabilityZone, clock, membership, demand });
 }
 
-/** Builds what is known of requests that end targets. */
+/** Builds the quarantine of requests that crash targets. */
 export function buildQuarantine({ settings }: Components): RequestQuarantine {
   const { maxCrashes, holdSeconds } = settings.quarantine;
   return new RequestQuarantine({ maxCrashes, holdMs: holdSeconds * 1000 });
 }
 
-/** Builds the watch over requests, with a line in the log for each end of a target. */
+/** Builds the quarantine watch, which logs lost exchanges, crashes and changes of the quarantine. */
 export function buildQuarantineWatch(components: Components): QuarantineWatch {
   const { quarantine, clock, table, logger } = components;
   const crashDetector = new CrashDetector({
@@ -168,7 +168,7 @@
   return watch;
 }
 
-/** Builds the mesh of this VM. */
+/** Builds this VM's node of the mesh. */
 export function buildMesh(components: Components): MeshNode {
   const { settings, identity, clock, membership, metrics } = components;
   const { mesh, listen, network } = settings;
@@ -180,7 +180,7 @@
     clock,
     membership,
     translate: (address) => network.translate[address] ?? address,
-    // The builder is looked up late: it needs parts that need the mesh.
+    // Resolved on first use, since the heartbeat builder depends on components that need the mesh.
     buildHeartbeat: (link, peer) =>
       components.heartbeatBuilder.build(link, peer),
     onFault: (fault) => metrics.faults.inc({ kind: `mesh:${fault}` }),
@@ -194,7 +194,7 @@
   });
 }
 
-/** Builds the task that holds, or follows, the zone's lease. */
+/** Builds the task that holds or follows the zone's lease. */
 export function buildControlTask(components: Components): ControlTask {
   const { settings, identity, log, clock, membership, logger, table } =
     components;
@@ -217,7 +217,7 @@
         controlOffset: state.offset,
         targets: changing,
       });
-      // Renewals are no news to peers.
+      // Peers need no heartbeat for a lease renewal, which changes no targets.
       if (before.join(" ") !== changing.join(" ")) {
         components.mesh.sendHeartbeats();
       }
@@ -225,7 +225,7 @@
   });
 }
 
-/** Builds what gives orders to engines under the lease. */
+/** Builds the executor that sends orders to engines under the lease. */
 export function buildOrderExecutor(components: Components): OrderExecutor {
   const {
     settings,
--- a/packages/heatherarch-daemon/config_reader.ts
+++ b/packages/heatherarch-daemon/config_reader.ts
@@ -1,6 +1,7 @@
 /**
- * Keeps the configuration current: relays of each availability zone read the log, the others
- * follow their peers, and a VM without either asks whoever answers.
+ * Keeps the configuration current. In each availability zone a few relays follow the log. The other
+ * VMs fetch updates from peers whose heartbeats announce a newer offset. A VM that can't reach the
+ * log fetches from its most current peers.
  *
  * @module
  */
@@ -43,12 +44,13 @@
 ) => void;
 
 const RELAYS_PER_ZONE = 2;
-/** How often a VM that is no relay looks at the log itself. */
+/** Interval at which a VM that is not a relay reads the log itself. */
 const FOLLOWER_POLL_INTERVAL_MS = 5000;
 const PEER_CALL_TIMEOUT_MS = 1000;
 const RETRY_DELAY_MS = 200;
-/** Between a follower's looks at whether it has become a relay. */
+/** Interval at which a VM checks whether it has become a relay. */
 const RELAY_CHECK_INTERVAL_MS = 1000;
+/** Maximum number of records in one read. */
 const READ_PAGE = 500;
 
 const PEER_RESPONSE = z.union([
@@ -94,22 +96,22 @@
     return this.#view.state;
   }
 
-  /** Monotonic time at which the configuration was last known to be current. */
+  /** Monotonic time at which the configuration was last known to be current; -Infinity if never. */
   get currentAtMs(): number {
     return this.#currentAtMs;
   }
 
-  /** Whether the platform answered the last time it was asked. */
+  /** Whether the last read of the platform's log succeeded. */
   get isPlatformUp(): boolean {
     return this.#platformUp;
   }
 
-  /** Whether a configuration has been loaded from anywhere. */
+  /** Whether a configuration has been loaded from the log or a peer. */
   get isLoaded(): boolean {
     return this.state.offset >= 0 || this.#currentAtMs > -Infinity;
   }
 
-  /** Registers a listener and returns its undo. */
+  /** Registers a listener. Returns its removal. */
   registerListener(listener: ConfigListener): () => void {
     this.#listeners.add(listener);
     return () => {
@@ -117,7 +119,7 @@
     };
   }
 
-  /** Reads until stopped. */
+  /** Reads the log until stopped. */
   async run(): Promise<void> {
     let nextPollMs = 0;
     while (!this.#stopped) {
@@ -147,7 +149,7 @@
     this.#stopped = true;
   }
 
-  /** Reads the log up to its end now, whatever this VM's part is. */
+  /** Reads the log to its end at once, also on a VM that is not a relay. */
   async catchUp(): Promise<void> {
     while (!(await this.#readLog(0)));
     this.#setPlatformUp(true);
@@ -160,7 +162,7 @@
     return pickRendezvous("config-relay", live, RELAYS_PER_ZONE).includes(vmId);
   }
 
-  /** Reads one page; true where the end of the stream was reached. */
+  /** Reads one page. Returns whether the end of the stream was reached. */
   async #readLog(waitMs: number): Promise<boolean> {
     const from = this.state.offset + 1;
     const askedAtMs = this.#options.clock.readMonotonicMs();
@@ -182,7 +184,7 @@
     if (state !== undefined && this.#loadState(state)) return;
     await this.#fetchFromPeers();
     throw new LogUnavailableError(
-      "records were trimmed and no snapshot bridges them",
+      "records were trimmed and no snapshot covers the gap",
     );
   }
 
@@ -246,7 +248,7 @@
       const state = parseConfigState(answer.state);
       if (state !== undefined) this.#loadState(state);
     } catch {
-      // The peer is gone or talks nonsense; the next heartbeat or poll tries again.
+      // The peer is gone or sent an invalid response. The next heartbeat or poll retries.
     } finally {
       this.#fetching = false;
     }
@@ -262,7 +264,8 @@
     if (this.state.offset - this.#snapshotOffset < snapshotEveryRecords) {
       return;
     }
-    // One writer over all zones where they see each other; several do no harm.
+    // One VM across all zones writes the snapshot. Partitioned zones may write several, which is
+    // harmless.
     if (
       pickRendezvous("config-snapshot", membership.listLive(), 1)[0] !== vmId
     ) return;
--- a/packages/heatherarch-daemon/control_task.ts
+++ b/packages/heatherarch-daemon/control_task.ts
@@ -1,6 +1,6 @@
 /**
- * Reads the control stream of the availability zone, keeps the lease machine going, and lets
- * the executor act while this VM has authority.
+ * Reads the control stream of the availability zone, drives the lease state machine, and tells the
+ * executor whether this VM has authority.
  *
  * @module
  */
@@ -40,11 +40,12 @@
   readonly onStateChange: (state: ControlState) => void;
 }
 
-/** VMs of a zone that read its control stream and may claim its lease. */
+/** Number of VMs of a zone that read its control stream and may claim its lease. */
 const CANDIDATES_PER_ZONE = 3;
 const TICK_INTERVAL_MS = 100;
 const RETRY_DELAY_MS = 150;
 const CANDIDATE_CHECK_INTERVAL_MS = 300;
+/** Maximum number of records in one read. */
 const READ_PAGE = 500;
 
 /** The control stream of one availability zone, as one VM sees it. */
@@ -52,6 +53,7 @@
   readonly machine: LeaseStateMachine;
   readonly #options: ControlTaskOptions;
   readonly #stream: string;
+  /** Monotonic time at which the last read that reached the end of the stream was sent. */
   #readSentAtMs = -Infinity;
   #snapshotOffset = -1;
   #timer: NodeJS.Timeout | undefined;
@@ -76,12 +78,12 @@
     return this.machine.state;
   }
 
-  /** Whether an order may be given now. */
+  /** Whether an order may be sent now. */
   hasAuthority(): boolean {
     return this.machine.hasAuthority(this.#options.clock.readMonotonicMs());
   }
 
-  /** Reads and ticks until stopped. */
+  /** Reads the stream and drives the state machine until stopped. */
   async run(): Promise<void> {
     this.#timer = setInterval(() => this.#tick(), TICK_INTERVAL_MS);
     while (!this.#stopped) {
@@ -98,7 +100,7 @@
     }
   }
 
-  /** Gives the lease up and stops. The orders in progress must have been concluded. */
+  /** Releases the lease and stops. All orders must have been concluded before. */
   async resign(): Promise<void> {
     const actions = this.machine.resign();
     for (const action of actions) {
@@ -114,7 +116,10 @@
     clearInterval(this.#timer);
   }
 
-  /** Whether a VM reads the control stream, by default this one; a holder always does. */
+  /**
+   * Whether a VM, by default this one, reads the control stream. This VM always does while it holds
+   * the lease.
+   */
   isCandidate(vmId = this.#options.vmId): boolean {
     const { membership, availabilityZone } = this.#options;
     if (vmId === this.#options.vmId && this.machine.isHolder) return true;
@@ -123,8 +128,8 @@
   }
 
   /**
-   * Appends a record and waits until this VM has read it; false where that took too long.
-   * Nothing follows from an append that has not been read.
+   * Appends a record and waits until this VM has read it. Returns false after the timeout. The
+   * caller must not act on an append that has not been read.
    */
   async appendAndRead(
     record: ControlRecord,
@@ -137,7 +142,7 @@
       const nowMs = this.#options.clock.readMonotonicMs();
       if (nowMs >= deadlineMs || this.#stopped) return false;
       if (nowMs >= nextAppendMs) {
-        // Repeated with the same id: the fold drops the second one.
+        // A retry has the same id, so the fold drops a duplicate.
         nextAppendMs = nowMs + timeoutMs / 3;
         void this.#options.log.append(this.#stream, record).catch(() =>
           undefined
@@ -172,7 +177,9 @@
     const records = await readWholeStream(this.#options.log, this.#stream);
     const state = loadControlSnapshot(records);
     if (state === undefined) {
-      throw new LogUnavailableError("no snapshot of the control stream");
+      throw new LogUnavailableError(
+        "the control stream has a gap and no snapshot",
+      );
     }
     this.machine.loadState(state, this.#options.clock.readMonotonicMs());
     this.#snapshotOffset = state.offset;
@@ -201,6 +208,7 @@
     for (const wake of [...this.#waiters]) wake();
   }
 
+  /** Waits for the next state, at most one tick. */
   #waitForState(): Promise<void> {
     return new Promise((resolve) => {
       const wake = (): void => {
--- a/packages/heatherarch-daemon/entry_vm.ts
+++ b/packages/heatherarch-daemon/entry_vm.ts
@@ -1,5 +1,5 @@
 /**
- * One entry VM: builds all parts from its settings, starts them, and shuts them down
+ * One entry VM: builds all components from the settings, starts them, and shuts them down
  * gracefully.
  *
  * @module
@@ -59,10 +59,10 @@
 const REPORT_LAG_MS = 300;
 const METRICS_INTERVAL_MS = 1000;
 const FLUSH_TIMEOUT_MS = 5000;
-/** How long a VM waits for a first sight of targets before it calls itself ready. */
+/** A VM reports itself ready without a usable target of each service after this time. */
 const DISCOVERY_GRACE_MS = 5000;
 
-/** The process. */
+/** The process of one entry VM. */
 export class EntryVm {
   readonly #container: AwilixContainer<Components>;
   readonly #timers: NodeJS.Timeout[] = [];
@@ -70,7 +70,7 @@
   #leaving = false;
   #rejectsRequests = false;
   #stopping: Promise<void> | undefined;
-  /** Monotonic time from which there was a configuration to serve by. */
+  /** Monotonic time of the first readiness check with a usable configuration. */
   #servingFromMs: number | undefined;
 
   constructor(options: EntryVmOptions) {
@@ -84,7 +84,7 @@
     return this.#container.cradle;
   }
 
-  /** Starts all parts. */
+  /** Starts all components. */
   async start(): Promise<void> {
     const {
       settings,
@@ -146,7 +146,7 @@
     });
   }
 
-  /** Shuts down gracefully. A second call changes nothing. */
+  /** Shuts down gracefully. Further calls return the promise of the first one. */
   stop(): Promise<void> {
     this.#stopping ??= this.#stop();
     return this.#stopping;
@@ -296,7 +296,7 @@
     return undefined;
   }
 
-  /** Why the balancer should send nothing here. */
+  /** Returns why the load balancer should send no requests here; undefined if it should. */
   #readUnreadyReason(): string | undefined {
     if (this.#leaving) return "shutting down";
     const refusal = this.#readRefusal();
@@ -304,7 +304,7 @@
     const { table, clock } = this.#components;
     const nowMs = clock.readMonotonicMs();
     this.#servingFromMs ??= nowMs;
-    // With every target out of reach the VM is as good as any other after a while.
+    // If no target can be reached, this VM is no worse than the others after the grace period.
     if (nowMs - this.#servingFromMs > DISCOVERY_GRACE_MS) return undefined;
     const unseenService = this.#components.config.state.fleet?.services.find((
       service,
@@ -313,7 +313,7 @@
       `no target of ${unseenService.name} has been seen yet`;
   }
 
-  /** One model serves all model services: the first one's speeds are its start. */
+  /** One engine model is used for all model services. It starts from the speeds of the first one. */
   #applySpeeds(): void {
     const { config, model } = this.#components;
     const services = config.state.fleet?.services ?? [];
@@ -355,7 +355,7 @@
         membership.noteListed([...settings.mesh.peers, ...entries]);
         watcher.recordListing(vms);
       } catch {
-        // The list is a hint; membership goes on by what peers answer.
+        // The list is only a hint. Without it, membership relies on the peers that respond.
       }
       await sleep(settings.platform.vmListIntervalMs);
     }
@@ -378,7 +378,7 @@
     gateway.sweep();
   }
 
-  /** A part that ends with an error takes the process down; the platform starts a new one. */
+  /** Shuts the process down if a component's task fails. The platform then starts a new process. */
   async #superviseComponent(
     component: string,
     task: Promise<void>,
@@ -386,7 +386,7 @@
     try {
       await task;
     } catch (error) {
-      this.#components.logger.error("part failed", {
+      this.#components.logger.error("component failed", {
         part: component,
         error: String(error),
       });
--- a/packages/heatherarch-daemon/gateway_builder.ts
+++ b/packages/heatherarch-daemon/gateway_builder.ts
@@ -1,5 +1,5 @@
 /**
- * The gateway of the process, and what it needs of the other parts.
+ * Builds the gateway of the process from the other components.
  *
  * @module
  */
@@ -15,10 +15,10 @@
 import type { RoutingKind } from "heatherarch-settings";
 import { type Components, readCertificate } from "./components.ts";
 
-/** Longest wait for the stream of a request that another VM serves, milliseconds. */
+/** Timeout of a read from the stream of a request that another VM serves. */
 export const REMOTE_READ_TIMEOUT_MS = 3000;
 
-/** Builds the gateway; `readRefusal` tells why this VM takes no requests now, if it doesn't. */
+/** Builds the gateway. `readRefusal` returns the error if this VM accepts no requests now. */
 export function buildGateway(
   components: Components,
   readRefusal: () => ServeError | undefined,
@@ -70,7 +70,7 @@
   };
 }
 
-/** One router of each kind, created when it is first asked for. */
+/** Returns a lookup of routers that creates each kind on first use. */
 function createRouterCache(model: EngineModel): (kind: RoutingKind) => Router {
   const routers = new Map<RoutingKind, Router>();
   return (kind) => {
--- a/packages/heatherarch-daemon/heartbeat_builder.ts
+++ b/packages/heatherarch-daemon/heartbeat_builder.ts
@@ -1,6 +1,6 @@
 /**
- * What this VM tells each peer: progress, targets that are leaving or changing, and the load
- * rows that changed since the last heartbeat on that link.
+ * Builds the heartbeats to each peer. A heartbeat carries this VM's progress, the targets that are
+ * leaving or changing, and the report rows that changed since the last heartbeat on the link.
  *
  * @module
  */
@@ -24,7 +24,7 @@
   readonly membership: Membership;
   readonly table: TargetTable;
   readonly subsetSize: number;
-  /** Whether a peer may plan for the zone and so must know all of its targets. */
+  /** Whether a peer may plan roles for the zone, and therefore needs the reports of all targets. */
   readonly isPlanner: (vmId: string) => boolean;
   readonly readIntervalMs: () => number;
   readonly readProgress: () => {
@@ -33,10 +33,11 @@
     leaving: boolean;
   };
   readonly readDemand: () => Demand;
-  /** What is known of requests that end targets, from a cursor on. */
+  /** Lists the crash reports after a cursor. */
   readonly listCrashReports: (cursor: number | undefined) => CrashReportPage;
 }
 
+/** What has already been sent on a link. */
 interface LinkProgress {
   crashCursor: number | undefined;
   leavingVersion: number;
@@ -46,10 +47,10 @@
 
 type CrashMessage = NonNullable<Heartbeat["crashes"]>[number];
 
-/** A VM of another zone is told of this many times fewer targets. */
+/** The subset for a VM of another zone is smaller by this factor. */
 const CROSS_ZONE_SUBSET_DIVISOR = 8;
 
-/** Targets that one peer is told of, as long as the zone's targets are these. */
+/** Targets whose reports are sent to one peer. Valid until the zone's targets change. */
 interface Subset {
   readonly targets: readonly Target[];
   readonly ids: ReadonlySet<string>;
@@ -100,7 +101,7 @@
     return { leavingTargets: leaving.listMarks() };
   }
 
-  /** Each VM passes on what is new to it, so that it reaches all over any links. */
+  /** Every VM forwards the crash reports that are new to it, so they reach all VMs over any link. */
   #buildCrashes(progress: LinkProgress): Partial<Heartbeat> {
     const { reports, cursor } = this.#options.listCrashReports(
       progress.crashCursor,
@@ -110,7 +111,10 @@
     return { crashes: reports.map((report): CrashMessage => [...report]) };
   }
 
-  /** Own zone: what this VM watches itself. Other zones: all that is known of this zone. */
+  /**
+   * Sends a peer of the own zone the reports of the targets that this VM watches itself, and a peer
+   * of another zone the reports of all targets of the own zone.
+   */
   #buildReports(
     progress: LinkProgress,
     peer: LinkIdentity,
@@ -132,8 +136,8 @@
   }
 
   /**
-   * The same for all that tell the peer, so that each target of its subset reaches it. Empty
-   * means all.
+   * Picks the ids of the targets whose reports are sent to a peer; undefined means all. All VMs of
+   * the zone pick the same subset for a peer, so the reports of each of its targets reach the peer.
    */
   #pickSubset(peer: LinkIdentity): ReadonlySet<string> | undefined {
     const { table, subsetSize, isPlanner, availabilityZone } = this.#options;
--- a/packages/heatherarch-daemon/logger.ts
+++ b/packages/heatherarch-daemon/logger.ts
@@ -1,5 +1,5 @@
 /**
- * JSON logs: lines for changes of state only.
+ * JSON logs. Only changes of state are logged.
  *
  * @module
  */
@@ -8,10 +8,10 @@
 /** Writes log lines. */
 export type Logger = Pick<winston.Logger, "info" | "warn" | "error" | "debug">;
 
-/** Message of the line that a violated invariant leaves. */
+/** Message of the log line for a violated invariant. */
 export const INVARIANT_VIOLATED = "invariant violated";
 
-/** Creates the process's logger, which writes JSON lines to standard error. */
+/** Creates the logger of the process, which writes JSON lines to standard error. */
 export function createLogger(options: { level: string; vm: string }): Logger {
   return winston.createLogger({
     level: options.level,
--- a/packages/heatherarch-daemon/metrics.ts
+++ b/packages/heatherarch-daemon/metrics.ts
@@ -1,5 +1,5 @@
 /**
- * Metrics of one process.
+ * Prometheus metrics of one process.
  *
  * @module
  */
@@ -42,15 +42,15 @@
   1,
 ];
 
-/** Finer looks at the event loop cost more than they tell. */
+/** Sampling interval of the event loop delay. A shorter one costs more than it reveals. */
 const EVENT_LOOP_PRECISION_MS = 200;
 
-/** All metrics. */
+/** Registry of all metrics of the process. */
 export class Metrics implements GatewayEvents {
   readonly registry = new Registry();
   readonly requests = this.#createCounter(
     "requests_total",
-    "Requests by how they ended",
+    "Requests by outcome",
     [
       "service",
       "profile",
@@ -59,46 +59,46 @@
   );
   readonly goodput = this.#createCounter(
     "goodput_requests_total",
-    "Whole answers within their deadline",
+    "Complete answers within their deadline",
     ["service", "profile"],
   );
   readonly goodputTokens = this.#createCounter(
     "goodput_tokens_total",
-    "Tokens of whole answers within their deadline",
+    "Tokens of complete answers within their deadline",
     ["service"],
   );
   readonly retries = this.#createCounter(
     "retries_total",
-    "Tries after the first, nothing delivered yet",
+    "Retries before any part of the answer was delivered",
     [
       "reason",
     ],
   );
   readonly continuations = this.#createCounter(
     "continuations_total",
-    "Answers continued on another try after some tokens",
+    "Answers continued by another try after some tokens",
     ["reason"],
   );
   readonly hedges = this.#createCounter(
     "hedges_total",
-    "Second tries sent early",
+    "Hedged tries",
     [],
   );
   readonly roleChanges = this.#createCounter(
     "role_changes_total",
-    "Role changes concluded under this VM's lease",
+    "Role changes concluded under the lease of this VM",
     ["result"],
   );
   readonly violations = this.#createCounter(
     "invariant_violations_total",
-    "Broken invariants",
+    "Violated invariants",
     [
       "invariant",
     ],
   );
   readonly faults = this.#createCounter(
     "faults_total",
-    "Faults met and handled",
+    "Faults handled",
     ["kind"],
   );
   readonly firstToken = this.#createHistogram(
@@ -117,7 +117,7 @@
   );
   readonly duration = this.#createHistogram(
     "request_seconds",
-    "Time to the whole answer",
+    "Time to the complete answer",
     LATENCY_BUCKETS_SECONDS,
     [
       "service",
@@ -133,7 +133,7 @@
   );
   readonly leaseHeld = this.#createGauge(
     "lease_held",
-    "1 while this VM may give orders",
+    "1 while this VM may send orders",
   );
   readonly inFlight = this.#createGauge(
     "requests_in_flight",
--- a/packages/heatherarch-daemon/mod.ts
+++ b/packages/heatherarch-daemon/mod.ts
@@ -1,5 +1,5 @@
 /**
- * The entry VM process.
+ * The process of an entry VM.
  *
  * @module
  */
--- a/packages/heatherarch-daemon/operator_server.ts
+++ b/packages/heatherarch-daemon/operator_server.ts
@@ -1,5 +1,5 @@
 /**
- * The operators' HTTP interface: health, metrics, status, publications and the audit trail.
+ * HTTP interface for operators: health, metrics, status, publications and the audit trail.
  *
  * @module
  */
@@ -25,30 +25,30 @@
 } from "heatherarch-settings";
 import { z } from "zod";
 
-/** What the operators' interface needs from the process. */
+/** Functions of the process that the operator server uses. */
 export interface OperatorHost {
   readonly settings: ProcessSettings;
   readonly readConfig: () => ConfigState;
   readonly readStatus: () => unknown;
   readonly readMetrics: () => Promise<string>;
-  /** Why the balancer should send nothing here; undefined where it should. */
+  /** Returns why the load balancer should send no requests here; undefined if it should. */
   readonly readUnreadyReason: () => string | undefined;
-  /** Publishes a change; resolves with the verdict that the fold gave. */
+  /** Publishes a change. Resolves with the fold's verdict. */
   readonly publish: (request: PublishRequest) => Promise<PublishResult>;
-  /** Takes an operator's direct word that a target is leaving. */
+  /** Marks a target as leaving on this VM and its peers, without the log. */
   readonly markLeaving: (target: string) => void;
 }
 
-/** A publication. */
+/** Request to publish a configuration change. */
 export interface PublishRequest {
-  /** Idempotency id: the same one has one effect. */
+  /** Idempotency id: a repeated id has no further effect. */
   readonly id: string;
   readonly author: string;
   readonly baseRevision: number;
   readonly change: ConfigChange;
 }
 
-/** What became of a publication. */
+/** Result of a publication. */
 export interface PublishResult {
   readonly verdict: "accepted" | "rejected";
   readonly offset: number;
@@ -63,7 +63,7 @@
 const MAX_BODY_BYTES = 8 * 1024 * 1024;
 const LEAVING_DIRECTIVES = ["drain", "replace", "withdraw"];
 
-/** Serves operators, the balancer and the metrics collector. */
+/** Serves operators, the load balancer and the metrics collector. */
 export class OperatorServer {
   readonly #host: OperatorHost;
   readonly #server: Server;
@@ -150,7 +150,7 @@
     return { offset, fleetRevision, fleet, profiles, directives };
   }
 
-  /** The operator's name; without configured operators the caller names itself. */
+  /** Returns the operator's name. Without configured operators, the client states its own name. */
   #authenticate(ctx: Koa.Context): string {
     const { operators } = this.#host.settings;
     if (operators.length === 0) return ctx.get("x-operator") || "local";
@@ -191,7 +191,7 @@
       const isLeaving = change.kind === "directTarget" &&
         LEAVING_DIRECTIVES.includes(change.directive);
       if (error.kind !== "platformUnavailable" || !isLeaving) throw error;
-      // A drain also works during an outage: the word spreads from VM to VM.
+      // A drain also works during a platform outage: the leaving mark spreads from VM to VM.
       this.#host.markLeaving(change.target);
       return { id, verdict: "spreading", offset: -1, reason: error.message };
     }
--- a/packages/heatherarch-daemon/order_executor.ts
+++ b/packages/heatherarch-daemon/order_executor.ts
@@ -1,6 +1,6 @@
 /**
- * Carries out orders under the lease: resolves what a predecessor left open, drains an
- * engine, gives it its order, and waits for the outcome. One order at a time.
+ * Carries out orders under the lease, one at a time: resolves an order that an earlier holder left
+ * open, drains an engine, sends it an order and waits for the outcome.
  *
  * @module
  */
@@ -36,7 +36,7 @@
   VersionChecker,
 } from "./version_checker.ts";
 
-/** What an order is given under. */
+/** The parts of the control task that give an order its authority. */
 export type OrderAuthority =
   & Pick<ControlTask, "appendAndRead" | "hasAuthority" | "state">
   & { readonly machine: Pick<LeaseStateMachine, "fencing"> };
@@ -62,25 +62,27 @@
 const READ_TIMEOUT_MS = 1000;
 const ORDER_TIMEOUT_MS = 2000;
 const APPEND_TIMEOUT_MS = 3000;
-/** Between looks for something to do. */
+/** Interval at which the executor checks for an order to carry out. */
 const STEP_INTERVAL_MS = 250;
 const POLL_INTERVAL_MS = 100;
-/** Longest wait for the zone's other VMs to have read an intent. */
+/** Maximum time to wait until the other VMs of the zone have read an intent. */
 const INTENT_PROPAGATION_TIMEOUT_MS = 2000;
 const DRAIN_TIMEOUT_MS = 60_000;
-/** Idle reads in a row before an engine counts as drained. */
+/** Number of consecutive idle reads after which an engine counts as drained. */
 const REQUIRED_IDLE_READS = 3;
 const IDLE_READ_INTERVAL_MS = 150;
 const CHANGE_TIMEOUT_MS = 60_000;
-/** Why an order that was announced is not given. */
+/** Outcome detail of an announced order that is not sent. */
 const LEASE_LAPSED = "authority lapsed before the order was written";
 
-/** Gives orders to the engines of one availability zone. */
+/** Sends orders to the engines of one availability zone. */
 export class OrderExecutor {
   readonly #options: OrderExecutorOptions;
   #planner: RolePlanner | undefined;
+  /** Settings that `#planner` was created with. */
   #plannerSettings: Fleet["planning"] | undefined;
   #nextPlanMs = 0;
+  /** Monotonic time since which this VM has had authority; undefined without authority. */
   #authorityFromMs: number | undefined;
   readonly #versionChecker: VersionChecker;
   #stopped = false;
@@ -101,12 +103,12 @@
     return this.#busy;
   }
 
-  /** Starts no further order. */
+  /** Prevents further orders from being started. */
   stop(): void {
     this.#stopped = true;
   }
 
-  /** Works until stopped. */
+  /** Carries out orders until stopped. */
   async run(): Promise<void> {
     while (!this.#stopped) {
       await sleep(STEP_INTERVAL_MS);
@@ -132,7 +134,7 @@
     if (next !== undefined) await this.#execute(next.target, next.order);
   }
 
-  /** Settles an order that was left open, by what the engine itself says. */
+  /** Concludes an order that was left open, according to the state that the engine reports. */
   async #resolveOpenIntent(intent: OpenIntent): Promise<void> {
     const target = this.#options.table.findTarget(intent.target);
     if (target === undefined) {
@@ -156,7 +158,10 @@
     );
   }
 
-  /** Engines that ignore fencing numbers are left alone for a time after a takeover. */
+  /**
+   * Whether an engine may receive orders. An engine that doesn't check fencing tokens receives none
+   * for some time after a takeover.
+   */
   #hasSettled(target: Target): boolean {
     if (target.checksFencing) return true;
     const nowMs = this.#options.clock.readMonotonicMs();
@@ -212,7 +217,7 @@
       }));
   }
 
-  /** Intent, drain, order, wait, outcome. */
+  /** Announces an order, drains the engine, sends the order and concludes it with its outcome. */
   async #execute(target: Target, order: EngineOrder): Promise<void> {
     const { control, logger } = this.#options;
     const id = createId("ord");
@@ -248,7 +253,10 @@
     );
   }
 
-  /** Waits until no VM sends the engine new work and it has finished what it had. */
+  /**
+   * Waits until no VM sends new requests to the engine and the engine is idle. Returns the reason
+   * if the engine could not be drained, and an empty string otherwise.
+   */
   async #drain(target: Target, intent: OpenIntent): Promise<string> {
     const { clock, control } = this.#options;
     const startMs = clock.readMonotonicMs();
@@ -278,6 +286,7 @@
     return "";
   }
 
+  /** Whether all live VMs of the zone have read an intent. */
   #hasPropagated(intent: OpenIntent): boolean {
     const { membership, availabilityZone } = this.#options;
     return membership.listMembers()
@@ -286,7 +295,7 @@
       .every((member) => member.controlOffset >= intent.offset);
   }
 
-  /** Gives the order; the reason where it was not taken. */
+  /** Sends an order. Returns the reason if it was not accepted, and an empty string otherwise. */
   async #sendOrder(target: Target, intent: OpenIntent): Promise<string> {
     const { control, table } = this.#options;
     const engine = table.getEngine(target);
@@ -297,7 +306,7 @@
     const { claimOffset } = intent;
     const isUnderOwnClaim = (): boolean =>
       control.hasAuthority() && control.machine.fencing === claimOffset;
-    // The lease may have lapsed and been claimed again while the engine was read.
+    // The lease may have lapsed and been claimed again during the read of the engine's state.
     if (!isUnderOwnClaim()) return LEASE_LAPSED;
     const answer = await engine.giveOrder(intent.order, {
       fencing: claimOffset,
@@ -306,7 +315,7 @@
     });
     switch (answer.kind) {
       case "accepted":
-      // The order may have arrived: what the engine does next tells.
+      // The order may have arrived. The engine's state shows the outcome.
       case "unknown":
         return "";
       case "fenced":
@@ -366,6 +375,7 @@
     });
   }
 
+  /** Reads an engine's state; undefined if the read fails. */
   async #readState(target: Target): Promise<EngineState | undefined> {
     try {
       const engine = this.#options.table.getEngine(target);
--- a/packages/heatherarch-daemon/publisher.ts
+++ b/packages/heatherarch-daemon/publisher.ts
@@ -1,5 +1,5 @@
 /**
- * Publications of operators on the configuration stream.
+ * Publication of operators' changes on the configuration stream.
  *
  * @module
  */
@@ -14,12 +14,12 @@
 import type { Components } from "./components.ts";
 
 const PUBLISH_TIMEOUT_MS = 8000;
-/** Where the platform is known to be out, an operator's word spreads soon. */
+/** Shorter timeout during a known platform outage, so that a drain spreads over the mesh soon. */
 const OUTAGE_TIMEOUT_MS = 1000;
 
 /**
- * Publishes a change and reads its verdict back. Throws {@linkcode ServeError} where the log
- * does not answer.
+ * Publishes a change and reads its verdict back. Throws {@linkcode ServeError} if the log doesn't
+ * respond.
  */
 export async function publishChange(
   components: Components,
--- a/packages/heatherarch-daemon/status_report.ts
+++ b/packages/heatherarch-daemon/status_report.ts
@@ -1,11 +1,11 @@
 /**
- * The status of one VM, for operators.
+ * Status report of one VM for operators.
  *
  * @module
  */
 import type { Components } from "./components.ts";
 
-/** What `GET /v1/status` answers. */
+/** Builds the response body of `GET /v1/status`. */
 export function buildStatus(components: Components, leaving: boolean): unknown {
   const {
     identity,
--- a/packages/heatherarch-daemon/target_table.ts
+++ b/packages/heatherarch-daemon/target_table.ts
@@ -1,5 +1,5 @@
 /**
- * All targets as this VM sees them: configuration, reports, directives and open orders.
+ * State of all targets as known to this VM: configuration, reports, directives and open orders.
  *
  * @module
  */
@@ -25,15 +25,15 @@
   readonly settings: ProcessSettings;
 }
 
-/** What was last reported of a target. */
+/** Last report of a target. */
 export interface TargetReport extends LoadReport {
   readonly role: EngineRole;
   readonly busyWithOrder: boolean;
   readonly leaving: boolean;
   readonly unreachable: boolean;
-  /** VM that watches the target. */
+  /** Id of the VM that sent the report. */
   readonly watcher: string;
-  /** Increases with each change of the row. */
+  /** Version of the table at the last change of the row. */
   readonly version: number;
 }
 
@@ -45,7 +45,7 @@
   readonly role: EngineRole;
   readonly directive: string;
   readonly usable: boolean;
-  /** Why it gets no new work; empty where it does. */
+  /** Why the target receives no new requests; empty if it does. */
   readonly reason: string;
   readonly running: number;
   readonly waiting: number;
@@ -55,7 +55,7 @@
 
 /** Targets of one zone with an open order. */
 export interface ChangingTargets {
-  /** Control offset up to which this holds; -1 while nothing has been heard. */
+  /** Control offset of the list; -1 before the first list was received. */
   readonly controlOffset: number;
   readonly targets: readonly string[];
 }
@@ -66,7 +66,7 @@
 const FLAG_UNREACHABLE = 4;
 const INITIAL_EJECTION_MS = 250;
 const MAX_EJECTION_MS = 4000;
-/** Extra time to reach another availability zone, for ranking. */
+/** Round trip to another availability zone that ranking assumes. */
 const CROSS_ZONE_ROUND_TRIP_MS = 8;
 
 interface Ejection {
@@ -93,7 +93,7 @@
     this.#options = options;
   }
 
-  /** Takes in a new configuration. */
+  /** Applies a new configuration. */
   applyConfig(state: ConfigState): void {
     this.#config = state;
     const targets = state.fleet?.targets ?? [];
@@ -114,7 +114,7 @@
     this.#closeRemovedTargets();
   }
 
-  /** Takes in which targets of a zone have an open order, as of a control offset. */
+  /** Applies the list of a zone's targets with an open order, unless a newer one is known. */
   applyChanging(availabilityZone: string, changing: ChangingTargets): void {
     const known = this.#changingByZone.get(availabilityZone);
     if (known !== undefined && changing.controlOffset < known.controlOffset) {
@@ -123,7 +123,7 @@
     this.#changingByZone.set(availabilityZone, changing);
   }
 
-  /** Targets of a zone with an open order, as far as this VM has heard. */
+  /** Returns the targets of a zone with an open order, as known to this VM. */
   getChanging(availabilityZone: string): ChangingTargets {
     return this.#changingByZone.get(availabilityZone) ?? NO_CHANGING_TARGETS;
   }
@@ -144,14 +144,17 @@
     return this.#targets.get(id);
   }
 
-  /** Whether a target is to go on: one that leaves, or that the fleet no longer names, ends by itself. */
+  /**
+   * Whether a target is in service. A target that is leaving, or that was removed from the fleet,
+   * may stop without a crash.
+   */
   isInService(id: string): boolean {
     if (!this.#targets.has(id) || this.leaving.has(id)) return false;
     const directive = this.#config?.directives[id]?.directive ?? "active";
     return directive === "active" && this.#reports.get(id)?.leaving !== true;
   }
 
-  /** Targets of one zone; the same array until the configuration changes. */
+  /** Returns the targets of one zone; the same array until the configuration changes. */
   listZoneTargets(availabilityZone: string): readonly Target[] {
     let list = this.#targetsByZone.get(availabilityZone);
     if (list === undefined) {
@@ -205,7 +208,7 @@
     this.#ejections.delete(id);
   }
 
-  /** Takes in a report of a target that this VM or a peer watches. */
+  /** Records a report of a target that this VM or a peer watches. */
   recordReport(row: ReportRow, watcher: string): void {
     const [id, role, flags, running, waiting, pendingPrefillTokens] = row;
     const known = this.#reports.get(id);
@@ -224,7 +227,10 @@
     });
   }
 
-  /** A watcher is alive: what it reported and has not changed since still holds. */
+  /**
+   * Refreshes all reports of a watcher that sent a heartbeat. A heartbeat carries only the rows
+   * that changed, so the other reports are still valid.
+   */
   refreshReports(vmId: string): void {
     const atMs = this.#options.clock.readMonotonicMs();
     for (const [id, report] of this.#reports) {
@@ -232,7 +238,7 @@
     }
   }
 
-  /** Rows that changed after `version`, of targets that `picks` says yes to. */
+  /** Lists the rows that changed after `version`, of the targets that `isIncluded` accepts. */
   listRowsSince(
     version: number,
     isIncluded: (target: Target, report: TargetReport) => boolean,
@@ -249,7 +255,7 @@
     return { rows, version: this.#lastVersion };
   }
 
-  /** The state of all targets, for operators. */
+  /** Returns the state of all targets, for operators. */
   listStatus(): TargetStatus[] {
     const nowMs = this.#options.clock.readMonotonicMs();
     return this.listTargets().map((target) => {
@@ -278,7 +284,7 @@
     await Promise.all(ports.map((port) => port.close()));
   }
 
-  /** Why a target gets no new work; empty where it may. */
+  /** Returns why a target receives no new requests; empty if it may. */
   #findExclusionReason(target: Target, nowMs: number): string {
     const directive = this.#config?.directives[target.id]?.directive ??
       "active";
@@ -329,7 +335,10 @@
     };
   }
 
-  /** Targets that left the fleet are forgotten once nothing of ours runs on them. */
+  /**
+   * Closes the connections to targets that were removed from the fleet and have no outstanding
+   * requests of this VM, and drops their reports.
+   */
   #closeRemovedTargets(): void {
     for (const id of [...this.#engines.keys(), ...this.#services.keys()]) {
       if (
@@ -344,7 +353,7 @@
   }
 }
 
-/** Flags of a row. */
+/** Builds the flags of a report row. */
 export function buildFlags(
   state: { busyWithOrder: boolean; leaving: boolean; unreachable: boolean },
 ): number {
--- a/packages/heatherarch-daemon/target_watcher.ts
+++ b/packages/heatherarch-daemon/target_watcher.ts
@@ -1,6 +1,6 @@
 /**
- * Reads the state of the targets that this VM watches. Each target is watched by a few VMs
- * of its availability zone, which tell the others.
+ * Reads the state of the targets that this VM watches. Each target is watched by a few VMs of its
+ * availability zone, which send their reports to the others.
  *
  * @module
  */
@@ -19,14 +19,14 @@
   readonly table: TargetTable;
   readonly settings: ProcessSettings["targets"];
   readonly listServices: () => readonly Service[];
-  /** Configuration offset to put on leaving marks. */
+  /** Returns the configuration offset for leaving marks. */
   readonly readConfigOffset: () => number;
 }
 
-/** Failed reads in a row after which a target counts as unreachable. */
+/** Number of consecutive failed reads after which a target counts as unreachable. */
 const UNREACHABLE_AFTER_FAILURES = 2;
 
-/** Polls targets. */
+/** Polls the targets that this VM watches. */
 export class TargetWatcher {
   readonly #options: TargetWatcherOptions;
   readonly #readsInProgress = new Set<string>();
@@ -50,7 +50,7 @@
     clearInterval(this.#timer);
   }
 
-  /** Whether this VM watches a target now. */
+  /** Whether this VM currently watches a target. */
   isWatching(target: Target): boolean {
     const { availabilityZone, membership, settings, vmId } = this.#options;
     if (target.availabilityZone !== availabilityZone) return false;
@@ -60,7 +60,7 @@
     );
   }
 
-  /** Takes in the platform's list: a hint that a target is leaving. */
+  /** Marks targets as leaving that the platform's VM list names as such. The list is a hint. */
   recordListing(vms: readonly ListedVm[]): void {
     const { table, readConfigOffset } = this.#options;
     for (const vm of vms) {
--- a/packages/heatherarch-daemon/tests/unit/claim_service_test.ts
+++ b/packages/heatherarch-daemon/tests/unit/claim_service_test.ts
@@ -7,7 +7,7 @@
 
 const START_MS = 1_700_000_000_000;
 
-/** A log in memory whose time is the clock's. */
+/** Builds an in-memory log that takes its time from the clock. */
 function buildLog(clock: ManualClock): LogPort {
   const streams = new Map<string, LogRecord[]>();
   const getRecords = (stream: string): LogRecord[] => {
@@ -33,7 +33,7 @@
   };
 }
 
-/** Claims of a VM that has heard of no other one yet. */
+/** Builds the claim service of a VM that knows no other VM yet. */
 function buildService(
   vmId: string,
   log: LogPort,
@@ -65,7 +65,7 @@
   });
 }
 
-test("a fresh claim of a VM that was not heard yet is in progress, an old one is in doubt", async () => {
+test("a claim of an unknown VM is in progress while it is fresh, and its outcome is unknown later", async () => {
   const clock = new ManualClock(START_MS);
   const log = buildLog(clock);
   const request = { key: "k", madeAtMs: START_MS, fingerprint: "f" };
--- a/packages/heatherarch-daemon/tests/unit/order_executor_test.ts
+++ b/packages/heatherarch-daemon/tests/unit/order_executor_test.ts
@@ -40,13 +40,13 @@
   kvUsed: 0,
   fencing: 0,
 };
-/** Readings of an engine that drains, before the one right before its order. */
+/** Number of state reads while an engine drains, before the last read ahead of its order. */
 const READS_BEFORE_ORDER = 4;
 
-/** A VM that loses its lease while it reads an engine, and claims it again before the answer. */
+/** A VM whose lease lapses and is claimed again while it reads an engine's state. */
 class LapsingLease {
   state = EMPTY_CONTROL_STATE;
-  /** Fencing numbers of the orders that an engine got. */
+  /** Fencing tokens of the orders that the engine received. */
   readonly orders: number[] = [];
   readonly results: unknown[] = [];
   reads = 0;
@@ -134,8 +134,9 @@
   return new OrderExecutor(options as OrderExecutorOptions);
 }
 
-// A lease that lapsed and was claimed again during a slow read ended the process.
-test("an order announced under an earlier claim is given up, and the process goes on", async () => {
+// Guards against the process ending when the lease lapses and is claimed again during a slow read
+// of an engine's state, after an order was announced under the earlier claim.
+test("an order announced under an earlier claim is not sent, and the process keeps running", async () => {
   const violations: string[] = [];
   const unregister = registerViolationListener(({ invariant }) =>
     violations.push(invariant)
--- a/packages/heatherarch-daemon/version_checker.ts
+++ b/packages/heatherarch-daemon/version_checker.ts
@@ -1,5 +1,5 @@
 /**
- * Finds engines whose model or version is not the published one.
+ * Finds engines whose model or version differs from the published one.
  *
  * @module
  */
@@ -7,7 +7,7 @@
 import type { Fleet, Target } from "heatherarch-settings";
 import type { TargetTable } from "./target_table.ts";
 
-/** An order and the engine that it is for. */
+/** An order and the engine that receives it. */
 export interface PlannedOrder {
   readonly target: Target;
   readonly order: EngineOrder;
@@ -17,21 +17,21 @@
 export interface VersionCheckerOptions {
   readonly clock: Clock;
   readonly table: Pick<TargetTable, "findTarget">;
-  /** Reads an engine's state; undefined where it does not answer. */
+  /** Reads an engine's state; undefined if the engine doesn't respond. */
   readonly readState: (target: Target) => Promise<EngineState | undefined>;
-  /** Whether an engine may be given an order now. */
+  /** Whether an engine may receive an order now. */
   readonly mayOrder: (target: Target) => boolean;
 }
 
-/** Engines whose version is looked at in one step. */
+/** Maximum number of engines that are checked in one step. */
 const MAX_CHECKS_PER_STEP = 4;
-/** An engine may have been restarted with other weights: all are looked at again. */
+/** All engines are checked again at this interval: one may have restarted with other weights. */
 const REVERIFY_INTERVAL_MS = 30_000;
 
-/** Looks at the engines of one availability zone, a few at a time. */
+/** Checks the engines of one availability zone, a few at a time. */
 export class VersionChecker {
   readonly #options: VersionCheckerOptions;
-  /** Engines seen with the published model and version. */
+  /** Ids of the engines that run the published model and version. */
   readonly #verified = new Set<string>();
   #verifiedFleet: Fleet | undefined;
   #nextClearMs = 0;
@@ -40,7 +40,10 @@
     this.#options = options;
   }
 
-  /** An engine that is to load another model or version. One is changed at a time. */
+  /**
+   * Returns an order for an engine that must load another model or version. One engine is changed at
+   * a time.
+   */
   async findOutdated(
     fleet: Fleet,
     engines: readonly string[],
@@ -54,6 +57,7 @@
     return undefined;
   }
 
+  /** Forgets the verified engines after a change of the fleet and at each interval. */
   #clearWhenDue(fleet: Fleet): void {
     const nowMs = this.#options.clock.readMonotonicMs();
     if (this.#verifiedFleet === fleet && nowMs < this.#nextClearMs) return;
@@ -83,7 +87,7 @@
   }
 }
 
-/** Whether an engine is as an order wants it. */
+/** Whether an engine is in the state that an order asks for. */
 export function isOrderFulfilled(
   state: EngineState,
   order: EngineOrder,
--- a/packages/heatherarch-daemon/zone_view.ts
+++ b/packages/heatherarch-daemon/zone_view.ts
@@ -1,5 +1,5 @@
 /**
- * What this VM has heard of the demand in its availability zone and of the other zones.
+ * Demand in this VM's availability zone and summaries of the other zones, from heartbeats.
  *
  * @module
  */
@@ -12,23 +12,23 @@
   readonly availabilityZone: string;
   readonly clock: Clock;
   readonly membership: Membership;
-  /** Demand that came in through this VM. */
+  /** Demand of the requests that this VM received. */
   readonly demand: DemandMeter;
 }
 
-/** Another availability zone, as its VMs sum it up. */
+/** Summary of an availability zone, as last sent by one of its VMs. */
 export interface ZoneSummary {
-  /** Lowest configuration offset among its live VMs. */
+  /** Lowest configuration offset of its live VMs. */
   readonly configOffset: number;
   readonly vms: number;
-  /** Monotonic time of the last word. */
+  /** Monotonic time of the last summary. */
   readonly heardAtMs: number;
 }
 
-/** How long a peer's demand counts after its last heartbeat. */
+/** A peer's demand is dropped this long after the heartbeat that carried it. */
 const DEMAND_MAX_AGE_MS = 15_000;
 
-/** Sums up heartbeats. */
+/** Aggregates the demand and zone summaries of heartbeats. */
 export class ZoneView {
   readonly #options: ZoneViewOptions;
   readonly #peerDemand = new Map<string, { demand: Demand; atMs: number }>();
@@ -38,7 +38,7 @@
     this.#options = options;
   }
 
-  /** Takes in what a heartbeat says of demand and zone. */
+  /** Records the demand and the zone summary of a heartbeat. */
   recordHeartbeat(heartbeat: Heartbeat, from: LinkIdentity): void {
     const nowMs = this.#options.clock.readMonotonicMs();
     if (heartbeat.zone !== undefined) {
@@ -56,7 +56,7 @@
     this.#peerDemand.set(from.id, { demand, atMs: nowMs });
   }
 
-  /** Demand on the zone: through this VM and through the live ones of its peers. */
+  /** Returns the demand on the zone: the sum over this VM and its live peers. */
   readDemand(): Demand {
     const { clock, demand, membership } = this.#options;
     const nowMs = clock.readMonotonicMs();
@@ -70,7 +70,7 @@
     return sumDemand([demand.read(nowMs), ...peerDemands]);
   }
 
-  /** Live VMs of all zones, this one included. */
+  /** Counts the live VMs of all zones, this one included. */
   countVms(): number {
     const { membership, availabilityZone } = this.#options;
     let count = membership.listLive(availabilityZone).length;
@@ -80,7 +80,7 @@
     return count;
   }
 
-  /** Zones by name. */
+  /** Returns the zone summaries by zone. */
   listZones(): Readonly<Record<string, ZoneSummary>> {
     return Object.fromEntries(this.#zones);
   }
