--- a/packages/heatherarch-daemon/claim_service.ts
+++ b/packages/heatherarch-daemon/claim_service.ts
@@ -131,7 +131,7 @@
     // The claim is not used, so the key is released as soon as the log responds.
     void this.#concludeWithRetries({ claimId: call.claimId, key: call.key });
     const message =
-      `the key could not be claimed, so the call was not run (${verdict.val})`;
+      `the claim can't be confirmed, so the call was not run (${verdict.val})`;
     return buildRefusal(
       new ServeError("platformUnavailable", message, { run: "no" }),
     );
--- a/packages/heatherarch-daemon/components.ts
+++ b/packages/heatherarch-daemon/components.ts
@@ -138,7 +138,7 @@
   return new RequestQuarantine({ maxCrashes, holdMs: holdSeconds * 1000 });
 }
 
-/** Builds the quarantine watch, which logs lost exchanges, crashes and changes of the quarantine. */
+/** Builds the quarantine watch, which logs lost exchanges, crashes and quarantine changes. */
 export function buildQuarantineWatch(components: Components): QuarantineWatch {
   const { quarantine, clock, table, logger } = components;
   const crashDetector = new CrashDetector({
--- a/packages/heatherarch-daemon/control_task.ts
+++ b/packages/heatherarch-daemon/control_task.ts
@@ -1,6 +1,6 @@
 /**
- * Reads the control stream of the availability zone, drives the lease state machine, and tells the
- * executor whether this VM has authority.
+ * Reads the control stream of the availability zone and drives the lease state machine. The executor
+ * may act while this VM has authority.
  *
  * @module
  */
--- a/packages/heatherarch-daemon/entry_vm.ts
+++ b/packages/heatherarch-daemon/entry_vm.ts
@@ -313,7 +313,7 @@
       `no target of ${unseenService.name} has been seen yet`;
   }
 
-  /** One engine model is used for all model services. It starts from the speeds of the first one. */
+  /** One engine model is used for all model services. It starts from the first one's speeds. */
   #applySpeeds(): void {
     const { config, model } = this.#components;
     const services = config.state.fleet?.services ?? [];
--- a/packages/heatherarch-daemon/heartbeat_builder.ts
+++ b/packages/heatherarch-daemon/heartbeat_builder.ts
@@ -101,7 +101,7 @@
     return { leavingTargets: leaving.listMarks() };
   }
 
-  /** Every VM forwards the crash reports that are new to it, so they reach all VMs over any link. */
+  /** Every VM forwards crash reports that are new to it, so they reach all VMs over any link. */
   #buildCrashes(progress: LinkProgress): Partial<Heartbeat> {
     const { reports, cursor } = this.#options.listCrashReports(
       progress.crashCursor,
--- a/packages/heatherarch-daemon/metrics.ts
+++ b/packages/heatherarch-daemon/metrics.ts
@@ -81,7 +81,7 @@
   );
   readonly hedges = this.#createCounter(
     "hedges_total",
-    "Hedged tries",
+    "Hedged second tries",
     [],
   );
   readonly roleChanges = this.#createCounter(
--- a/packages/heatherarch-daemon/order_executor.ts
+++ b/packages/heatherarch-daemon/order_executor.ts
@@ -286,7 +286,7 @@
     return "";
   }
 
-  /** Whether all live VMs of the zone have read an intent. */
+  /** Whether all other live VMs of the zone have read an intent. */
   #hasPropagated(intent: OpenIntent): boolean {
     const { membership, availabilityZone } = this.#options;
     return membership.listMembers()
@@ -295,7 +295,10 @@
       .every((member) => member.controlOffset >= intent.offset);
   }
 
-  /** Sends an order. Returns the reason if it was not accepted, and an empty string otherwise. */
+  /**
+   * Sends an order. Returns the reason if the engine did not accept it, and an empty string if the
+   * engine accepted it or may have done so.
+   */
   async #sendOrder(target: Target, intent: OpenIntent): Promise<string> {
     const { control, table } = this.#options;
     const engine = table.getEngine(target);
--- a/packages/heatherarch-daemon/version_checker.ts
+++ b/packages/heatherarch-daemon/version_checker.ts
@@ -41,8 +41,8 @@
   }
 
   /**
-   * Returns an order for an engine that must load another model or version. One engine is changed at
-   * a time.
+   * Returns an order for an engine that must load another model or version. One engine is changed
+   * at a time.
    */
   async findOutdated(
     fleet: Fleet,
