--- a/packages/heatherarch-daemon/config_reader.ts
+++ b/packages/heatherarch-daemon/config_reader.ts
@@ -184,7 +184,7 @@
     if (state !== undefined && this.#loadState(state)) return;
     await this.#fetchFromPeers();
     throw new LogUnavailableError(
-      "records were trimmed and no snapshot covers the gap",
+      "records were trimmed and no snapshot covers them",
     );
   }
 
