--- a/packages/heatherarch-daemon/claim_service.ts
+++ b/packages/heatherarch-daemon/claim_service.ts
@@ -1,6 +1,6 @@
 /**
- * At-most-once claims across the VMs of an availability zone: finds the owner of a key's
- * shard, asks it, and limits the permission that comes back.
+ * At-most-once claims across the VMs of an availability zone: sends a claim to the VM that owns the
+ * key's shard, and limits the time for which a granted claim is valid.
  *
  * @module
  */
@@ -65,38 +65,38 @@
 type ClaimCall = z.infer<typeof CLAIM_CALL>;
 type ConcludeCall = z.infer<typeof CONCLUDE_CALL>;
 
-const CONCLUDE_RETRY_MS = 500;
-const CONCLUDE_LIMIT_MS = 600_000;
-/** A claim without an outcome is called unknown, not in progress, after this long. */
-const IN_PROGRESS_LIMIT_MS = 60_000;
+const CONCLUDE_RETRY_DELAY_MS = 500;
+const CONCLUDE_TIMEOUT_MS = 600_000;
+/** A claim without an outcome counts as in progress up to this age, and then as unknown. */
+const MAX_IN_PROGRESS_AGE_MS = 60_000;
 /**
- * A claim younger than this is in progress whatever is known of its VM: one that has just
- * started may not have been heard yet (links take up to some seconds under load).
+ * A claim younger than this counts as in progress even if its VM is not a known member. A VM that
+ * has just started may be unknown here, since links take up to some seconds to open under load.
  */
-const FRESH_CLAIM_MS = 5000;
+const MEMBERSHIP_GRACE_MS = 5000;
 
-/** Claims for one VM, and the shards that it owns. */
+/** Makes the claims of one VM, and serves the shards that this VM owns. */
 export class ClaimService implements ClaimClient {
   readonly #options: ClaimServiceOptions;
   readonly #shards = new Map<number, ClaimShard>();
-  #concluding = 0;
+  #pendingOutcomes = 0;
 
   constructor(options: ClaimServiceOptions) {
     this.#options = options;
     const { mesh } = options;
     mesh.registerCall(
       "claims.claim",
-      (body) => this.#claimHere(CLAIM_CALL.parse(body)),
+      (body) => this.#claimLocally(CLAIM_CALL.parse(body)),
     );
     mesh.registerCall(
       "claims.conclude",
-      (body) => this.#concludeHere(CONCLUDE_CALL.parse(body)),
+      (body) => this.#concludeLocally(CONCLUDE_CALL.parse(body)),
     );
   }
 
-  /** Outcomes that are not in the log yet. */
-  get concluding(): number {
-    return this.#concluding;
+  /** Number of outcomes that are not in the log yet. */
+  get pendingOutcomes(): number {
+    return this.#pendingOutcomes;
   }
 
   listCounters(): ClaimShardCounters[] {
@@ -108,19 +108,19 @@
   ): Promise<ClaimAnswer> {
     const { vmId, incarnation } = this.#options;
     const claimId = createId("claim");
-    return await this.#claimAs({
+    return await this.#claimWithId({
       ...request,
       claimId,
       vm: `${vmId}/${incarnation}`,
     });
   }
 
-  /** Claims under an id that may have been used before: the fold grants it again. */
-  async #claimAs(call: ClaimCall): Promise<ClaimAnswer> {
+  /** Claims with an id that may have been used before. The fold grants the same id again. */
+  async #claimWithId(call: ClaimCall): Promise<ClaimAnswer> {
     const { clock, settings } = this.#options;
     const sentAtMs = clock.readMonotonicMs();
     const owner = this.#findOwner(call.key);
-    const verdict = await this.#ask(owner, call);
+    const verdict = await this.#requestVerdict(owner, call);
     const validUntilMs = sentAtMs + settings.permissionMs;
     const isValid = (): boolean =>
       clock.readMonotonicMs() < validUntilMs &&
@@ -128,20 +128,21 @@
     if (verdict.ok) {
       return this.#buildAnswer(verdict.val as ClaimVerdict, call, isValid);
     }
-    // Never used: the key is given back as soon as the log answers.
-    void this.#concludeLater({ claimId: call.claimId, key: call.key });
+    // The claim is not used, so the key is released as soon as the log responds.
+    void this.#concludeWithRetries({ claimId: call.claimId, key: call.key });
     const message =
-      `the key can't be confirmed, so the call was not run (${verdict.val})`;
+      `the claim can't be confirmed, so the call was not run (${verdict.val})`;
     return buildRefusal(
       new ServeError("platformUnavailable", message, { run: "no" }),
     );
   }
 
-  /** Waits until outcomes have reached the log. */
+  /** Waits until all outcomes are in the log, or until the timeout. */
   async flush(timeoutMs: number): Promise<void> {
-    const until = this.#options.clock.readMonotonicMs() + timeoutMs;
+    const deadlineMs = this.#options.clock.readMonotonicMs() + timeoutMs;
     while (
-      this.#concluding > 0 && this.#options.clock.readMonotonicMs() < until
+      this.#pendingOutcomes > 0 &&
+      this.#options.clock.readMonotonicMs() < deadlineMs
     ) await sleep(20);
   }
 
@@ -152,58 +153,59 @@
   ): ClaimAnswer {
     switch (verdict.kind) {
       case "granted":
-        return { kind: "granted", claim: this.#buildHeld(call, isValid) };
+        return { kind: "granted", claim: this.#buildHeldClaim(call, isValid) };
       case "taken":
-        return this.#buildTaken(verdict.holder);
+        return this.#buildTakenAnswer(verdict.holder);
       case "reused":
         return buildRefusal(
           new ServeError("keyReused", "the key was used for another call"),
         );
       case "expired": {
         const message =
-          "the key's time lies outside the window in which keys are remembered";
+          "the key's time is outside the window in which keys are kept";
         return buildRefusal(new ServeError("keyExpired", message));
       }
     }
   }
 
-  #buildTaken(holder: KeyState): ClaimAnswer {
+  #buildTakenAnswer(holder: KeyState): ClaimAnswer {
     if (holder.outcome !== undefined) {
       return { kind: "answered", answer: holder.outcome };
     }
     const ageMs = this.#options.clock.readWallMs() - holder.claimedAtMs;
-    const isAlive = ageMs < FRESH_CLAIM_MS || this.#isAlive(holder.vm);
-    if (ageMs < IN_PROGRESS_LIMIT_MS && isAlive) {
+    const isAlive = ageMs < MEMBERSHIP_GRACE_MS ||
+      this.#isHolderAlive(holder.vm);
+    if (ageMs < MAX_IN_PROGRESS_AGE_MS && isAlive) {
       const message = "a call with this key is in progress";
       return buildRefusal(new ServeError("keyInProgress", message));
     }
     const message =
-      "a call with this key was begun and its outcome is not known; " +
+      "a call with this key was started and its outcome is unknown; " +
       "it will not be run again";
     return buildRefusal(new ServeError("outcomeUnknown", message));
   }
 
-  #buildHeld(call: ClaimCall, isValid: () => boolean): HeldClaim {
+  #buildHeldClaim(call: ClaimCall, isValid: () => boolean): HeldClaim {
     const { claimId, key } = call;
     return {
       isValid,
       conclude: (answer: KeptAnswer) =>
-        void this.#concludeLater({ claimId, key, answer }),
-      renew: () => this.#claimAs(call),
-      release: () => void this.#concludeLater({ claimId, key }),
+        void this.#concludeWithRetries({ claimId, key, answer }),
+      renew: () => this.#claimWithId(call),
+      release: () => void this.#concludeWithRetries({ claimId, key }),
     };
   }
 
-  #isAlive(holder: string): boolean {
+  #isHolderAlive(holder: string): boolean {
     const { vmId, incarnation, membership } = this.#options;
     if (holder === `${vmId}/${incarnation}`) return true;
-    const [id, heldBy] = holder.split("/");
+    const [id, holderIncarnation] = holder.split("/");
     const member = membership.getMember(id);
     return member !== undefined && member.status !== "suspect" &&
-      member.incarnation === heldBy;
+      member.incarnation === holderIncarnation;
   }
 
-  /** The VM of this zone that owns the key's shard, by the membership as seen here. */
+  /** Returns the VM that owns the key's shard, according to this VM's view of the membership. */
   #findOwner(key: string): string {
     const { membership, availabilityZone, settings } = this.#options;
     const shard = computeShard(key, settings.shards);
@@ -214,14 +216,14 @@
     )[0];
   }
 
-  /** Asks the owner; the reason where no verdict could be had. */
-  async #ask(
+  /** Requests a verdict from the owner. Returns the error message if there is none. */
+  async #requestVerdict(
     owner: string,
     call: ClaimCall,
   ): Promise<Result<ClaimVerdict, string>> {
     const { vmId, mesh, settings } = this.#options;
     try {
-      if (owner === vmId) return Ok(await this.#claimHere(call));
+      if (owner === vmId) return Ok(await this.#claimLocally(call));
       const reply = await mesh.call(
         owner,
         "claims.claim",
@@ -234,11 +236,11 @@
     }
   }
 
-  #claimHere(call: ClaimCall): Promise<ClaimVerdict> {
+  #claimLocally(call: ClaimCall): Promise<ClaimVerdict> {
     return this.#getShard(call.key).claim({ op: "claim", ...call });
   }
 
-  async #concludeHere(call: ConcludeCall): Promise<boolean> {
+  async #concludeLocally(call: ConcludeCall): Promise<boolean> {
     const { claimId, key, answer } = call;
     await this.#getShard(key).conclude(
       answer === undefined
@@ -248,15 +250,16 @@
     return true;
   }
 
-  async #concludeLater(call: ConcludeCall): Promise<void> {
+  /** Concludes or releases a claim, and retries until it is recorded or until the timeout. */
+  async #concludeWithRetries(call: ConcludeCall): Promise<void> {
     const { clock, mesh, vmId } = this.#options;
-    const until = clock.readMonotonicMs() + CONCLUDE_LIMIT_MS;
-    this.#concluding++;
+    const deadlineMs = clock.readMonotonicMs() + CONCLUDE_TIMEOUT_MS;
+    this.#pendingOutcomes++;
     try {
-      while (clock.readMonotonicMs() < until) {
+      while (clock.readMonotonicMs() < deadlineMs) {
         try {
           const owner = this.#findOwner(call.key);
-          if (owner === vmId) await this.#concludeHere(call);
+          if (owner === vmId) await this.#concludeLocally(call);
           else {await mesh.call(
               owner,
               "claims.conclude",
@@ -265,21 +268,21 @@
             );}
           return;
         } catch {
-          await sleep(CONCLUDE_RETRY_MS);
+          await sleep(CONCLUDE_RETRY_DELAY_MS);
         }
       }
     } finally {
-      this.#concluding--;
+      this.#pendingOutcomes--;
     }
   }
 
   #getShard(key: string): ClaimShard {
     const { settings, log, clock, snapshotEveryRecords } = this.#options;
-    const number = computeShard(key, settings.shards);
-    let shard = this.#shards.get(number);
+    const shardNumber = computeShard(key, settings.shards);
+    let shard = this.#shards.get(shardNumber);
     if (shard === undefined) {
       shard = new ClaimShard({
-        shard: number,
+        shard: shardNumber,
         log,
         clock,
         batchMs: settings.batchMs,
@@ -289,7 +292,7 @@
         keyWindowMs: settings.keyWindowMs,
         futureSkewMs: settings.futureSkewMs,
       });
-      this.#shards.set(number, shard);
+      this.#shards.set(shardNumber, shard);
     }
     return shard;
   }
--- a/packages/heatherarch-daemon/parts.ts
+++ b/packages/heatherarch-daemon/components.ts
@@ -1,5 +1,5 @@
 /**
- * The parts of the process, and the builders of those that need nothing but other parts.
+ * Components of the process, and builders of those that depend only on other components.
  *
  * @module
  */
@@ -31,8 +31,8 @@
 import { TargetWatcher } from "./target_watcher.ts";
 import { ZoneView } from "./zone_view.ts";
 
-/** The parts of the process, as the container holds them. */
-export interface Parts {
+/** Components of the process by their keys in the container. */
+export interface Components {
   readonly settings: ProcessSettings;
   readonly logger: Logger;
   readonly clock: Clock;
@@ -51,15 +51,15 @@
   readonly control: ControlTask;
   readonly claims: ClaimService;
   readonly quarantine: RequestQuarantine;
-  readonly requests: QuarantineWatch;
+  readonly quarantineWatch: QuarantineWatch;
   readonly executor: OrderExecutor;
   readonly watcher: TargetWatcher;
-  readonly heartbeats: HeartbeatBuilder;
+  readonly heartbeatBuilder: HeartbeatBuilder;
   readonly gateway: Gateway;
-  readonly operators: OperatorServer;
+  readonly operatorServer: OperatorServer;
 }
 
-/** Reads a certificate and its key, in PEM. */
+/** Reads a certificate and its private key in PEM format. */
 export function readCertificate(
   tls: { certificateFile: string; privateKeyFile: string },
 ) {
@@ -69,17 +69,18 @@
   };
 }
 
-/** Builds the table of targets. */
-export function buildTable(
-  { identity, clock, tracker, settings }: Parts,
+/** Builds the target table. */
+export function buildTargetTable(
+  { identity, clock, tracker, settings }: Components,
 ): TargetTable {
   const { availabilityZone } = identity;
   return new TargetTable({ availabilityZone, clock, tracker, settings });
 }
 
 /** Builds the reader of the configuration stream. */
-export function buildConfigReader(parts: Parts): ConfigReader {
-  const { identity, log, clock, membership, mesh, logger, settings } = parts;
+export function buildConfigReader(components: Components): ConfigReader {
+  const { identity, log, clock, membership, mesh, logger, settings } =
+    components;
   return new ConfigReader({
     vmId: identity.id,
     availabilityZone: identity.availabilityZone,
@@ -93,9 +94,9 @@
   });
 }
 
-/** Builds the claims of idempotency keys. */
-export function buildClaims(parts: Parts): ClaimService {
-  const { identity, log, clock, membership, mesh, settings } = parts;
+/** Builds the service that claims idempotency keys. */
+export function buildClaimService(components: Components): ClaimService {
+  const { identity, log, clock, membership, mesh, settings } = components;
   return new ClaimService({
     vmId: identity.id,
     incarnation: identity.incarnation,
@@ -109,9 +110,9 @@
   });
 }
 
-/** Builds the watcher of targets. */
-export function buildWatcher(parts: Parts): TargetWatcher {
-  const { identity, clock, membership, table, settings, config } = parts;
+/** Builds the watcher that reads the state of targets. */
+export function buildTargetWatcher(components: Components): TargetWatcher {
+  const { identity, clock, membership, table, settings, config } = components;
   return new TargetWatcher({
     vmId: identity.id,
     availabilityZone: identity.availabilityZone,
@@ -124,34 +125,38 @@
   });
 }
 
-/** Builds the view of the zone's demand and of other zones. */
-export function buildZoneView(parts: Parts): ZoneView {
-  const { identity, clock, membership, demand } = parts;
+/** Builds the view of the zone's demand and of the other zones. */
+export function buildZoneView(components: Components): ZoneView {
+  const { identity, clock, membership, demand } = components;
   const { availabilityZone } = identity;
   return new ZoneView({ availabilityZone, clock, membership, demand });
 }
 
-/** Builds what is known of requests that end targets. */
-export function buildQuarantine({ settings }: Parts): RequestQuarantine {
+/** Builds the quarantine of requests that crash targets. */
+export function buildQuarantine({ settings }: Components): RequestQuarantine {
   const { maxCrashes, holdSeconds } = settings.quarantine;
   return new RequestQuarantine({ maxCrashes, holdMs: holdSeconds * 1000 });
 }
 
-/** Builds the watch over requests, with a line in the log for each end of a target. */
-export function buildRequestWatch(parts: Parts): QuarantineWatch {
-  const { quarantine, clock, table, logger } = parts;
-  const losses = new CrashDetector({
+/** Builds the quarantine watch, which logs lost exchanges, crashes and quarantine changes. */
+export function buildQuarantineWatch(components: Components): QuarantineWatch {
+  const { quarantine, clock, table, logger } = components;
+  const crashDetector = new CrashDetector({
     targetProbe: new TargetProbe(),
     quarantine,
     clock,
-    isInService: (life) => table.isInService(getTargetId(life)),
+    isInService: (incarnation) => table.isInService(getTargetId(incarnation)),
     onLoss: (loss, probe) => logger.info("exchange lost", { ...loss, probe }),
-    onCrash: (life, evidence, requests) => {
-      watch.noteEnded(life);
-      logger.warn("target ended", { target: life, evidence, requests });
+    onCrash: (incarnation, evidence, requests) => {
+      watch.noteEnded(incarnation);
+      logger.warn("target ended", { target: incarnation, evidence, requests });
     },
   });
-  const watch = new QuarantineWatch({ quarantine, losses, clock });
+  const watch = new QuarantineWatch({
+    quarantine,
+    losses: crashDetector,
+    clock,
+  });
   quarantine.registerChangeListener(({ kind, request, isOwn }) =>
     logger.warn(`request ${kind === "held" ? "quarantined" : "cleared"}`, {
       request,
@@ -163,9 +168,9 @@
   return watch;
 }
 
-/** Builds the mesh of this VM. */
-export function buildMesh(parts: Parts): MeshNode {
-  const { settings, identity, clock, membership, metrics } = parts;
+/** Builds this VM's node of the mesh. */
+export function buildMesh(components: Components): MeshNode {
+  const { settings, identity, clock, membership, metrics } = components;
   const { mesh, listen, network } = settings;
   const tls = listen.meshTls;
   return new MeshNode({
@@ -175,8 +180,9 @@
     clock,
     membership,
     translate: (address) => network.translate[address] ?? address,
-    // The builder is looked up late: it needs parts that need the mesh.
-    buildHeartbeat: (link, peer) => parts.heartbeats.build(link, peer),
+    // Resolved on first use, since the heartbeat builder depends on components that need the mesh.
+    buildHeartbeat: (link, peer) =>
+      components.heartbeatBuilder.build(link, peer),
     onFault: (fault) => metrics.faults.inc({ kind: `mesh:${fault}` }),
     ...(tls === undefined ? {} : {
       tls: {
@@ -188,9 +194,10 @@
   });
 }
 
-/** Builds the task that holds, or follows, the zone's lease. */
-export function buildControl(parts: Parts): ControlTask {
-  const { settings, identity, log, clock, membership, logger, table } = parts;
+/** Builds the task that holds or follows the zone's lease. */
+export function buildControlTask(components: Components): ControlTask {
+  const { settings, identity, log, clock, membership, logger, table } =
+    components;
   return new ControlTask({
     vmId: identity.id,
     incarnation: identity.incarnation,
@@ -202,7 +209,7 @@
     pollWaitMs: settings.platform.pollWaitMs,
     snapshotEveryRecords: settings.platform.snapshotEveryRecords,
     logger,
-    onState: (state) => {
+    onStateChange: (state) => {
       const { availabilityZone } = identity;
       const before = table.getChanging(availabilityZone).targets;
       const changing = Object.keys(state.open);
@@ -210,16 +217,16 @@
         controlOffset: state.offset,
         targets: changing,
       });
-      // Renewals are no news to peers.
+      // Peers need no heartbeat for a lease renewal, which changes no targets.
       if (before.join(" ") !== changing.join(" ")) {
-        parts.mesh.sendHeartbeats();
+        components.mesh.sendHeartbeats();
       }
     },
   });
 }
 
-/** Builds what gives orders to engines under the lease. */
-export function buildExecutor(parts: Parts): OrderExecutor {
+/** Builds the executor that sends orders to engines under the lease. */
+export function buildOrderExecutor(components: Components): OrderExecutor {
   const {
     settings,
     identity,
@@ -229,7 +236,7 @@
     membership,
     model,
     logger,
-  } = parts;
+  } = components;
   return new OrderExecutor({
     availabilityZone: identity.availabilityZone,
     clock,
@@ -239,8 +246,8 @@
     model,
     settings: settings.lease,
     logger,
-    readFleet: () => parts.config.state.fleet,
-    readDemand: () => parts.zones.readDemand(),
-    noteOutcome: (result) => parts.metrics.roleChanges.inc({ result }),
+    readFleet: () => components.config.state.fleet,
+    readDemand: () => components.zones.readDemand(),
+    onOutcome: (result) => components.metrics.roleChanges.inc({ result }),
   });
 }
--- a/packages/heatherarch-daemon/gateway_parts.ts
+++ b/packages/heatherarch-daemon/gateway_builder.ts
@@ -1,5 +1,5 @@
 /**
- * The gateway of the process, and what it needs of the other parts.
+ * Builds the gateway of the process from the other components.
  *
  * @module
  */
@@ -13,60 +13,65 @@
   type Router,
 } from "heatherarch-policy";
 import type { RoutingKind } from "heatherarch-settings";
-import { type Parts, readCertificate } from "./parts.ts";
+import { type Components, readCertificate } from "./components.ts";
 
-/** Longest wait for the stream of a request that another VM serves, milliseconds. */
-export const REMOTE_READ_MS = 3000;
+/** Timeout of a read from the stream of a request that another VM serves. */
+export const REMOTE_READ_TIMEOUT_MS = 3000;
 
-/** Builds the gateway; `readRefusal` tells why this VM takes no requests now, if it doesn't. */
+/** Builds the gateway. `readRefusal` returns the error if this VM accepts no requests now. */
 export function buildGateway(
-  parts: Parts,
+  components: Components,
   readRefusal: () => ServeError | undefined,
 ): Gateway {
-  const tls = parts.settings.listen.callersTls;
+  const tls = components.settings.listen.callersTls;
   return new Gateway(
-    buildHost(parts, readRefusal),
+    buildGatewayHost(components, readRefusal),
     tls === undefined ? {} : { tls: readCertificate(tls) },
   );
 }
 
-function buildHost(
-  parts: Parts,
+function buildGatewayHost(
+  components: Components,
   readRefusal: () => ServeError | undefined,
 ): GatewayHost {
-  const { settings, clock, model, metrics } = parts;
+  const { settings, clock, model, metrics } = components;
   return {
-    vmId: parts.identity.id,
+    vmId: components.identity.id,
     clock,
     limits: settings.requests,
     claimLimits: settings.claims,
-    targets: parts.table,
-    tracker: parts.tracker,
+    targets: components.table,
+    tracker: components.tracker,
     model,
-    demand: parts.demand,
+    demand: components.demand,
     retries: new RetryBudget({ share: settings.requests.retryShare }),
     lookups: new LookupReserve({
       share: settings.requests.lookupReserveShare,
     }),
-    claims: parts.claims,
-    requests: parts.requests,
+    claims: components.claims,
+    requests: components.quarantineWatch,
     events: metrics,
     readRefusal,
-    readFleet: () => parts.config.state.fleet,
-    findProfile: (name) => parts.config.state.profiles[name]?.profile,
-    getRouter: createRouters(model),
-    countVms: () => parts.zones.countVms(),
+    readFleet: () => components.config.state.fleet,
+    findProfile: (name) => components.config.state.profiles[name]?.profile,
+    getRouter: createRouterCache(model),
+    countVms: () => components.zones.countVms(),
     readRemoteStream: async (vmId, requestId, from) => {
       const unknown = { texts: [], state: "unknown" as const, model: "" };
       const body = { requestId, from };
-      const call = parts.mesh.call(vmId, "stream.read", body, REMOTE_READ_MS);
+      const call = components.mesh.call(
+        vmId,
+        "stream.read",
+        body,
+        REMOTE_READ_TIMEOUT_MS,
+      );
       return await (call as Promise<typeof unknown>).catch(() => unknown);
     },
   };
 }
 
-/** One router of each kind, created when it is first asked for. */
-function createRouters(model: EngineModel): (kind: RoutingKind) => Router {
+/** Returns a lookup of routers that creates each kind on first use. */
+function createRouterCache(model: EngineModel): (kind: RoutingKind) => Router {
   const routers = new Map<RoutingKind, Router>();
   return (kind) => {
     const router = routers.get(kind) ?? createRouter(kind, model);
--- a/packages/heatherarch-daemon/heartbeat_builder.ts
+++ b/packages/heatherarch-daemon/heartbeat_builder.ts
@@ -1,6 +1,6 @@
 /**
- * What this VM tells each peer: progress, targets that are leaving or changing, and the load
- * rows that changed since the last heartbeat on that link.
+ * Builds the heartbeats to each peer. A heartbeat carries this VM's progress, the targets that are
+ * leaving or changing, and the report rows that changed since the last heartbeat on the link.
  *
  * @module
  */
@@ -24,7 +24,7 @@
   readonly membership: Membership;
   readonly table: TargetTable;
   readonly subsetSize: number;
-  /** Whether a peer may plan for the zone and so must know all of its targets. */
+  /** Whether a peer may plan roles for the zone, and therefore needs the reports of all targets. */
   readonly isPlanner: (vmId: string) => boolean;
   readonly readIntervalMs: () => number;
   readonly readProgress: () => {
@@ -33,25 +33,26 @@
     leaving: boolean;
   };
   readonly readDemand: () => Demand;
-  /** What is known of requests that end targets, from a cursor on. */
-  readonly listCrashes: (cursor: number | undefined) => CrashReportPage;
+  /** Lists the crash reports after a cursor. */
+  readonly listCrashReports: (cursor: number | undefined) => CrashReportPage;
 }
 
+/** What has already been sent on a link. */
 interface LinkProgress {
   crashCursor: number | undefined;
   leavingVersion: number;
   rowVersion: number;
-  changing: string;
+  changingKey: string;
 }
 
 type CrashMessage = NonNullable<Heartbeat["crashes"]>[number];
 
-/** A VM of another zone is told of this many times fewer targets. */
-const OTHER_ZONE_DIVISOR = 8;
+/** The subset for a VM of another zone is smaller by this factor. */
+const CROSS_ZONE_SUBSET_DIVISOR = 8;
 
-/** Targets that one peer is told of, as long as the zone's targets are these. */
+/** Targets whose reports are sent to one peer. Valid until the zone's targets change. */
 interface Subset {
-  readonly of: readonly Target[];
+  readonly targets: readonly Target[];
   readonly ids: ReadonlySet<string>;
 }
 
@@ -72,7 +73,7 @@
         crashCursor: undefined,
         leavingVersion: 0,
         rowVersion: 0,
-        changing: "",
+        changingKey: "",
       };
       this.#progress.set(link, progress);
     }
@@ -100,17 +101,20 @@
     return { leavingTargets: leaving.listMarks() };
   }
 
-  /** Each VM passes on what is new to it, so that it reaches all over any links. */
+  /** Every VM forwards crash reports that are new to it, so they reach all VMs over any link. */
   #buildCrashes(progress: LinkProgress): Partial<Heartbeat> {
-    const { reports: notes, cursor } = this.#options.listCrashes(
+    const { reports, cursor } = this.#options.listCrashReports(
       progress.crashCursor,
     );
     progress.crashCursor = cursor;
-    if (notes.length === 0) return {};
-    return { crashes: notes.map((note): CrashMessage => [...note]) };
+    if (reports.length === 0) return {};
+    return { crashes: reports.map((report): CrashMessage => [...report]) };
   }
 
-  /** Own zone: what this VM watches itself. Other zones: all that is known of this zone. */
+  /**
+   * Sends a peer of the own zone the reports of the targets that this VM watches itself, and a peer
+   * of another zone the reports of all targets of the own zone.
+   */
   #buildReports(
     progress: LinkProgress,
     peer: LinkIdentity,
@@ -123,7 +127,7 @@
       (target, report) => {
         if (subset !== undefined && !subset.has(target.id)) return false;
         return sameZone
-          ? report.from === vmId
+          ? report.watcher === vmId
           : target.availabilityZone === availabilityZone;
       },
     );
@@ -132,21 +136,25 @@
   }
 
   /**
-   * The same for all that tell the peer, so that each target of its subset reaches it. Empty
-   * means all.
+   * Picks the ids of the targets whose reports are sent to a peer; undefined means all. All VMs of
+   * the zone pick the same subset for a peer, so the reports of each of its targets reach the peer.
    */
   #pickSubset(peer: LinkIdentity): ReadonlySet<string> | undefined {
     const { table, subsetSize, isPlanner, availabilityZone } = this.#options;
-    const of = table.listZoneTargets(availabilityZone);
-    if (of.length <= subsetSize || isPlanner(peer.id)) return undefined;
+    const targets = table.listZoneTargets(availabilityZone);
+    if (targets.length <= subsetSize || isPlanner(peer.id)) return undefined;
     const known = this.#subsets.get(peer.id);
-    if (known?.of === of) return known.ids;
+    if (known?.targets === targets) return known.ids;
     const sameZone = peer.availabilityZone === availabilityZone;
     const size = sameZone
       ? subsetSize
-      : Math.ceil(subsetSize / OTHER_ZONE_DIVISOR);
-    const picked = pickRendezvous(peer.id, of.map((target) => target.id), size);
-    const subset = { of, ids: new Set(picked) };
+      : Math.ceil(subsetSize / CROSS_ZONE_SUBSET_DIVISOR);
+    const picked = pickRendezvous(
+      peer.id,
+      targets.map((target) => target.id),
+      size,
+    );
+    const subset = { targets, ids: new Set(picked) };
     this.#subsets.set(peer.id, subset);
     return subset.ids;
   }
@@ -155,8 +163,8 @@
     const { table, availabilityZone } = this.#options;
     const { controlOffset, targets } = table.getChanging(availabilityZone);
     const key = targets.join(" ");
-    if (key === progress.changing) return {};
-    progress.changing = key;
+    if (key === progress.changingKey) return {};
+    progress.changingKey = key;
     return { changing: [controlOffset, [...targets]] };
   }
 
@@ -171,14 +179,14 @@
     };
   }
 
-  #summarizeZone(own: number): [number, number] {
+  #summarizeZone(ownOffset: number): [number, number] {
     const { membership, availabilityZone } = this.#options;
     const live = membership.listMembers().filter((member) =>
       member.status === "live" && member.availabilityZone === availabilityZone
     );
     const lowest = live.reduce(
       (low, member) => Math.min(low, member.configOffset),
-      own,
+      ownOffset,
     );
     return [lowest, live.length + 1];
   }
--- a/packages/heatherarch-daemon/metrics.ts
+++ b/packages/heatherarch-daemon/metrics.ts
@@ -1,5 +1,5 @@
 /**
- * Metrics of one process.
+ * Prometheus metrics of one process.
  *
  * @module
  */
@@ -13,7 +13,7 @@
 import { registerViolationListener } from "heatherarch-core";
 import type { GatewayEvents, RequestEnd } from "heatherarch-gateway";
 
-const SECONDS = [
+const LATENCY_BUCKETS_SECONDS = [
   0.005,
   0.01,
   0.025,
@@ -28,7 +28,7 @@
   15,
   60,
 ];
-const GAP_SECONDS = [
+const TOKEN_GAP_BUCKETS_SECONDS = [
   0.005,
   0.01,
   0.015,
@@ -42,15 +42,15 @@
   1,
 ];
 
-/** Finer looks at the event loop cost more than they tell. */
+/** Sampling interval of the event loop delay. A shorter one costs more than it reveals. */
 const EVENT_LOOP_PRECISION_MS = 200;
 
-/** All metrics. */
+/** Registry of all metrics of the process. */
 export class Metrics implements GatewayEvents {
   readonly registry = new Registry();
   readonly requests = this.#createCounter(
     "requests_total",
-    "Requests by how they ended",
+    "Requests by outcome",
     [
       "service",
       "profile",
@@ -59,52 +59,52 @@
   );
   readonly goodput = this.#createCounter(
     "goodput_requests_total",
-    "Whole answers within their deadline",
+    "Complete answers within their deadline",
     ["service", "profile"],
   );
   readonly goodputTokens = this.#createCounter(
     "goodput_tokens_total",
-    "Tokens of whole answers within their deadline",
+    "Tokens of complete answers within their deadline",
     ["service"],
   );
   readonly retries = this.#createCounter(
     "retries_total",
-    "Tries after the first, nothing delivered yet",
+    "Retries before any part of the answer was delivered",
     [
       "reason",
     ],
   );
   readonly continuations = this.#createCounter(
     "continuations_total",
-    "Answers continued on another try after some tokens",
+    "Answers continued by another try after some tokens",
     ["reason"],
   );
   readonly hedges = this.#createCounter(
     "hedges_total",
-    "Second tries sent early",
+    "Hedged second tries",
     [],
   );
   readonly roleChanges = this.#createCounter(
     "role_changes_total",
-    "Role changes concluded under this VM's lease",
+    "Role changes concluded under the lease of this VM",
     ["result"],
   );
   readonly violations = this.#createCounter(
     "invariant_violations_total",
-    "Broken invariants",
+    "Violated invariants",
     [
       "invariant",
     ],
   );
   readonly faults = this.#createCounter(
     "faults_total",
-    "Faults met and handled",
+    "Faults handled",
     ["kind"],
   );
   readonly firstToken = this.#createHistogram(
     "first_token_seconds",
     "Time to the first token",
-    SECONDS,
+    LATENCY_BUCKETS_SECONDS,
     [
       "profile",
     ],
@@ -112,13 +112,13 @@
   readonly tokenGap = this.#createHistogram(
     "token_gap_seconds",
     "Mean gap between tokens of an answer",
-    GAP_SECONDS,
+    TOKEN_GAP_BUCKETS_SECONDS,
     ["profile"],
   );
   readonly duration = this.#createHistogram(
     "request_seconds",
-    "Time to the whole answer",
-    SECONDS,
+    "Time to the complete answer",
+    LATENCY_BUCKETS_SECONDS,
     [
       "service",
     ],
@@ -133,7 +133,7 @@
   );
   readonly leaseHeld = this.#createGauge(
     "lease_held",
-    "1 while this VM may give orders",
+    "1 while this VM may send orders",
   );
   readonly inFlight = this.#createGauge(
     "requests_in_flight",
--- a/packages/heatherarch-daemon/order_executor.ts
+++ b/packages/heatherarch-daemon/order_executor.ts
@@ -1,6 +1,6 @@
 /**
- * Carries out orders under the lease: resolves what a predecessor left open, drains an
- * engine, gives it its order, and waits for the outcome. One order at a time.
+ * Carries out orders under the lease, one at a time: resolves an order that an earlier holder left
+ * open, drains an engine, sends it an order and waits for the outcome.
  *
  * @module
  */
@@ -31,12 +31,12 @@
 import type { Logger } from "./logger.ts";
 import type { TargetTable } from "./target_table.ts";
 import {
-  isAsOrdered,
+  isOrderFulfilled,
   type PlannedOrder,
-  VersionWatch,
-} from "./version_watch.ts";
+  VersionChecker,
+} from "./version_checker.ts";
 
-/** What an order is given under. */
+/** The parts of the control task that give an order its authority. */
 export type OrderAuthority =
   & Pick<ControlTask, "appendAndRead" | "hasAuthority" | "state">
   & { readonly machine: Pick<LeaseStateMachine, "fencing"> };
@@ -56,39 +56,41 @@
   readonly logger: Logger;
   readonly readFleet: () => Fleet | null;
   readonly readDemand: () => Demand;
-  readonly noteOutcome: (result: OrderResult) => void;
+  readonly onOutcome: (result: OrderResult) => void;
 }
 
 const READ_TIMEOUT_MS = 1000;
 const ORDER_TIMEOUT_MS = 2000;
 const APPEND_TIMEOUT_MS = 3000;
-/** Between looks for something to do. */
-const IDLE_MS = 250;
-const LOOP_MS = 100;
-/** Longest wait for the zone's other VMs to have read an intent. */
-const SPREAD_LIMIT_MS = 2000;
-const DRAIN_LIMIT_MS = 60_000;
-/** Idle reads in a row before an engine counts as drained. */
-const IDLE_READS = 3;
-const IDLE_READ_GAP_MS = 150;
-const CHANGE_LIMIT_MS = 60_000;
-/** Why an order that was announced is not given. */
+/** Interval at which the executor checks for an order to carry out. */
+const STEP_INTERVAL_MS = 250;
+const POLL_INTERVAL_MS = 100;
+/** Maximum time to wait until the other VMs of the zone have read an intent. */
+const INTENT_PROPAGATION_TIMEOUT_MS = 2000;
+const DRAIN_TIMEOUT_MS = 60_000;
+/** Number of consecutive idle reads after which an engine counts as drained. */
+const REQUIRED_IDLE_READS = 3;
+const IDLE_READ_INTERVAL_MS = 150;
+const CHANGE_TIMEOUT_MS = 60_000;
+/** Outcome detail of an announced order that is not sent. */
 const LEASE_LAPSED = "authority lapsed before the order was written";
 
-/** Gives orders to the engines of one availability zone. */
+/** Sends orders to the engines of one availability zone. */
 export class OrderExecutor {
   readonly #options: OrderExecutorOptions;
   #planner: RolePlanner | undefined;
-  #plannerOf: Fleet["planning"] | undefined;
+  /** Settings that `#planner` was created with. */
+  #plannerSettings: Fleet["planning"] | undefined;
   #nextPlanMs = 0;
+  /** Monotonic time since which this VM has had authority; undefined without authority. */
   #authorityFromMs: number | undefined;
-  readonly #versions: VersionWatch;
+  readonly #versionChecker: VersionChecker;
   #stopped = false;
   #busy = false;
 
   constructor(options: OrderExecutorOptions) {
     this.#options = options;
-    this.#versions = new VersionWatch({
+    this.#versionChecker = new VersionChecker({
       clock: options.clock,
       table: options.table,
       readState: (target) => this.#readState(target),
@@ -101,15 +103,15 @@
     return this.#busy;
   }
 
-  /** Starts no further order. */
+  /** Prevents further orders from being started. */
   stop(): void {
     this.#stopped = true;
   }
 
-  /** Works until stopped. */
+  /** Carries out orders until stopped. */
   async run(): Promise<void> {
     while (!this.#stopped) {
-      await sleep(IDLE_MS);
+      await sleep(STEP_INTERVAL_MS);
       if (!this.#options.control.hasAuthority()) {
         this.#authorityFromMs = undefined;
         continue;
@@ -126,14 +128,14 @@
 
   async #step(): Promise<void> {
     const { control } = this.#options;
-    const [open] = Object.values(control.state.open);
-    if (open !== undefined) return await this.#resolve(open);
-    const next = await this.#findOutdated() ?? this.#planNext();
+    const [intent] = Object.values(control.state.open);
+    if (intent !== undefined) return await this.#resolveOpenIntent(intent);
+    const next = await this.#findOutdated() ?? this.#planRoleChange();
     if (next !== undefined) await this.#execute(next.target, next.order);
   }
 
-  /** Settles an order that was left open, by what the engine itself says. */
-  async #resolve(intent: OpenIntent): Promise<void> {
+  /** Concludes an order that was left open, according to the state that the engine reports. */
+  async #resolveOpenIntent(intent: OpenIntent): Promise<void> {
     const target = this.#options.table.findTarget(intent.target);
     if (target === undefined) {
       return await this.#conclude(intent, "abandoned", "no such target");
@@ -148,15 +150,18 @@
       return;
     }
     if (state.busyWithOrder) return;
-    const done = isAsOrdered(state, intent.order);
+    const isFulfilled = isOrderFulfilled(state, intent.order);
     await this.#conclude(
       intent,
-      done ? "done" : "abandoned",
+      isFulfilled ? "done" : "abandoned",
       "resolved by the state of the engine",
     );
   }
 
-  /** Engines that ignore fencing numbers are left alone for a time after a takeover. */
+  /**
+   * Whether an engine may receive orders. An engine that doesn't check fencing tokens receives none
+   * for some time after a takeover.
+   */
   #hasSettled(target: Target): boolean {
     if (target.checksFencing) return true;
     const nowMs = this.#options.clock.readMonotonicMs();
@@ -168,17 +173,17 @@
     const fleet = this.#options.readFleet();
     if (fleet === null) return undefined;
     const engines = this.#listEngines(fleet).map(({ id }) => id);
-    return await this.#versions.findOutdated(fleet, engines);
+    return await this.#versionChecker.findOutdated(fleet, engines);
   }
 
-  #planNext(): PlannedOrder | undefined {
+  #planRoleChange(): PlannedOrder | undefined {
     const fleet = this.#options.readFleet();
     const nowMs = this.#options.clock.readMonotonicMs();
     if (fleet === null || nowMs < this.#nextPlanMs) return undefined;
     this.#nextPlanMs = nowMs + fleet.planning.intervalMs;
     const engines = this.#listEngines(fleet);
-    if (this.#plannerOf !== fleet.planning) {
-      this.#plannerOf = fleet.planning;
+    if (this.#plannerSettings !== fleet.planning) {
+      this.#plannerSettings = fleet.planning;
       this.#planner = createRolePlanner(fleet.planning, this.#options.model);
     }
     const change = this.#planner?.plan({
@@ -195,7 +200,7 @@
 
   #listEngines(fleet: Fleet): PlannedEngine[] {
     const { availabilityZone, table } = this.#options;
-    const models = new Set(
+    const modelServices = new Set(
       fleet.services.filter((service) => service.kind === "model").map((
         service,
       ) => service.name),
@@ -204,7 +209,7 @@
       .filter((status) =>
         status.availabilityZone === availabilityZone && status.usable
       )
-      .filter((status) => models.has(status.service))
+      .filter((status) => modelServices.has(status.service))
       .map((status) => ({
         id: status.id,
         role: status.role,
@@ -212,11 +217,11 @@
       }));
   }
 
-  /** Intent, drain, order, wait, outcome. */
+  /** Announces an order, drains the engine, sends the order and concludes it with its outcome. */
   async #execute(target: Target, order: EngineOrder): Promise<void> {
     const { control, logger } = this.#options;
     const id = createId("ord");
-    const announced = await control.appendAndRead(
+    const isAnnounced = await control.appendAndRead(
       {
         type: "intent",
         format: CONTROL_FORMAT,
@@ -228,19 +233,19 @@
       (state) => state.open[target.id]?.intentId === id,
       APPEND_TIMEOUT_MS,
     );
-    if (!announced) return;
+    if (!isAnnounced) return;
     const intent = control.state.open[target.id];
     const announcedAtMs = this.#options.clock.readMonotonicMs();
     logger.info("order announced", {
       target: target.id,
       order: describeOrder(order),
     });
-    const problem = await this.#drain(target, intent);
-    if (problem !== "") {
-      return await this.#conclude(intent, "abandoned", problem);
+    const drainFailure = await this.#drain(target, intent);
+    if (drainFailure !== "") {
+      return await this.#conclude(intent, "abandoned", drainFailure);
     }
-    const answer = await this.#give(target, intent);
-    if (answer !== "") return await this.#conclude(intent, "failed", answer);
+    const failure = await this.#sendOrder(target, intent);
+    if (failure !== "") return await this.#conclude(intent, "failed", failure);
     await this.#awaitOutcome(target, intent);
     if (order.kind !== "setRole") return;
     this.#planner?.recordChange?.(
@@ -248,37 +253,41 @@
     );
   }
 
-  /** Waits until no VM sends the engine new work and it has finished what it had. */
+  /**
+   * Waits until no VM sends new requests to the engine and the engine is idle. Returns the reason
+   * if the engine could not be drained, and an empty string otherwise.
+   */
   async #drain(target: Target, intent: OpenIntent): Promise<string> {
     const { clock, control } = this.#options;
     const startMs = clock.readMonotonicMs();
     while (
-      !this.#hasSpread(intent) &&
-      clock.readMonotonicMs() - startMs < SPREAD_LIMIT_MS
+      !this.#hasPropagated(intent) &&
+      clock.readMonotonicMs() - startMs < INTENT_PROPAGATION_TIMEOUT_MS
     ) {
-      await sleep(LOOP_MS);
+      await sleep(POLL_INTERVAL_MS);
     }
     let idleReads = 0;
-    while (idleReads < IDLE_READS) {
+    while (idleReads < REQUIRED_IDLE_READS) {
       if (!control.hasAuthority() || this.#stopped) {
         return "authority lost while draining";
       }
-      if (clock.readMonotonicMs() - startMs > DRAIN_LIMIT_MS) {
+      if (clock.readMonotonicMs() - startMs > DRAIN_TIMEOUT_MS) {
         return "draining took too long";
       }
       if (this.#findStatus(target.id).directive !== "active") {
         return "target is leaving";
       }
       const state = await this.#readState(target);
-      const idle = state !== undefined && state.running + state.waiting === 0;
-      const own = this.#findStatus(target.id).outstandingHere;
-      idleReads = idle && own === 0 ? idleReads + 1 : 0;
-      await sleep(IDLE_READ_GAP_MS);
+      const isIdle = state !== undefined && state.running + state.waiting === 0;
+      const outstanding = this.#findStatus(target.id).outstandingHere;
+      idleReads = isIdle && outstanding === 0 ? idleReads + 1 : 0;
+      await sleep(IDLE_READ_INTERVAL_MS);
     }
     return "";
   }
 
-  #hasSpread(intent: OpenIntent): boolean {
+  /** Whether all other live VMs of the zone have read an intent. */
+  #hasPropagated(intent: OpenIntent): boolean {
     const { membership, availabilityZone } = this.#options;
     return membership.listMembers()
       .filter((member) => member.status === "live")
@@ -286,18 +295,21 @@
       .every((member) => member.controlOffset >= intent.offset);
   }
 
-  /** Gives the order; the reason where it was not taken. */
-  async #give(target: Target, intent: OpenIntent): Promise<string> {
+  /**
+   * Sends an order. Returns the reason if the engine did not accept it, and an empty string if the
+   * engine accepted it or may have done so.
+   */
+  async #sendOrder(target: Target, intent: OpenIntent): Promise<string> {
     const { control, table } = this.#options;
     const engine = table.getEngine(target);
-    const before = await this.#readState(target);
-    if (before === undefined || before.busyWithOrder) {
+    const state = await this.#readState(target);
+    if (state === undefined || state.busyWithOrder) {
       return "engine not ready for an order";
     }
     const { claimOffset } = intent;
     const isUnderOwnClaim = (): boolean =>
       control.hasAuthority() && control.machine.fencing === claimOffset;
-    // The lease may have lapsed and been claimed again while the engine was read.
+    // The lease may have lapsed and been claimed again during the read of the engine's state.
     if (!isUnderOwnClaim()) return LEASE_LAPSED;
     const answer = await engine.giveOrder(intent.order, {
       fencing: claimOffset,
@@ -306,7 +318,7 @@
     });
     switch (answer.kind) {
       case "accepted":
-      // The order may have arrived: what the engine does next tells.
+      // The order may have arrived. The engine's state shows the outcome.
       case "unknown":
         return "";
       case "fenced":
@@ -323,13 +335,13 @@
     const startMs = clock.readMonotonicMs();
     while (
       control.hasAuthority() &&
-      clock.readMonotonicMs() - startMs < CHANGE_LIMIT_MS
+      clock.readMonotonicMs() - startMs < CHANGE_TIMEOUT_MS
     ) {
-      await sleep(LOOP_MS);
+      await sleep(POLL_INTERVAL_MS);
       const state = await this.#readState(target);
       if (state === undefined || state.busyWithOrder) continue;
-      const done = isAsOrdered(state, intent.order);
-      return await this.#conclude(intent, done ? "done" : "failed", "");
+      const isFulfilled = isOrderFulfilled(state, intent.order);
+      return await this.#conclude(intent, isFulfilled ? "done" : "failed", "");
     }
     if (control.hasAuthority()) {
       await this.#conclude(intent, "failed", "no outcome in time");
@@ -341,9 +353,9 @@
     result: OrderResult,
     detail: string,
   ): Promise<void> {
-    const { control, logger, noteOutcome } = this.#options;
+    const { control, logger, onOutcome: noteOutcome } = this.#options;
     const { intentId, target } = intent;
-    const read = await control.appendAndRead(
+    const isRead = await control.appendAndRead(
       {
         type: "outcome",
         format: CONTROL_FORMAT,
@@ -356,7 +368,7 @@
       (state) => state.open[target]?.intentId !== intentId,
       APPEND_TIMEOUT_MS,
     );
-    if (!read) return;
+    if (!isRead) return;
     noteOutcome(result);
     logger.info("order concluded", {
       target,
@@ -366,6 +378,7 @@
     });
   }
 
+  /** Reads an engine's state; undefined if the read fails. */
   async #readState(target: Target): Promise<EngineState | undefined> {
     try {
       const engine = this.#options.table.getEngine(target);
--- a/packages/heatherarch-daemon/version_watch.ts
+++ b/packages/heatherarch-daemon/version_checker.ts
@@ -1,5 +1,5 @@
 /**
- * Finds engines whose model or version is not the published one.
+ * Finds engines whose model or version differs from the published one.
  *
  * @module
  */
@@ -7,62 +7,69 @@
 import type { Fleet, Target } from "heatherarch-settings";
 import type { TargetTable } from "./target_table.ts";
 
-/** An order and the engine that it is for. */
+/** An order and the engine that receives it. */
 export interface PlannedOrder {
   readonly target: Target;
   readonly order: EngineOrder;
 }
 
-/** Options of {@linkcode VersionWatch}. */
-export interface VersionWatchOptions {
+/** Options of {@linkcode VersionChecker}. */
+export interface VersionCheckerOptions {
   readonly clock: Clock;
   readonly table: Pick<TargetTable, "findTarget">;
-  /** Reads an engine's state; undefined where it does not answer. */
+  /** Reads an engine's state; undefined if the engine doesn't respond. */
   readonly readState: (target: Target) => Promise<EngineState | undefined>;
-  /** Whether an engine may be given an order now. */
+  /** Whether an engine may receive an order now. */
   readonly mayOrder: (target: Target) => boolean;
 }
 
-/** Engines whose version is looked at in one step. */
-const VERIFIED_PER_STEP = 4;
-/** An engine may have been restarted with other weights: all are looked at again. */
-const VERIFY_AGAIN_MS = 30_000;
+/** Maximum number of engines that are checked in one step. */
+const MAX_CHECKS_PER_STEP = 4;
+/** All engines are checked again at this interval: one may have restarted with other weights. */
+const REVERIFY_INTERVAL_MS = 30_000;
 
-/** Looks at the engines of one availability zone, a few at a time. */
-export class VersionWatch {
-  readonly #options: VersionWatchOptions;
-  /** Engines seen with the published model and version. */
+/** Checks the engines of one availability zone, a few at a time. */
+export class VersionChecker {
+  readonly #options: VersionCheckerOptions;
+  /** Ids of the engines that run the published model and version. */
   readonly #verified = new Set<string>();
-  #verifiedOf: Fleet | undefined;
-  #verifyAgainMs = 0;
+  #verifiedFleet: Fleet | undefined;
+  #nextClearMs = 0;
 
-  constructor(options: VersionWatchOptions) {
+  constructor(options: VersionCheckerOptions) {
     this.#options = options;
   }
 
-  /** An engine that is to load another model or version. One is changed at a time. */
+  /**
+   * Returns an order for an engine that must load another model or version. One engine is changed
+   * at a time.
+   */
   async findOutdated(
     fleet: Fleet,
     engines: readonly string[],
   ): Promise<PlannedOrder | undefined> {
-    this.#forgetOld(fleet);
+    this.#clearWhenDue(fleet);
     const unverified = engines.filter((id) => !this.#verified.has(id));
-    for (const id of unverified.slice(0, VERIFIED_PER_STEP)) {
-      const planned = await this.#check(fleet, id);
+    for (const id of unverified.slice(0, MAX_CHECKS_PER_STEP)) {
+      const planned = await this.#checkEngine(fleet, id);
       if (planned !== undefined) return planned;
     }
     return undefined;
   }
 
-  #forgetOld(fleet: Fleet): void {
+  /** Forgets the verified engines after a change of the fleet and at each interval. */
+  #clearWhenDue(fleet: Fleet): void {
     const nowMs = this.#options.clock.readMonotonicMs();
-    if (this.#verifiedOf === fleet && nowMs < this.#verifyAgainMs) return;
-    this.#verifiedOf = fleet;
-    this.#verifyAgainMs = nowMs + VERIFY_AGAIN_MS;
+    if (this.#verifiedFleet === fleet && nowMs < this.#nextClearMs) return;
+    this.#verifiedFleet = fleet;
+    this.#nextClearMs = nowMs + REVERIFY_INTERVAL_MS;
     this.#verified.clear();
   }
 
-  async #check(fleet: Fleet, id: string): Promise<PlannedOrder | undefined> {
+  async #checkEngine(
+    fleet: Fleet,
+    id: string,
+  ): Promise<PlannedOrder | undefined> {
     const { table, readState, mayOrder } = this.#options;
     const target = table.findTarget(id);
     const service = fleet.services.find(({ name }) => name === target?.service);
@@ -72,7 +79,7 @@
     const { models, version } = service;
     const model = models.includes(state.model) ? state.model : models[0];
     const order: EngineOrder = { kind: "loadModel", model, version };
-    if (!isAsOrdered(state, order)) {
+    if (!isOrderFulfilled(state, order)) {
       return mayOrder(target) ? { target, order } : undefined;
     }
     this.#verified.add(id);
@@ -80,8 +87,11 @@
   }
 }
 
-/** Whether an engine is as an order wants it. */
-export function isAsOrdered(state: EngineState, order: EngineOrder): boolean {
+/** Whether an engine is in the state that an order asks for. */
+export function isOrderFulfilled(
+  state: EngineState,
+  order: EngineOrder,
+): boolean {
   return order.kind === "setRole"
     ? state.role === order.role
     : state.model === order.model && state.version === order.version;
