--- a/packages/heatherarch-forward/calls/attempt_result.ts
+++ b/packages/heatherarch-forward/calls/attempt_result.ts
@@ -19,7 +19,7 @@
   | {
     readonly kind: "answer";
     readonly head: ResponseHead;
-    readonly facts: ResponseMetadata;
+    readonly metadata: ResponseMetadata;
   }
   /** Nothing reached the target; with `isWithheld` it was not tried. */
   | {
@@ -54,41 +54,41 @@
 }
 
 /** A target that has answered another call within this time is alive, milliseconds. */
-const ALIVE_MS = 500;
+const ALIVE_WINDOW_MS = 500;
 /**
  * An engine that refused a request for its role gets no work for this long, milliseconds; by
  * then its entry in the list has told the role (entries are written every 1.2 s).
  */
-const OTHER_ROLE_REST_MS = 1500;
-const SUCCESS = { least: 200, most: 299 };
+const OTHER_ROLE_AVOID_MS = 1500;
+const SUCCESS_STATUS = { least: 200, most: 299 };
 
 /** Whether a status says that all went well. */
 export function isSuccessStatus(status: number): boolean {
-  return status >= SUCCESS.least && status <= SUCCESS.most;
+  return status >= SUCCESS_STATUS.least && status <= SUCCESS_STATUS.most;
 }
 
 /** Waits for the head of an answer, judges it, and notes what it says of the target. */
 export async function awaitAttempt(
   options: AwaitAttemptOptions,
 ): Promise<AttemptResult> {
-  const { run, target, exchange, stage } = options;
-  const stopTimer = startTimer(options);
-  let end: AttemptResult;
+  const { run: context, target, exchange, stage } = options;
+  const stopTimer = startSilenceTimer(options);
+  let result: AttemptResult;
   try {
-    end = judgeHead(run, target, exchange, await exchange.head);
+    result = classifyHead(context, target, exchange, await exchange.head);
   } catch (error) {
     if (!(error instanceof ExchangeError)) throw error;
-    end = judgeError(error);
+    result = classifyError(error);
   } finally {
     stopTimer();
   }
-  if (run.hasEnded) return { kind: "over" };
-  noteEnd(run, target, stage, end);
-  return end;
+  if (context.hasEnded) return { kind: "over" };
+  recordResult(context, target, stage, result);
+  return result;
 }
 
 /** Gives the exchange up when its target stays silent; returns what ends the watch. */
-function startTimer(options: AwaitAttemptOptions): () => void {
+function startSilenceTimer(options: AwaitAttemptOptions): () => void {
   const {
     run,
     target,
@@ -99,19 +99,21 @@
   if (timeoutMs === undefined) return () => undefined;
   const sentAtMs = run.nowMs;
   let timer: NodeJS.Timeout;
-  const look = (): void => {
+  const checkSilence = (): void => {
     const heardAtMs = run.dependencies.health.getLastAnswerAtMs(target.id);
-    if (isPatient && run.nowMs - heardAtMs < ALIVE_MS) {
-      timer = setTimeout(look, ALIVE_MS);
+    if (isPatient && run.nowMs - heardAtMs < ALIVE_WINDOW_MS) {
+      timer = setTimeout(checkSilence, ALIVE_WINDOW_MS);
       return;
     }
     exchange.abort(`silent for ${Math.round(run.nowMs - sentAtMs)} ms`);
   };
-  timer = setTimeout(look, timeoutMs);
+  timer = setTimeout(checkSilence, timeoutMs);
   return () => clearTimeout(timer);
 }
 
-function judgeError({ fault, message: reason }: ExchangeError): AttemptResult {
+function classifyError(
+  { fault, message: reason }: ExchangeError,
+): AttemptResult {
   const isWithheld = fault === "withheld";
   if (fault === "notSent" || isWithheld) {
     return { kind: "notSent", reason, isWithheld };
@@ -119,23 +121,23 @@
   return { kind: "lost", reason };
 }
 
-function judgeHead(
-  run: CallContext,
+function classifyHead(
+  context: CallContext,
   target: Target,
   exchange: TargetExchange,
   head: ResponseHead,
 ): AttemptResult {
-  const facts = run.dependencies.codec.decodeResponse(
+  const metadata = context.dependencies.codec.decodeResponse(
     head.status,
     head.headers,
   );
-  if (facts.callId !== undefined && facts.callId !== run.call.id) {
+  if (metadata.callId !== undefined && metadata.callId !== context.call.id) {
     exchange.abort("answer to another call");
-    return { kind: "lost", reason: `answer to call ${facts.callId}` };
+    return { kind: "lost", reason: `answer to call ${metadata.callId}` };
   }
-  if (facts.misdirected) {
+  if (metadata.misdirected) {
     exchange.abort("misdirected");
-    const { answeredBy } = facts;
+    const { answeredBy } = metadata;
     const isOther = answeredBy !== undefined &&
       answeredBy !== (target.instance ?? target.id);
     return {
@@ -144,7 +146,7 @@
       refusal: isOther ? "otherIncarnation" : "otherRole",
     };
   }
-  if (facts.notRun) {
+  if (metadata.notRun) {
     // The body is of no interest; reading it keeps the connection.
     exchange.setBodyListener({
       onData: ignore,
@@ -161,7 +163,7 @@
     exchange.abort("encoded body");
     return { kind: "lost", reason: "answer in an encoding nobody asked for" };
   }
-  return { kind: "answer", head, facts };
+  return { kind: "answer", head, metadata: metadata };
 }
 
 function ignore(): void {
@@ -169,52 +171,54 @@
 }
 
 /** Tells the beliefs and the log how a try went. */
-function noteEnd(
-  run: CallContext,
+function recordResult(
+  context: CallContext,
   target: Target,
   stage: string,
-  end: AttemptResult,
+  result: AttemptResult,
 ): void {
   const { health, directory, crashDetector: losses, log, metrics } =
-    run.dependencies;
-  const outcome = end.kind === "answer" ? String(end.head.status) : end.kind;
+    context.dependencies;
+  const outcome = result.kind === "answer"
+    ? String(result.head.status)
+    : result.kind;
   metrics.tries.inc({ stage, outcome });
-  const nowMs = run.nowMs;
-  if (end.kind === "notRun" && end.refusal === "otherIncarnation") {
+  const nowMs = context.nowMs;
+  if (result.kind === "notRun" && result.refusal === "otherIncarnation") {
     directory.markReplaced(target.id);
     health.forget(target.id);
     losses.recordCrash(target.id, "replaced");
   }
-  if (end.kind === "notRun" && end.refusal === "otherRole") {
-    health.avoidUntil(target.id, nowMs + OTHER_ROLE_REST_MS);
+  if (result.kind === "notRun" && result.refusal === "otherRole") {
+    health.avoidUntil(target.id, nowMs + OTHER_ROLE_AVOID_MS);
   }
-  const isWithheld = end.kind === "notSent" && end.isWithheld;
+  const isWithheld = result.kind === "notSent" && result.isWithheld;
   const isNowAvoided = !isWithheld &&
-    health.recordOutcome(target.id, rateEnd(end), nowMs);
+    health.recordOutcome(target.id, rateResult(result), nowMs);
   if (isNowAvoided) {
     log.write("warn", "targetAvoided", {
-      call: run.call.id,
+      call: context.call.id,
       target: target.id,
       address: target.address,
       stage,
-      reason: "reason" in end ? end.reason : outcome,
+      reason: "reason" in result ? result.reason : outcome,
     });
   }
-  if (end.kind === "answer") return;
+  if (result.kind === "answer") return;
   log.write("info", "tryEnded", {
-    call: run.call.id,
+    call: context.call.id,
     target: target.id,
     stage,
-    outcome: end.kind,
-    reason: "reason" in end ? end.reason : undefined,
-    atMs: Math.round(nowMs - run.call.arrivedAtMs),
+    outcome: result.kind,
+    reason: "reason" in result ? result.reason : undefined,
+    atMs: Math.round(nowMs - context.call.arrivedAtMs),
   });
 }
 
-function rateEnd(end: AttemptResult): TryOutcome {
-  switch (end.kind) {
+function rateResult(result: AttemptResult): TryOutcome {
+  switch (result.kind) {
     case "answer":
-      return end.head.status >= 500 ? "failed" : "answered";
+      return result.head.status >= 500 ? "failed" : "answered";
     case "notSent":
       return "unreachable";
     case "notRun":
--- a/packages/heatherarch-forward/calls/call_context.ts
+++ b/packages/heatherarch-forward/calls/call_context.ts
@@ -45,8 +45,8 @@
 /** A trial takes as long as a run of the request, and the report of its end to all VMs. */
 const TRIAL_RETRY_AFTER_MS = 1000;
 /** Share of a rest by which `Retry-After` is jittered. */
-const REST_SPREAD = 0.25;
-const HELD_REASON =
+const BACKOFF_JITTER_SHARE = 0.25;
+const QUARANTINED_REASON =
   "the request is quarantined: it crashed the targets that ran it";
 /** Pauses between tries that found no target at once, milliseconds. */
 const MIN_RETRY_AFTER_MS = 100;
@@ -61,14 +61,14 @@
   /** Monotonic time at which neither client nor route waits any longer. */
   readonly deadlineAtMs: number;
   readonly #configVersion: number;
-  readonly #guard: QuarantineGuard;
+  readonly #quarantineGuard: QuarantineGuard;
   readonly #timer: NodeJS.Timeout;
-  readonly #undoGone: () => void;
+  readonly #removeDisconnectListener: () => void;
   readonly #ended: Promise<void>;
   #resolveEnded!: () => void;
   #exchange: TargetExchange | undefined;
   #outcome: CallOutcome | undefined;
-  #tries = 0;
+  #attempts = 0;
   #lastTarget: string | undefined;
   /** Targets on which the call runs, or may have run. */
   #runs = 0;
@@ -91,14 +91,13 @@
       () => this.#expire(),
       Math.max(0, this.remainingMs),
     );
-    this.#guard = new QuarantineGuard({
+    this.#quarantineGuard = new QuarantineGuard({
       dependencies: options.dependencies,
       call: options.call,
-      onQuarantined: (held) => this.#holdBack(held),
+      onQuarantined: (quarantined) => this.#handleQuarantine(quarantined),
     });
-    this.#undoGone = this.clientResponse.registerDisconnectListener(() =>
-      this.#leave()
-    );
+    this.#removeDisconnectListener = this.clientResponse
+      .registerDisconnectListener(() => this.#handleDisconnect());
     this.dependencies.retryBudget.recordCall(this.service.name, this.nowMs);
   }
 
@@ -140,12 +139,14 @@
 
   /** Refuses the call if its request may not be sent; returns whether it goes on. */
   admit(): boolean {
-    const admission = this.#guard.admit();
-    if (admission.kind === "quarantined") this.#refuseHeld(admission.entry);
+    const admission = this.#quarantineGuard.admit();
+    if (admission.kind === "quarantined") {
+      this.#refuseQuarantined(admission.entry);
+    }
     if (admission.kind === "onTrial") {
       this.refuse("overloaded", "another copy of the request is on trial", {
         retryAfterMs: TRIAL_RETRY_AFTER_MS,
-        detail: { request: this.#guard.digest },
+        detail: { request: this.#quarantineGuard.digest },
       });
     }
     return !this.hasEnded;
@@ -156,12 +157,12 @@
    * the call if its request is quarantined.
    */
   async mayRetry(): Promise<boolean> {
-    const mayRepeat = await this.#guard.mayRetry();
+    const mayRepeat = await this.#quarantineGuard.mayRetry();
     if (this.hasEnded) return false;
-    const held = this.#guard.findQuarantined();
-    if (held === undefined) return mayRepeat;
-    if (this.mayHaveRun) this.fail("targetFailed", HELD_REASON);
-    else this.#refuseHeld(held);
+    const quarantined = this.#quarantineGuard.findQuarantined();
+    if (quarantined === undefined) return mayRepeat;
+    if (this.mayHaveRun) this.fail("targetFailed", QUARANTINED_REASON);
+    else this.#refuseQuarantined(quarantined);
     return false;
   }
 
@@ -175,13 +176,13 @@
   /** Sends a try and makes it the one that an early end of the call cancels. */
   send(target: Target, request: EncodedRequest): TargetExchange {
     assertInvariant(!this.hasEnded, "call-open", this.call.id);
-    this.#tries++;
+    this.#attempts++;
     this.#lastTarget = target.id;
-    const exchange = this.#guard.findQuarantined() === undefined
+    const exchange = this.#quarantineGuard.findQuarantined() === undefined
       ? this.dependencies.connections.send(target, request)
       : buildWithheldExchange("the request is quarantined");
     this.#exchange = exchange;
-    this.#guard.trackExchange(target, exchange);
+    this.#quarantineGuard.trackExchange(target, exchange);
     return exchange;
   }
 
@@ -209,8 +210,8 @@
     if (this.#outcome !== undefined) return;
     this.#outcome = outcome;
     clearTimeout(this.#timer);
-    this.#undoGone();
-    this.#guard.end(outcome === "delivered");
+    this.#removeDisconnectListener();
+    this.#quarantineGuard.end(outcome === "delivered");
     const { log, metrics } = this.dependencies;
     const { kind } = this.route;
     metrics.calls.inc({ kind, outcome });
@@ -221,7 +222,7 @@
       route: this.route.name,
       kind,
       outcome,
-      tries: this.#tries,
+      tries: this.#attempts,
       lastTarget: this.#lastTarget,
       runs: this.#runs,
       tookMs: Math.round(this.nowMs - this.call.arrivedAtMs),
@@ -252,11 +253,11 @@
   }
 
   /** Refuses the call: all targets that could serve it rest, the first one for `restMs`. */
-  refuseForBackoff(restMs: number): void {
-    const spread = 1 + this.dependencies.drawUnit() * REST_SPREAD;
+  refuseForBackoff(backoffMs: number): void {
+    const jitter = 1 + this.dependencies.drawUnit() * BACKOFF_JITTER_SHARE;
     this.refuse("overloaded", "all targets have asked for rest", {
-      retryAfterMs: restMs * spread,
-      detail: { restMs: Math.round(restMs) },
+      retryAfterMs: backoffMs * jitter,
+      detail: { backoffMs: Math.round(backoffMs) },
     });
   }
 
@@ -273,16 +274,16 @@
   }
 
   /** Ends a call that has not run yet; one that runs may still succeed and clear the request. */
-  #holdBack(held: QuarantinedRequest): void {
+  #handleQuarantine(quarantined: QuarantinedRequest): void {
     if (this.hasEnded || this.mayHaveRun) return;
     const exchange = this.#exchange;
-    this.#refuseHeld(held);
-    exchange?.abort(HELD_REASON);
+    this.#refuseQuarantined(quarantined);
+    exchange?.abort(QUARANTINED_REASON);
   }
 
-  #refuseHeld({ request, lives, untilMs }: QuarantinedRequest): void {
+  #refuseQuarantined({ request, lives, untilMs }: QuarantinedRequest): void {
     this.dependencies.metrics.callsQuarantined.inc();
-    this.refuse("quarantined", HELD_REASON, {
+    this.refuse("quarantined", QUARANTINED_REASON, {
       retryAfterMs: untilMs - this.nowMs,
       detail: { request, endedTargets: lives },
     });
@@ -301,7 +302,7 @@
     exchange?.abort(reason);
   }
 
-  #leave(): void {
+  #handleDisconnect(): void {
     if (this.hasEnded) return;
     const exchange = this.#exchange;
     this.finish("clientGone");
--- a/packages/heatherarch-forward/calls/call_server.ts
+++ b/packages/heatherarch-forward/calls/call_server.ts
@@ -37,15 +37,15 @@
 
 /** Serves calls by the configuration in force. */
 export class CallServer {
-  readonly #serving: CallDependencies;
+  readonly #dependencies: CallDependencies;
 
-  constructor(serving: CallDependencies) {
-    this.#serving = serving;
+  constructor(dependencies: CallDependencies) {
+    this.#dependencies = dependencies;
   }
 
   /** Serves one call to its end. Never rejects. */
   async serve(call: ForwardedCall, response: ClientResponse): Promise<void> {
-    const { metrics, log } = this.#serving;
+    const { metrics, log } = this.#dependencies;
     metrics.inFlight.inc();
     try {
       await this.#route(call, response);
@@ -62,38 +62,48 @@
     }
   }
 
-  async #route(call: ForwardedCall, caller: ClientResponse): Promise<void> {
-    const { table } = this.#serving.activeConfig;
+  async #route(call: ForwardedCall, response: ClientResponse): Promise<void> {
+    const { table } = this.#dependencies.activeConfig;
     if (table === undefined) {
-      return this.#reject(call, caller, "notReady", "no configuration yet");
+      return this.#reject(call, response, "notReady", "no configuration yet");
     }
     const route = table.findRoute(call.host, call.path);
     if (route === undefined) {
-      return this.#reject(call, caller, "notFound", "no route takes the path");
+      return this.#reject(
+        call,
+        response,
+        "notFound",
+        "no route takes the path",
+      );
     }
     const service = this.#pickService(table, route, call);
     if (service === undefined) {
-      return this.#reject(call, caller, "noTarget", "route without a service");
+      return this.#reject(
+        call,
+        response,
+        "noTarget",
+        "route without a service",
+      );
     }
-    const run = new CallContext({
-      dependencies: this.#serving,
+    const context = new CallContext({
+      dependencies: this.#dependencies,
       call,
       route,
       service,
       configVersion: table.version,
-      clientResponse: caller,
+      clientResponse: response,
     });
-    await this.#serveRun(run);
+    await this.#handleCall(context);
   }
 
-  async #serveRun(run: CallContext): Promise<void> {
-    if (!run.admit()) return;
-    const isStream = run.route.kind === "stream" ||
-      run.route.kind === "resumableStream";
-    if (!isStream) return await new PlainCallHandler(run).serve();
-    const prompt = run.call.generation ?? UNKNOWN_PROMPT;
-    const traits = run.service.engine ?? UNKNOWN_ENGINE;
-    await new GenerationHandler(run, prompt, traits).serve();
+  async #handleCall(context: CallContext): Promise<void> {
+    if (!context.admit()) return;
+    const isStream = context.route.kind === "stream" ||
+      context.route.kind === "resumableStream";
+    if (!isStream) return await new PlainCallHandler(context).serve();
+    const prompt = context.call.generation ?? UNKNOWN_PROMPT;
+    const traits = context.service.engine ?? UNKNOWN_ENGINE;
+    await new GenerationHandler(context, prompt, traits).serve();
   }
 
   /** The service that the weights draw; another of the route where that one has no target. */
@@ -103,7 +113,7 @@
     call: ForwardedCall,
   ): ServiceSpec | undefined {
     const names = table.listServices(route, call.id);
-    const { directory } = this.#serving;
+    const { directory } = this.#dependencies;
     const served = names.find((name) => directory.listServing(name).length > 0);
     const name = served ?? names[0];
     return name === undefined ? undefined : table.findService(name);
@@ -111,12 +121,12 @@
 
   #reject(
     call: ForwardedCall,
-    caller: ClientResponse,
+    response: ClientResponse,
     kind: "notReady" | "notFound" | "noTarget",
     reason: string,
   ): void {
-    const { activeConfig: configs, log, clock } = this.#serving;
-    caller.fail(new ServeError(kind, reason), call.id);
+    const { activeConfig: configs, log, clock } = this.#dependencies;
+    response.fail(new ServeError(kind, reason), call.id);
     log.write("warn", "callRejected", {
       call: call.id,
       kind,
--- a/packages/heatherarch-forward/calls/client_response.ts
+++ b/packages/heatherarch-forward/calls/client_response.ts
@@ -11,21 +11,21 @@
 /** Writes one answer to a client. */
 export class ClientResponse {
   readonly #response: ServerResponse;
-  readonly #goneListeners = new Set<() => void>();
-  #gone = false;
+  readonly #disconnectListeners = new Set<() => void>();
+  #disconnected = false;
 
   constructor(response: ServerResponse) {
     this.#response = response;
     response.on("close", () => {
-      if (response.writableFinished || this.#gone) return;
-      this.#gone = true;
-      for (const listener of this.#goneListeners) listener();
+      if (response.writableFinished || this.#disconnected) return;
+      this.#disconnected = true;
+      for (const listener of this.#disconnectListeners) listener();
     });
   }
 
   /** The client closed its connection before the answer was out. */
   get isDisconnected(): boolean {
-    return this.#gone;
+    return this.#disconnected;
   }
 
   /** Whether the head of an answer has been written. */
@@ -35,9 +35,9 @@
 
   /** Registers a listener for the client's leaving and returns its undo. */
   registerDisconnectListener(listener: () => void): () => void {
-    this.#goneListeners.add(listener);
+    this.#disconnectListeners.add(listener);
     return () => {
-      this.#goneListeners.delete(listener);
+      this.#disconnectListeners.delete(listener);
     };
   }
 
@@ -76,7 +76,7 @@
 
   /** Answers with an error of this VM's own. */
   fail(error: ServeError, callId: string): void {
-    if (this.#gone || this.#response.headersSent) return;
+    if (this.#disconnected || this.#response.headersSent) return;
     const body = Buffer.from(JSON.stringify(buildErrorBody(error, callId)));
     this.#response.statusCode = error.status;
     this.#response.setHeader("content-type", "application/json");
--- a/packages/heatherarch-forward/calls/generation_handler.ts
+++ b/packages/heatherarch-forward/calls/generation_handler.ts
@@ -44,65 +44,65 @@
 /** With less time left than this a first token can't reach the client, milliseconds. */
 const MIN_ROUND_MS = 40;
 /** A resumable run that is silent for this long goes on elsewhere, milliseconds. */
-const RUN_SILENCE_MS = 900;
+const RUN_SILENCE_TIMEOUT_MS = 900;
 /** Pause between looks for an engine that generates, milliseconds. */
-const RUNNER_LOOK_MS = 40;
+const DECODE_ENGINE_POLL_MS = 40;
 /** Wait that a refused caller is told at least, milliseconds. */
 const MIN_RETRY_AFTER_MS = 200;
 
-type Answer = Extract<AttemptResult, { kind: "answer" }>;
+type AttemptResponse = Extract<AttemptResult, { kind: "answer" }>;
 type TooLate = Extract<PrefillResult, { kind: "tooLate" }>;
 
 /** Serves one generation. */
 export class GenerationHandler {
-  readonly #run: CallContext;
+  readonly #context: CallContext;
   readonly #prompt: GenerationParams;
   readonly #traits: EngineTraits;
-  readonly #reading: PromptPrefill;
+  readonly #prefill: PromptPrefill;
   readonly #relay: StreamRelay;
   readonly #tried = new Set<string>();
   #reason = "no engine took the call";
 
   constructor(
-    run: CallContext,
+    context: CallContext,
     prompt: GenerationParams,
     traits: EngineTraits,
   ) {
-    this.#run = run;
+    this.#context = context;
     this.#prompt = prompt;
     this.#traits = traits;
-    this.#reading = new PromptPrefill({ run, prompt, traits });
+    this.#prefill = new PromptPrefill({ run: context, prompt, traits });
     this.#relay = new StreamRelay({
-      clientResponse: run.clientResponse,
-      isResumable: run.route.kind === "resumableStream",
-      onFirstByte: () => this.#noteFirstByte(),
+      clientResponse: context.clientResponse,
+      isResumable: context.route.kind === "resumableStream",
+      onFirstByte: () => this.#recordFirstByte(),
     });
   }
 
   async serve(): Promise<void> {
-    for (let round = 0; round < MAX_ROUNDS && this.#mayGoOn(); round++) {
-      if (round > 0 && !await this.#run.mayRetry()) break;
-      await this.#run.awaitTargetList();
-      if (this.#run.hasEnded) return;
-      if (this.#pickRunner(undefined) === undefined && !this.#mayWait()) {
-        return this.#refuseIdle(undefined);
+    for (let round = 0; round < MAX_ROUNDS && this.#mayContinue(); round++) {
+      if (round > 0 && !await this.#context.mayRetry()) break;
+      await this.#context.awaitTargetList();
+      if (this.#context.hasEnded) return;
+      if (this.#pickDecodeEngine(undefined) === undefined && !this.#mayWait()) {
+        return this.#refuseNoDecodeEngine(undefined);
       }
-      if (this.#endIfResting("reading")) return;
-      const read = await this.#reading.prefill(this.#relay.lastEventId);
-      if (this.#run.hasEnded) return;
-      switch (read.kind) {
+      if (this.#endIfInBackoff("reading")) return;
+      const prefilled = await this.#prefill.prefill(this.#relay.lastEventId);
+      if (this.#context.hasEnded) return;
+      switch (prefilled.kind) {
         case "read":
-          await this.#generate(read.prompt);
+          await this.#decode(prefilled.prompt);
           break;
         case "noReader":
-          if (this.#endIfResting("reading")) return;
-          await this.#generate(undefined);
+          if (this.#endIfInBackoff("reading")) return;
+          await this.#decode(undefined);
           break;
         case "failed":
-          this.#reason = read.reason;
+          this.#reason = prefilled.reason;
           break;
         case "tooLate":
-          return this.#refuseLate(read);
+          return this.#refuseLate(prefilled);
         default:
           return this.#conclude();
       }
@@ -110,79 +110,86 @@
     this.#conclude();
   }
 
-  #mayGoOn(): boolean {
-    const { hasEnded: isOver, remainingMs, mayRunAgain } = this.#run;
+  #mayContinue(): boolean {
+    const { hasEnded: isOver, remainingMs, mayRunAgain } = this.#context;
     return !isOver && mayRunAgain && remainingMs >= MIN_ROUND_MS;
   }
 
   /** Runs the call at an engine that generates, from a KV cache or from the prompt itself. */
-  async #generate(read: PrefilledPrompt | undefined): Promise<void> {
-    const run = this.#run;
-    const target = await this.#awaitRunner(read?.engine.availabilityZone);
-    if (target === undefined) return this.#refuseIdle(read);
-    const isUnpaid = read === undefined && this.#reading.isRetry;
-    if (isUnpaid && !run.spendRetry()) return this.#conclude();
-    const { workTracker: ledger } = run.dependencies;
+  async #decode(prefilled: PrefilledPrompt | undefined): Promise<void> {
+    const context = this.#context;
+    const target = await this.#awaitDecodeEngine(
+      prefilled?.engine.availabilityZone,
+    );
+    if (target === undefined) return this.#refuseNoDecodeEngine(prefilled);
+    const isUnbudgetedRetry = prefilled === undefined && this.#prefill.isRetry;
+    if (isUnbudgetedRetry && !context.spendRetry()) return this.#conclude();
+    const { workTracker: ledger } = context.dependencies;
     const endRun = ledger.beginRun(target.id, this.#prompt.promptTokens);
     try {
-      const exchange = this.#send(target, read);
-      const end = await awaitAttempt({
-        run,
+      const exchange = this.#send(target, prefilled);
+      const result = await awaitAttempt({
+        run: context,
         target,
         exchange,
-        stage: read === undefined ? "whole" : "takeOver",
-        timeoutMs: this.#getSilenceMs(),
+        stage: prefilled === undefined ? "whole" : "takeOver",
+        timeoutMs: this.#getSilenceTimeoutMs(),
       });
-      await this.#takeEnd(target, read, exchange, end);
+      await this.#handleResult(target, prefilled, exchange, result);
     } finally {
       endRun();
     }
   }
 
-  #send(target: Target, read: PrefilledPrompt | undefined): TargetExchange {
-    const run = this.#run;
-    const request = run.dependencies.codec.encodeAttempt(run.call, {
+  #send(
+    target: Target,
+    prefilled: PrefilledPrompt | undefined,
+  ): TargetExchange {
+    const context = this.#context;
+    const request = context.dependencies.codec.encodeAttempt(context.call, {
       target,
-      timeoutMs: run.remainingMs,
-      stage: read === undefined ? "whole" : "takeOver",
-      kvSource: read?.kvSource,
-      enginePriority: computeEnginePriority(computeLane(run.route.priority)),
+      timeoutMs: context.remainingMs,
+      stage: prefilled === undefined ? "whole" : "takeOver",
+      kvSource: prefilled?.kvSource,
+      enginePriority: computeEnginePriority(
+        computeLane(context.route.priority),
+      ),
       lastEventId: this.#relay.lastEventId,
     });
-    const exchange = run.send(target, request);
-    run.recordRun();
+    const exchange = context.send(target, request);
+    context.recordRun();
     return exchange;
   }
 
-  async #takeEnd(
+  async #handleResult(
     target: Target,
-    read: PrefilledPrompt | undefined,
+    prefilled: PrefilledPrompt | undefined,
     exchange: TargetExchange,
-    end: AttemptResult,
+    result: AttemptResult,
   ): Promise<void> {
-    switch (end.kind) {
+    switch (result.kind) {
       case "over":
         return;
       case "answer":
-        return await this.#takeAnswer(target, exchange, end);
+        return await this.#handleResponse(target, exchange, result);
       case "lost":
         this.#tried.add(target.id);
-        return this.#miss(end.reason);
+        return this.#recordFailure(result.reason);
       case "notRun":
       case "notSent":
-        this.#run.undoRun();
+        this.#context.undoRun();
         this.#tried.add(target.id);
-        return this.#miss(
-          end.reason,
-          end.kind === "notSent" ? read : undefined,
+        return this.#recordFailure(
+          result.reason,
+          result.kind === "notSent" ? prefilled : undefined,
         );
     }
   }
 
-  async #takeAnswer(
+  async #handleResponse(
     target: Target,
     exchange: TargetExchange,
-    { head, facts }: Answer,
+    { head, metadata: facts }: AttemptResponse,
   ): Promise<void> {
     const isWhole = isSuccessStatus(head.status);
     const fault = isWhole && !facts.signed
@@ -193,91 +200,102 @@
     if (fault !== undefined) {
       exchange.abort(fault);
       this.#tried.add(target.id);
-      return this.#miss(fault);
+      return this.#recordFailure(fault);
     }
-    const end = await this.#relay.relay(exchange, head);
-    this.#takeRelayEnd(target, head.status, end);
+    const result = await this.#relay.relay(exchange, head);
+    this.#handleRelayResult(target, head.status, result);
   }
 
-  #takeRelayEnd(target: Target, status: number, end: RelayResult): void {
-    const run = this.#run;
-    if (run.hasEnded) return;
-    if (end === "whole") {
-      run.clientResponse.end();
-      run.finish("delivered", { status, target: target.id });
+  #handleRelayResult(
+    target: Target,
+    status: number,
+    result: RelayResult,
+  ): void {
+    const context = this.#context;
+    if (context.hasEnded) return;
+    if (result === "whole") {
+      context.clientResponse.end();
+      context.finish("delivered", { status, target: target.id });
       return;
     }
     this.#tried.add(target.id);
-    run.dependencies.health.recordOutcome(target.id, "failed", run.nowMs);
-    run.dependencies.log.write("info", "streamBroken", {
-      call: run.call.id,
+    context.dependencies.health.recordOutcome(
+      target.id,
+      "failed",
+      context.nowMs,
+    );
+    context.dependencies.log.write("info", "streamBroken", {
+      call: context.call.id,
       target: target.id,
-      reason: end.message,
+      reason: result.message,
       lastEventId: this.#relay.lastEventId,
-      mayResume: run.mayRunAgain,
+      mayResume: context.mayRunAgain,
     });
-    this.#miss(`stream broke off: ${end.message}`);
+    this.#recordFailure(`stream broke off: ${result.message}`);
   }
 
   /** A round ended without an answer; the next one reads the prompt again, as a further try. */
-  #miss(reason: string, unused?: PrefilledPrompt): void {
+  #recordFailure(reason: string, unused?: PrefilledPrompt): void {
     this.#reason = `not generated: ${reason}`;
-    this.#reading.markAsRetry();
-    if (unused !== undefined) this.#reading.releaseCache(unused);
+    this.#prefill.markAsRetry();
+    if (unused !== undefined) this.#prefill.releaseCache(unused);
   }
 
   #conclude(): void {
-    const run = this.#run;
-    if (run.hasEnded) return;
-    if (run.mayHaveRun) return run.fail("answerIncomplete", this.#reason);
-    if (this.#endIfResting("generating") || this.#endIfResting("reading")) {
+    const context = this.#context;
+    if (context.hasEnded) return;
+    if (context.mayHaveRun) {
+      return context.fail("answerIncomplete", this.#reason);
+    }
+    if (this.#endIfInBackoff("generating") || this.#endIfInBackoff("reading")) {
       return;
     }
-    run.refuse("noTarget", this.#reason, {
-      retryAfterMs: MIN_RETRY_AFTER_MS * (1 + run.dependencies.drawUnit()),
+    context.refuse("noTarget", this.#reason, {
+      retryAfterMs: MIN_RETRY_AFTER_MS * (1 + context.dependencies.drawUnit()),
       detail: { tried: [...this.#tried] },
     });
   }
 
   /** Ends the call where all engines for a use rest; returns whether it did. */
-  #endIfResting(use: InferencePhase): boolean {
-    const run = this.#run;
-    const restMs = findEngineBackoffMs(run, use);
-    if (restMs === undefined) return false;
-    if (run.mayHaveRun) run.fail("answerIncomplete", "all engines rest");
-    else run.refuseForBackoff(restMs);
+  #endIfInBackoff(use: InferencePhase): boolean {
+    const context = this.#context;
+    const backoffMs = findEngineBackoffMs(context, use);
+    if (backoffMs === undefined) return false;
+    if (context.mayHaveRun) {
+      context.fail("answerIncomplete", "all engines rest");
+    } else context.refuseForBackoff(backoffMs);
     return true;
   }
 
   /** Ends a call for which no engine generates and none is about to. */
-  #refuseIdle(read: PrefilledPrompt | undefined): void {
-    const run = this.#run;
-    if (read !== undefined) this.#reading.releaseCache(read);
-    if (run.hasEnded) return;
-    if (this.#endIfResting("generating")) return;
+  #refuseNoDecodeEngine(prefilled: PrefilledPrompt | undefined): void {
+    const context = this.#context;
+    if (prefilled !== undefined) this.#prefill.releaseCache(prefilled);
+    if (context.hasEnded) return;
+    if (this.#endIfInBackoff("generating")) return;
     const reason = "no engine generates";
-    if (run.mayHaveRun) return run.fail("answerIncomplete", reason);
-    const comesInMs = this.#predictRunnerMs();
+    if (context.mayHaveRun) return context.fail("answerIncomplete", reason);
+    const comesInMs = this.#predictDecodeReadyMs();
     const waitMs = comesInMs ?? this.#traits.roleChangeMs;
-    const spread = 1 + run.dependencies.drawUnit() / 4;
-    run.refuse("noTarget", reason, {
-      retryAfterMs: Math.max(MIN_RETRY_AFTER_MS, waitMs) * spread,
+    const jitter = 1 + context.dependencies.drawUnit() / 4;
+    context.refuse("noTarget", reason, {
+      retryAfterMs: Math.max(MIN_RETRY_AFTER_MS, waitMs) * jitter,
       detail: { tried: [...this.#tried], comesInMs },
     });
   }
 
   /** Ends a call at once that can't begin in its time. */
   #refuseLate({ placement, prefillDeadlineMs: readByMs }: TooLate): void {
-    const run = this.#run;
+    const context = this.#context;
     const { target, readyMs, costMs, unloadedMs: aloneMs, backlogMs, isCold } =
       placement;
-    if (run.mayHaveRun) {
-      return run.fail("answerIncomplete", "no time to go on elsewhere");
+    if (context.mayHaveRun) {
+      return context.fail("answerIncomplete", "no time to go on elsewhere");
     }
-    const waitedMs = run.nowMs - run.call.arrivedAtMs;
-    const excessMs = readyMs - run.route.aimMs;
-    const { drawUnit } = run.dependencies;
-    run.refuse("overloaded", "the prompt can't be read in the time left", {
+    const waitedMs = context.nowMs - context.call.arrivedAtMs;
+    const excessMs = readyMs - context.route.aimMs;
+    const { drawUnit } = context.dependencies;
+    context.refuse("overloaded", "the prompt can't be read in the time left", {
       retryAfterMs: computeRetryAfterMs(waitedMs, excessMs, drawUnit),
       detail: {
         target: target.id,
@@ -285,58 +303,66 @@
         sharedTokens: sumPrefixTokens(this.#prompt),
         isCold,
         factor: Number(
-          run.dependencies.prefillTimeModel.getSlowdown(target.id).toFixed(2),
+          context.dependencies.prefillTimeModel.getSlowdown(target.id).toFixed(
+            2,
+          ),
         ),
         waitedMs: Math.round(waitedMs),
         costMs: Math.round(costMs),
         aloneMs: Math.round(aloneMs),
         backlogMs: Math.round(backlogMs),
         readyMs: Math.round(readyMs),
-        readInMs: Math.round(readByMs - run.nowMs),
-        remainingMs: Math.round(run.remainingMs),
+        readInMs: Math.round(readByMs - context.nowMs),
+        remainingMs: Math.round(context.remainingMs),
       },
     });
   }
 
   /** An engine that generates; where there is none, one that comes while the caller waits. */
-  async #awaitRunner(zone: string | undefined): Promise<Target | undefined> {
-    await this.#run.awaitTargetList();
-    while (!this.#run.hasEnded) {
-      const target = this.#pickRunner(zone);
+  async #awaitDecodeEngine(
+    zone: string | undefined,
+  ): Promise<Target | undefined> {
+    await this.#context.awaitTargetList();
+    while (!this.#context.hasEnded) {
+      const target = this.#pickDecodeEngine(zone);
       if (target !== undefined) return target;
       if (!this.#mayWait()) return undefined;
-      await sleep(RUNNER_LOOK_MS);
+      await sleep(DECODE_ENGINE_POLL_MS);
     }
     return undefined;
   }
 
   #mayWait(): boolean {
-    const { nowMs, call, route, remainingMs } = this.#run;
+    const { nowMs, call, route, remainingMs } = this.#context;
     if (remainingMs < MIN_ROUND_MS) return false;
     return isWorthWaiting(
-      this.#predictRunnerMs(),
+      this.#predictDecodeReadyMs(),
       nowMs - call.arrivedAtMs,
       route.aimMs,
     );
   }
 
   /** Time until an engine has taken the role; undefined where none is about to. */
-  #predictRunnerMs(): number | undefined {
-    const { dependencies: serving, service, nowMs } = this.#run;
+  #predictDecodeReadyMs(): number | undefined {
+    const { dependencies: serving, service, nowMs } = this.#context;
     const { directory } = serving;
-    const since = directory.listServing(service.name)
+    const roleChangeStartsMs = directory.listServing(service.name)
       .filter((engine) => engine.role === "prefill")
       .map((engine) => directory.findRoleChangeStartMs(engine.id, nowMs))
       .filter((sinceMs) => sinceMs !== undefined);
-    return predictDecodeReadyMs(since, this.#traits.roleChangeMs, nowMs);
+    return predictDecodeReadyMs(
+      roleChangeStartsMs,
+      this.#traits.roleChangeMs,
+      nowMs,
+    );
   }
 
-  #pickRunner(zone: string | undefined): Target | undefined {
-    const { workTracker: ledger, drawUnit } = this.#run.dependencies;
-    const nowMs = this.#run.nowMs;
+  #pickDecodeEngine(zone: string | undefined): Target | undefined {
+    const { workTracker: ledger, drawUnit } = this.#context.dependencies;
+    const nowMs = this.#context.nowMs;
     const kvRoom = this.#traits.kvTokens;
     const candidates = listAvailableEngines(
-      this.#run,
+      this.#context,
       "generating",
       this.#tried,
     )
@@ -347,24 +373,24 @@
     return pickLeastLoaded(candidates, zone, drawUnit)?.target;
   }
 
-  #getSilenceMs(): number | undefined {
-    const { kind, maxTargets } = this.#run.route;
+  #getSilenceTimeoutMs(): number | undefined {
+    const { kind, maxTargets } = this.#context.route;
     return kind === "resumableStream" && maxTargets > 1
-      ? RUN_SILENCE_MS
+      ? RUN_SILENCE_TIMEOUT_MS
       : undefined;
   }
 
-  #noteFirstByte(): void {
-    const run = this.#run;
-    const tookMs = run.nowMs - run.call.arrivedAtMs;
-    run.dependencies.metrics.firstByte.observe(
-      { kind: run.route.kind },
+  #recordFirstByte(): void {
+    const context = this.#context;
+    const tookMs = context.nowMs - context.call.arrivedAtMs;
+    context.dependencies.metrics.firstByte.observe(
+      { kind: context.route.kind },
       tookMs / 1000,
     );
-    run.dependencies.log.write("debug", "firstByte", {
-      call: run.call.id,
+    context.dependencies.log.write("debug", "firstByte", {
+      call: context.call.id,
       tookMs: Math.round(tookMs),
-      aimMs: run.route.aimMs,
+      aimMs: context.route.aimMs,
     });
   }
 }
--- a/packages/heatherarch-forward/calls/plain_call_handler.ts
+++ b/packages/heatherarch-forward/calls/plain_call_handler.ts
@@ -24,91 +24,97 @@
 import { awaitAttempt, isSuccessStatus } from "./attempt_result.ts";
 
 /** A further try is of no use with less time left than this, milliseconds. */
-const MIN_TRY_MS = 30;
+const MIN_ATTEMPT_MS = 30;
 /** Tries that reach no target are cheap, but not without end. */
-const MAX_TRIES = 6;
+const MAX_ATTEMPTS = 6;
 /** A silent target is given up after this many times the aim, where the call may be repeated. */
-const SILENCE_AIMS = 1;
+const SILENCE_TIMEOUT_AIMS = 1;
 /** Wait that a refused caller is told, milliseconds; spread over as much again. */
 const RETRY_AFTER_MS = 250;
 
-type TryResult =
+type PlainResult =
   | { readonly kind: "delivered" | "over" | "notSent" | "notRun" }
   | { readonly kind: "lost"; readonly reason: string }
   | { readonly kind: "answer"; readonly answer: BufferedResponse };
 
 /** Serves one call of a plain service. */
 export class PlainCallHandler {
-  readonly #run: CallContext;
+  readonly #context: CallContext;
   readonly #tried = new Set<string>();
   /** An answer of failure, passed on when no further try is made. */
   #failure: BufferedResponse | undefined;
   #reason = "";
 
-  constructor(run: CallContext) {
-    this.#run = run;
+  constructor(context: CallContext) {
+    this.#context = context;
   }
 
   async serve(): Promise<void> {
-    const run = this.#run;
-    let isFurther = false;
-    for (let tries = 0; tries < MAX_TRIES && !run.hasEnded; tries++) {
-      await run.awaitTargetList();
-      if (run.hasEnded) return;
+    const context = this.#context;
+    let isRetry = false;
+    for (
+      let attempts = 0;
+      attempts < MAX_ATTEMPTS && !context.hasEnded;
+      attempts++
+    ) {
+      await context.awaitTargetList();
+      if (context.hasEnded) return;
       const target = this.#pickTarget();
       if (target === undefined) break;
-      if (isFurther && !run.spendRetry()) break;
-      const result = await this.#try(target);
-      if (run.hasEnded || result.kind === "delivered") return;
-      if (result.kind !== "notSent") isFurther = true;
-      this.#noteResult(result);
-      if (!run.mayRunAgain || run.remainingMs < MIN_TRY_MS) break;
-      if (!await run.mayRetry()) break;
+      if (isRetry && !context.spendRetry()) break;
+      const result = await this.#attempt(target);
+      if (context.hasEnded || result.kind === "delivered") return;
+      if (result.kind !== "notSent") isRetry = true;
+      this.#recordResult(result);
+      if (!context.mayRunAgain || context.remainingMs < MIN_ATTEMPT_MS) break;
+      if (!await context.mayRetry()) break;
     }
     this.#conclude();
   }
 
-  #noteResult(result: TryResult): void {
+  #recordResult(result: PlainResult): void {
     if (result.kind === "answer") this.#failure = result.answer;
     else if (result.kind === "lost") this.#reason = result.reason;
   }
 
-  async #try(target: Target): Promise<TryResult> {
-    const run = this.#run;
-    const { codec, workTracker: ledger } = run.dependencies;
+  async #attempt(target: Target): Promise<PlainResult> {
+    const context = this.#context;
+    const { codec, workTracker: ledger } = context.dependencies;
     this.#tried.add(target.id);
-    const exchange = run.send(
+    const exchange = context.send(
       target,
-      codec.encodeAttempt(run.call, {
+      codec.encodeAttempt(context.call, {
         target,
-        timeoutMs: run.remainingMs,
+        timeoutMs: context.remainingMs,
         stage: "whole",
       }),
     );
-    run.recordRun();
+    context.recordRun();
     const endRun = ledger.beginRun(target.id, 0);
     try {
-      const end = await awaitAttempt({
-        run,
+      const result = await awaitAttempt({
+        run: context,
         target,
         exchange,
         stage: "whole",
-        timeoutMs: this.#getSilenceMs(),
+        timeoutMs: this.#getSilenceTimeoutMs(),
       });
-      if (end.kind === "over") return { kind: "over" };
-      if (end.kind === "notSent" || end.kind === "notRun") {
-        run.undoRun();
-        return { kind: end.kind };
+      if (result.kind === "over") return { kind: "over" };
+      if (result.kind === "notSent" || result.kind === "notRun") {
+        context.undoRun();
+        return { kind: result.kind };
       }
-      if (end.kind === "lost") return end;
-      if (isSuccessStatus(end.head.status) && !end.facts.signed) {
+      if (result.kind === "lost") return result;
+      if (isSuccessStatus(result.head.status) && !result.metadata.signed) {
         exchange.abort("unsigned success");
         return { kind: "lost", reason: "success without a signature" };
       }
-      const answer = await readResponse(exchange, end.head);
-      if (run.hasEnded) return { kind: "over" };
-      if (this.#mayBetter(end.head.status)) return { kind: "answer", answer };
-      this.#deliver(answer, target);
+      const response = await readResponse(exchange, result.head);
+      if (context.hasEnded) return { kind: "over" };
+      if (this.#mayImprove(result.head.status)) {
+        return { kind: "answer", answer: response };
+      }
+      this.#deliver(response, target);
       return { kind: "delivered" };
     } catch (error) {
       if (!(error instanceof ExchangeError)) throw error;
@@ -119,55 +125,56 @@
   }
 
   /** Whether a further try may turn a failure of the target into a success. */
-  #mayBetter(status: number): boolean {
-    return status >= 500 && this.#run.mayRunAgain &&
-      this.#run.remainingMs >= MIN_TRY_MS;
+  #mayImprove(status: number): boolean {
+    return status >= 500 && this.#context.mayRunAgain &&
+      this.#context.remainingMs >= MIN_ATTEMPT_MS;
   }
 
-  #deliver(answer: BufferedResponse, target?: Target): void {
-    const run = this.#run;
-    const tookMs = run.nowMs - run.call.arrivedAtMs;
-    run.dependencies.metrics.firstByte.observe(
-      { kind: run.route.kind },
+  #deliver(response: BufferedResponse, target?: Target): void {
+    const context = this.#context;
+    const tookMs = context.nowMs - context.call.arrivedAtMs;
+    context.dependencies.metrics.firstByte.observe(
+      { kind: context.route.kind },
       tookMs / 1000,
     );
-    writeResponse(run.clientResponse, run.call.method, answer);
-    run.finish("delivered", {
-      status: answer.head.status,
+    writeResponse(context.clientResponse, context.call.method, response);
+    context.finish("delivered", {
+      status: response.head.status,
       target: target?.id,
-      aimMs: run.route.aimMs,
-      framing: getResponseFraming(answer.head),
+      aimMs: context.route.aimMs,
+      framing: getResponseFraming(response.head),
     });
   }
 
   #conclude(): void {
-    const run = this.#run;
-    if (run.hasEnded) return;
+    const context = this.#context;
+    if (context.hasEnded) return;
     if (this.#failure !== undefined) return this.#deliver(this.#failure);
-    if (run.mayHaveRun) return run.fail("targetFailed", this.#reason);
-    const restMs = findBackoffMs(run);
-    if (restMs !== undefined) return run.refuseForBackoff(restMs);
-    const spread = 1 + run.dependencies.drawUnit();
-    run.refuse("noTarget", "no target took the call", {
-      retryAfterMs: RETRY_AFTER_MS * spread,
+    if (context.mayHaveRun) return context.fail("targetFailed", this.#reason);
+    const backoffMs = findBackoffMs(context);
+    if (backoffMs !== undefined) return context.refuseForBackoff(backoffMs);
+    const jitter = 1 + context.dependencies.drawUnit();
+    context.refuse("noTarget", "no target took the call", {
+      retryAfterMs: RETRY_AFTER_MS * jitter,
       detail: {
         tried: [...this.#tried],
-        listed: run.dependencies.directory.listServing(run.service.name).length,
+        listed: context.dependencies.directory.listServing(context.service.name)
+          .length,
       },
     });
   }
 
-  #getSilenceMs(): number | undefined {
-    const { route, mayRunAgain } = this.#run;
+  #getSilenceTimeoutMs(): number | undefined {
+    const { route, mayRunAgain } = this.#context;
     if (route.kind !== "idempotent" || !mayRunAgain) return undefined;
-    return route.aimMs * SILENCE_AIMS;
+    return route.aimMs * SILENCE_TIMEOUT_AIMS;
   }
 
   #pickTarget(): Target | undefined {
-    const { workTracker: ledger, drawUnit } = this.#run.dependencies;
-    const nowMs = this.#run.nowMs;
+    const { workTracker: ledger, drawUnit } = this.#context.dependencies;
+    const nowMs = this.#context.nowMs;
     const candidates = listAvailableTargets({
-      run: this.#run,
+      run: this.#context,
       tried: this.#tried,
     })
       .map((target): TargetCandidate => ({
--- a/packages/heatherarch-forward/calls/prompt_prefill.ts
+++ b/packages/heatherarch-forward/calls/prompt_prefill.ts
@@ -28,15 +28,15 @@
 /** From the read prompt to the first token at the client: two hops, a transfer, a step. */
 const FIRST_TOKEN_MS = 35;
 /** A reading is given up after this many times its predicted time, and the slack. */
-const READ_PATIENCE = 3;
-const READ_SLACK_MS = 500;
+const PREFILL_TIMEOUT_FACTOR = 3;
+const PREFILL_TIMEOUT_SLACK_MS = 500;
 /** An answer is overdue when it comes this much later than latency and reading say. */
-const ANSWER_SLACK_MS = 10;
+const RESPONSE_SLACK_MS = 10;
 /**
  * Share of the reading engines that read for late calls at a time, one at least: a long prompt
  * that is late anyway holds an engine for up to a second.
  */
-const LATE_SHARE = 0.25;
+const LATE_PREFILL_SHARE = 0.25;
 /** Longest answer to a reading; it holds a handle and two numbers. */
 const MAX_HANDLE_BYTES = 64 * 1024;
 /** A prompt that an engine has read, and how to take its cache over. */
@@ -59,12 +59,12 @@
   | { readonly kind: "over" };
 
 /** A booked reading that is about to be sent. */
-interface ReadTurn {
+interface BookedPrefill {
   readonly kind: "turn";
   readonly placed: LanePlacement;
   readonly startedAtMs: number;
   /** Ends the booking. */
-  readonly endRead: () => void;
+  readonly endPrefill: () => void;
 }
 
 /** Options of {@linkcode PromptPrefill}. */
@@ -76,64 +76,68 @@
 
 /** Readings of one call's prompt. */
 export class PromptPrefill {
-  readonly #run: CallContext;
+  readonly #context: CallContext;
   readonly #prompt: GenerationParams;
   readonly #traits: EngineTraits;
   /** Key of the prompt's beginning; undefined where it is short. */
-  readonly #key: string | undefined;
+  readonly #prefixKey: string | undefined;
   readonly #tried = new Set<string>();
   /** An earlier reading reached an engine: the next one is a further try. */
-  #isFurther = false;
+  #isRetry = false;
 
   constructor(options: PromptPrefillOptions) {
-    this.#run = options.run;
+    this.#context = options.run;
     this.#prompt = options.prompt;
     this.#traits = options.traits;
-    this.#key = options.run.dependencies.placer.findPrefixKey(options.prompt);
+    this.#prefixKey = options.run.dependencies.placer.findPrefixKey(
+      options.prompt,
+    );
   }
 
   /** Whether a next send to an engine repeats one that reached an engine. */
   get isRetry(): boolean {
-    return this.#isFurther;
+    return this.#isRetry;
   }
 
   /** The call has been tried before, beyond readings. */
   markAsRetry(): void {
-    this.#isFurther = true;
+    this.#isRetry = true;
   }
 
   /** Has the prompt read by the engine that is soonest done with it. */
   async prefill(lastEventId: string | undefined): Promise<PrefillResult> {
-    const turn = await this.#awaitTurn(lastEventId !== undefined);
-    if (turn.kind !== "turn") return turn;
-    const { placed, startedAtMs, endRead } = turn;
+    const booking = await this.#awaitBooking(lastEventId !== undefined);
+    if (booking.kind !== "turn") return booking;
+    const { placed, startedAtMs, endPrefill: endPrefill } = booking;
     const { placement } = placed;
-    const run = this.#run;
+    const context = this.#context;
     try {
       // The prompt may have been placed right after a standstill, before the list was known.
-      await run.awaitTargetList();
-      if (run.hasEnded) return { kind: "over" };
-      if (this.#isFurther && !run.spendRetry()) return { kind: "noAllowance" };
+      await context.awaitTargetList();
+      if (context.hasEnded) return { kind: "over" };
+      if (this.#isRetry && !context.spendRetry()) {
+        return { kind: "noAllowance" };
+      }
       const exchange = this.#send(placed, lastEventId);
       const source = await this.#awaitHandle(placement, exchange);
       if ("kind" in source) return source;
-      this.#noteReading(placed, startedAtMs);
-      return this.#hand({ engine: placement.target, kvSource: source });
+      this.#recordPrefill(placed, startedAtMs);
+      return this.#deliver({ engine: placement.target, kvSource: source });
     } finally {
-      endRead();
+      endPrefill();
     }
   }
 
   /** Frees a cache that nobody will take over. */
   releaseCache({ engine: by, kvSource: source }: PrefilledPrompt): void {
-    const { connections, codec, directory, log } = this.#run.dependencies;
+    const { connections, codec, directory, log } = this.#context.dependencies;
     if (directory.findTarget(by.id) === undefined) return;
     connections.send(by, codec.encodeHandleRelease(source.handle), "release")
       .readBody(MAX_HANDLE_BYTES)
       .catch((error: Error) =>
         // It lapses by itself after some seconds.
         log.write("debug", "handleNotFreed", {
-          call: this.#run.call.id,
+          call: this.#context.call.id,
           target: by.id,
           reason: error.message,
         })
@@ -144,17 +148,17 @@
     { placement, lane }: LanePlacement,
     lastEventId: string | undefined,
   ): TargetExchange {
-    const run = this.#run;
+    const context = this.#context;
     const { target, fetchFrom } = placement;
-    const request = run.dependencies.codec.encodeAttempt(run.call, {
+    const request = context.dependencies.codec.encodeAttempt(context.call, {
       target,
-      timeoutMs: run.remainingMs,
+      timeoutMs: context.remainingMs,
       stage: "readPrompt",
       fetchFrom: fetchFrom?.address,
       enginePriority: computeEnginePriority(lane),
       lastEventId,
     });
-    return run.send(target, request);
+    return context.send(target, request);
   }
 
   /** The handle of the cache, or why there is none. */
@@ -162,137 +166,171 @@
     { target, readyMs }: PromptPlacement,
     exchange: TargetExchange,
   ): Promise<KvHandle | PrefillResult> {
-    const end = await awaitAttempt({
-      run: this.#run,
+    const result = await awaitAttempt({
+      run: this.#context,
       target,
       exchange,
       stage: "readPrompt",
-      timeoutMs: readyMs * READ_PATIENCE + READ_SLACK_MS,
+      timeoutMs: readyMs * PREFILL_TIMEOUT_FACTOR + PREFILL_TIMEOUT_SLACK_MS,
       extendsWhileAlive: true,
     });
-    if (end.kind === "over") return { kind: "over" };
-    if (end.kind !== "answer") {
-      return this.#miss(target, end.reason, end.kind !== "notSent");
+    if (result.kind === "over") return { kind: "over" };
+    if (result.kind !== "answer") {
+      return this.#recordFailure(
+        target,
+        result.reason,
+        result.kind !== "notSent",
+      );
     }
     try {
       const body = await exchange.readBody(MAX_HANDLE_BYTES);
-      const { status } = end.head;
+      const { status } = result.head;
       const handle = isSuccessStatus(status)
-        ? this.#run.dependencies.codec.decodeKvHandle(body)
+        ? this.#context.dependencies.codec.decodeKvHandle(body)
         : undefined;
       if (handle !== undefined) return { address: target.address, handle };
-      return this.#miss(target, `status ${status}`, true);
+      return this.#recordFailure(target, `status ${status}`, true);
     } catch (error) {
       if (!(error instanceof ExchangeError)) throw error;
-      return this.#miss(target, error.message, true);
+      return this.#recordFailure(target, error.message, true);
     }
   }
 
   /** Hands a read prompt over, unless its call has ended. */
-  #hand(prompt: PrefilledPrompt): PrefillResult {
-    if (!this.#run.hasEnded) return { kind: "read", prompt };
+  #deliver(prompt: PrefilledPrompt): PrefillResult {
+    if (!this.#context.hasEnded) return { kind: "read", prompt };
     this.releaseCache(prompt);
     return { kind: "over" };
   }
 
-  #miss(target: Target, reason: string, isSent: boolean): PrefillResult {
+  #recordFailure(
+    target: Target,
+    reason: string,
+    isSent: boolean,
+  ): PrefillResult {
     this.#tried.add(target.id);
-    if (isSent) this.#isFurther = true;
-    if (this.#key !== undefined) {
-      this.#run.dependencies.prefixIndex.forgetHolder(this.#key, target.id);
+    if (isSent) this.#isRetry = true;
+    if (this.#prefixKey !== undefined) {
+      this.#context.dependencies.prefixIndex.forgetHolder(
+        this.#prefixKey,
+        target.id,
+      );
     }
     return { kind: "failed", reason: `prompt not read: ${reason}` };
   }
 
   /** Waits until an engine is about to be free, and books the reading there. */
-  #awaitTurn(isResumed: boolean): Promise<ReadTurn | PrefillResult> {
-    const run = this.#run;
+  #awaitBooking(isResumed: boolean): Promise<BookedPrefill | PrefillResult> {
+    const context = this.#context;
     const { prefillQueue: readQueue, prefillTimeModel: readModel } =
-      run.dependencies;
-    const { aimMs, priority } = run.route;
+      context.dependencies;
+    const { aimMs, priority } = context.route;
     const { waitStartedAtMs: sinceMs, timeoutAtMs: leavesAtMs } =
       computeWaitLimits({
-        arrivedAtMs: run.call.arrivedAtMs,
-        deadlineAtMs: run.deadlineAtMs,
+        arrivedAtMs: context.call.arrivedAtMs,
+        deadlineAtMs: context.deadlineAtMs,
         aimMs,
-        ...(isResumed ? { interruptedAtMs: run.nowMs } : {}),
+        ...(isResumed ? { interruptedAtMs: context.nowMs } : {}),
       });
     return new Promise((resolve) => {
-      const undo = readQueue.enqueue({
+      const cancel = readQueue.enqueue({
         lane: computeLane(priority),
-        kind: run.route.name,
+        kind: context.route.name,
         tokens: this.#prompt.promptTokens,
         waitStartedAtMs: sinceMs,
         aimMs,
         timeoutAtMs: leavesAtMs,
         firstTokenDelayMs: FIRST_TOKEN_MS + readModel.latencyMs,
-        findPlacement: () => this.#place(),
-        mayPrefillLate: () => this.#mayReadLate(),
+        findPlacement: () => this.#findPlacement(),
+        mayPrefillLate: () => this.#mayPrefillLate(),
         onOutcome: (verdict) =>
           resolve(
-            verdict.kind === "placed" ? this.#begin(verdict.placed) : verdict,
+            verdict.kind === "placed"
+              ? this.#beginPrefill(verdict.placed)
+              : verdict,
           ),
       });
-      void run.ended.then(() => {
-        undo();
+      void context.ended.then(() => {
+        cancel();
         resolve({ kind: "over" });
       });
     });
   }
 
-  #begin(placed: LanePlacement): ReadTurn {
+  #beginPrefill(placed: LanePlacement): BookedPrefill {
     const { placement: { target, costMs }, lane } = placed;
     const { workTracker: ledger, prefillTimeModel: readModel, metrics } =
-      this.#run.dependencies;
-    const startedAtMs = this.#run.nowMs;
-    const waitedMs = startedAtMs - this.#run.call.arrivedAtMs;
+      this.#context.dependencies;
+    const startedAtMs = this.#context.nowMs;
+    const waitedMs = startedAtMs - this.#context.call.arrivedAtMs;
     metrics.readWait.observe({ lane }, waitedMs / 1000);
-    this.#noteHolder(target, "reading");
-    const latencyMs = readModel.latencyMs + ANSWER_SLACK_MS;
+    this.#recordHolder(target, "reading");
+    const latencyMs = readModel.latencyMs + RESPONSE_SLACK_MS;
     const read = { costMs, lane, latencyMs };
-    const endRead = ledger.beginPrefill(target.id, read, startedAtMs);
-    return { kind: "turn", placed, startedAtMs, endRead };
+    const endPrefill = ledger.beginPrefill(target.id, read, startedAtMs);
+    return { kind: "turn", placed, startedAtMs, endPrefill: endPrefill };
   }
 
   /** Late prompts, long ones above all, keep engines from calls that can be on time. */
-  #mayReadLate(): boolean {
-    const { workTracker: ledger } = this.#run.dependencies;
-    const nowMs = this.#run.nowMs;
-    const readers = listAvailableEngines(this.#run, "reading", this.#tried);
-    const busy = readers.filter(({ id }) => ledger.hasLatePrefill(id, nowMs));
-    return busy.length < Math.max(1, Math.floor(readers.length * LATE_SHARE));
+  #mayPrefillLate(): boolean {
+    const { workTracker: ledger } = this.#context.dependencies;
+    const nowMs = this.#context.nowMs;
+    const prefillEngines = listAvailableEngines(
+      this.#context,
+      "reading",
+      this.#tried,
+    );
+    const busy = prefillEngines.filter(({ id }) =>
+      ledger.hasLatePrefill(id, nowMs)
+    );
+    return busy.length <
+      Math.max(1, Math.floor(prefillEngines.length * LATE_PREFILL_SHARE));
   }
 
   /** The engine that would read the prompt soonest now. */
-  #place(): PromptPlacement | undefined {
-    const run = this.#run;
+  #findPlacement(): PromptPlacement | undefined {
+    const context = this.#context;
     const { prefillCandidateCache: readerBoard, placer, engineJitter: spread } =
-      run.dependencies;
-    const nowMs = run.nowMs;
-    const candidates = readerBoard.listCandidates(run, this.#tried);
-    const readers = readerBoard.listPrefillEngines(run);
-    const holders = this.#key === undefined
+      context.dependencies;
+    const nowMs = context.nowMs;
+    const candidates = readerBoard.listCandidates(context, this.#tried);
+    const prefillEngines = readerBoard.listPrefillEngines(context);
+    const holders = this.#prefixKey === undefined
       ? { prefixHolders: [], prefixSources: [] }
-      : findHolders(run.dependencies, this.#key, readers, this.#traits, nowMs);
+      : findHolders(
+        context.dependencies,
+        this.#prefixKey,
+        prefillEngines,
+        this.#traits,
+        nowMs,
+      );
     return placer.pickEngine(this.#prompt, {
       candidates,
-      prefillEngines: readers,
+      prefillEngines: prefillEngines,
       ...holders,
       traits: this.#traits,
       drawJitterMs: (target) => spread.drawMs(target),
     });
   }
 
-  #noteHolder(target: Target, state: "reading" | "read"): void {
-    if (this.#key === undefined) return;
-    const { prefixIndex: prompts } = this.#run.dependencies;
-    prompts.recordHolder(this.#key, target.id, state, this.#run.nowMs);
+  #recordHolder(target: Target, state: "reading" | "read"): void {
+    if (this.#prefixKey === undefined) return;
+    const { prefixIndex: prompts } = this.#context.dependencies;
+    prompts.recordHolder(
+      this.#prefixKey,
+      target.id,
+      state,
+      this.#context.nowMs,
+    );
   }
 
   /** Notes who holds the beginning now, and how fast the engine was. */
-  #noteReading({ placement, lane }: LanePlacement, startedAtMs: number): void {
+  #recordPrefill(
+    { placement, lane }: LanePlacement,
+    startedAtMs: number,
+  ): void {
     const { prefillTimeModel: readModel, retention, log } =
-      this.#run.dependencies;
+      this.#context.dependencies;
     const {
       target,
       costMs,
@@ -301,11 +339,11 @@
       isCold,
       fetchFrom,
     } = placement;
-    const nowMs = this.#run.nowMs;
+    const nowMs = this.#context.nowMs;
     const tookMs = nowMs - startedAtMs;
-    this.#noteHolder(target, "read");
+    this.#recordHolder(target, "read");
     // Of a long prompt it is not known how much of it the engine held.
-    if (this.#key === undefined) {
+    if (this.#prefixKey === undefined) {
       readModel.learn(target.id, { costMs, backlogMs, tookMs });
     } else {
       readModel.learnUnloaded(target.id, {
@@ -319,15 +357,15 @@
     const heldTokens = isHeld ? sumPrefixTokens(this.#prompt) : 0;
     retention.recordPrefill(promptTokens - heldTokens, nowMs);
     log.write("info", "promptRead", {
-      call: this.#run.call.id,
+      call: this.#context.call.id,
       target: target.id,
-      route: this.#run.route.name,
+      route: this.#context.route.name,
       tokens: promptTokens,
       sharedTokens: sumPrefixTokens(this.#prompt),
       lane,
       isCold,
       fetchFrom: fetchFrom?.id,
-      waitedMs: Math.round(startedAtMs - this.#run.call.arrivedAtMs),
+      waitedMs: Math.round(startedAtMs - this.#context.call.arrivedAtMs),
       backlogMs: Math.round(backlogMs),
       costMs: Math.round(costMs),
       aloneMs: Math.round(aloneMs),
--- a/packages/heatherarch-forward/calls/quarantine_guard.ts
+++ b/packages/heatherarch-forward/calls/quarantine_guard.ts
@@ -14,39 +14,40 @@
 import type { TargetExchange } from "./target_exchange.ts";
 
 /** Longest wait for the probe of a target before a retry; a refused connection takes a round trip. */
-const MAX_INQUIRY_MS = 100;
+const MAX_PROBE_WAIT_MS = 100;
 
 /** Options of {@linkcode QuarantineGuard}. */
 export interface QuarantineGuardOptions {
   readonly dependencies: CallDependencies;
   readonly call: ForwardedCall;
   /** Called when the request is quarantined while the call is in progress. */
-  readonly onQuarantined: (held: QuarantinedRequest) => void;
+  readonly onQuarantined: (quarantined: QuarantinedRequest) => void;
 }
 
 /** The guard of one call. */
 export class QuarantineGuard {
   readonly #options: QuarantineGuardOptions;
-  readonly #undoListener: () => void;
-  #request: string | undefined;
+  readonly #removeListener: () => void;
+  #digest: string | undefined;
   #inquiries: Promise<unknown>[] = [];
-  #hasLost = false;
+  #hasLostExchange = false;
   #endTrial: (() => void) | undefined;
 
   constructor(options: QuarantineGuardOptions) {
     this.#options = options;
-    this.#undoListener = options.dependencies.quarantine.registerChangeListener(
-      ({ kind, request }) => {
-        if (kind !== "held" || request !== this.digest) return;
-        const held = this.findQuarantined();
-        if (held !== undefined) options.onQuarantined(held);
-      },
-    );
+    this.#removeListener = options.dependencies.quarantine
+      .registerChangeListener(
+        ({ kind, request }) => {
+          if (kind !== "held" || request !== this.digest) return;
+          const quarantined = this.findQuarantined();
+          if (quarantined !== undefined) options.onQuarantined(quarantined);
+        },
+      );
   }
 
   /** Digest of the request, which its repeats share. */
   get digest(): string {
-    return this.#request ??= hashRequest(this.#options.call);
+    return this.#digest ??= hashRequest(this.#options.call);
   }
 
   /** Whether the call may be sent for the first time. */
@@ -79,9 +80,9 @@
     const inquiries = this.#inquiries;
     this.#inquiries = [];
     if (inquiries.length > 0) {
-      await Promise.race([Promise.all(inquiries), sleep(MAX_INQUIRY_MS)]);
+      await Promise.race([Promise.all(inquiries), sleep(MAX_PROBE_WAIT_MS)]);
     }
-    if (!this.#hasLost) return true;
+    if (!this.#hasLostExchange) return true;
     return !this.#options.dependencies.quarantine.isLastTrial(
       this.digest,
     );
@@ -97,7 +98,7 @@
         losses.recordCrash(target.id, "refusedConnection");
       }
       if (end.fault !== "lost") return;
-      this.#hasLost = true;
+      this.#hasLostExchange = true;
       this.#inquiries.push(losses.investigateLoss({
         call: id,
         request: this.digest,
@@ -111,7 +112,7 @@
 
   /** The call has ended; with `isDelivered` by an answer of a target. */
   end(isDelivered: boolean): void {
-    this.#undoListener();
+    this.#removeListener();
     this.#endTrial?.();
     if (isDelivered) this.#clear();
   }
--- a/packages/heatherarch-forward/calls/response_notices.ts
+++ b/packages/heatherarch-forward/calls/response_notices.ts
@@ -32,10 +32,11 @@
   /** Takes in the head of an answer from the connections of `target`. */
   apply(target: Target, { status, headers }: ResponseHead): void {
     const { codec, directory, log } = this.#options;
-    const { answeredBy, isLeaving, backoffMs: restMs } = codec.decodeResponse(
-      status,
-      headers,
-    );
+    const { answeredBy, isLeaving, backoffMs: backoffMs } = codec
+      .decodeResponse(
+        status,
+        headers,
+      );
     const instance = target.instance ?? target.id;
     if (answeredBy !== undefined && answeredBy !== instance) return;
     if (isLeaving && directory.markLeaving(target.id)) {
@@ -44,13 +45,15 @@
         source: "answer",
       });
     }
-    if (restMs !== undefined) this.#noteRest(target.id, restMs);
+    if (backoffMs !== undefined) this.#recordBackoff(target.id, backoffMs);
   }
 
-  #noteRest(target: string, restMs: number): void {
+  #recordBackoff(target: string, backoffMs: number): void {
     const { backoffs: rests, clock, log } = this.#options;
     // Requests in flight get the same answer; the first one is logged.
-    if (!rests.recordBackoff(target, restMs, clock.readMonotonicMs())) return;
-    log.write("info", "targetResting", { target, restMs });
+    if (!rests.recordBackoff(target, backoffMs, clock.readMonotonicMs())) {
+      return;
+    }
+    log.write("info", "targetResting", { target, restMs: backoffMs });
   }
 }
--- a/packages/heatherarch-forward/calls/response_relay.ts
+++ b/packages/heatherarch-forward/calls/response_relay.ts
@@ -13,7 +13,7 @@
 } from "./target_exchange.ts";
 
 /** Answers up to this size are held until they are whole; larger ones are passed on as they come. */
-const MAX_HELD_BYTES = 1024 * 1024;
+const MAX_BUFFERED_BYTES = 1024 * 1024;
 const LENGTH_HEADERS: ReadonlySet<string> = new Set(["content-length"]);
 
 /** How an answer's end is told. */
@@ -43,21 +43,21 @@
   exchange: TargetExchange,
   head: ResponseHead,
 ): Promise<BufferedResponse> {
-  return { head, body: await exchange.readBody(MAX_HELD_BYTES) };
+  return { head, body: await exchange.readBody(MAX_BUFFERED_BYTES) };
 }
 
 /** Passes a held answer on. */
 export function writeResponse(
-  caller: ClientResponse,
+  clientResponse: ClientResponse,
   method: string,
-  answer: BufferedResponse,
+  response: BufferedResponse,
 ): void {
-  const { head, body } = answer;
+  const { head, body } = response;
   const isBodiless = method === "HEAD" || head.status === 204 ||
     head.status === 304;
   if (isBodiless) {
-    caller.writeHead(head.status, copyEndToEndHeaders(head.rawHeaders));
-    caller.end();
+    clientResponse.writeHead(head.status, copyEndToEndHeaders(head.rawHeaders));
+    clientResponse.end();
     return;
   }
   const headers = copyEndToEndHeaders(head.rawHeaders, LENGTH_HEADERS);
@@ -65,8 +65,8 @@
   // would claim that it is.
   const endsConnection = getResponseFraming(head) === "connection";
   if (!endsConnection) headers.push("Content-Length", String(body.length));
-  caller.writeHead(head.status, headers, { endsConnection });
-  caller.end(body);
+  clientResponse.writeHead(head.status, headers, { endsConnection });
+  clientResponse.end(body);
 }
 
 /** Options of {@linkcode StreamRelay}. */
@@ -100,19 +100,19 @@
 
   /** Passes the body of one run on; the head of the first run stands for all. */
   relay(exchange: TargetExchange, head: ResponseHead): Promise<RelayResult> {
-    const { clientResponse: caller, isResumable } = this.#options;
-    if (!caller.isHeadSent) {
+    const { clientResponse: clientResponse, isResumable } = this.#options;
+    if (!clientResponse.isHeadSent) {
       const drop = isResumable ? LENGTH_HEADERS : undefined;
       const endsConnection = getResponseFraming(head) === "connection";
       const headers = copyEndToEndHeaders(head.rawHeaders, drop);
-      caller.writeHead(head.status, headers, { endsConnection });
+      clientResponse.writeHead(head.status, headers, { endsConnection });
     }
     const splitter = isResumable ? new SseSplitter() : undefined;
     return new Promise((resolve) => {
       exchange.setBodyListener({
         onData: (bytes) => {
           if (splitter === undefined) this.#write(exchange, bytes);
-          else this.#pushEvents(exchange, splitter, bytes);
+          else this.#writeEvents(exchange, splitter, bytes);
         },
         onEnd: () => {
           if (splitter !== undefined && splitter.remainder.length > 0) {
@@ -125,7 +125,7 @@
     });
   }
 
-  #pushEvents(
+  #writeEvents(
     exchange: TargetExchange,
     splitter: SseSplitter,
     bytes: Buffer,
@@ -144,13 +144,13 @@
   }
 
   #write(exchange: TargetExchange, bytes: Buffer): void {
-    const { clientResponse: caller, onFirstByte } = this.#options;
+    const { clientResponse: clientResponse, onFirstByte } = this.#options;
     if (!this.#isStarted) {
       this.#isStarted = true;
       onFirstByte();
     }
-    if (caller.write(bytes)) return;
+    if (clientResponse.write(bytes)) return;
     exchange.pause();
-    caller.registerDrainListener(() => exchange.resume());
+    clientResponse.registerDrainListener(() => exchange.resume());
   }
 }
--- a/packages/heatherarch-forward/calls/sse_splitter.ts
+++ b/packages/heatherarch-forward/calls/sse_splitter.ts
@@ -13,46 +13,46 @@
   readonly id?: string;
 }
 
-const NEWLINE = 0x0a;
-const RETURN = 0x0d;
+const LINE_FEED = 0x0a;
+const CARRIAGE_RETURN = 0x0d;
 const ID_LINE = /^id: ?(.*?)\r?$/m;
 
 /** Collects bytes until they make whole events. */
 export class SseSplitter {
-  #rest: Buffer = Buffer.alloc(0);
+  #remainder: Buffer = Buffer.alloc(0);
 
   /** Adds bytes and returns the events that they complete. */
   push(bytes: Buffer): SseEvent[] {
-    this.#rest = this.#rest.length === 0
+    this.#remainder = this.#remainder.length === 0
       ? bytes
-      : Buffer.concat([this.#rest, bytes]);
+      : Buffer.concat([this.#remainder, bytes]);
     const events: SseEvent[] = [];
     let start = 0;
     while (true) {
-      const end = findEventEnd(this.#rest, start);
+      const end = findEventEnd(this.#remainder, start);
       if (end < 0) break;
-      events.push(buildEvent(this.#rest.subarray(start, end)));
+      events.push(buildEvent(this.#remainder.subarray(start, end)));
       start = end;
     }
-    this.#rest = this.#rest.subarray(start);
+    this.#remainder = this.#remainder.subarray(start);
     return events;
   }
 
   /** Bytes after the last whole event. */
   get remainder(): Buffer {
-    return this.#rest;
+    return this.#remainder;
   }
 }
 
 /** Index behind the blank line that ends the event at `start`; -1 where it is not there yet. */
 function findEventEnd(bytes: Buffer, start: number): number {
-  let at = bytes.indexOf(NEWLINE, start);
+  let at = bytes.indexOf(LINE_FEED, start);
   while (at >= 0) {
     let next = at + 1;
-    if (bytes[next] === RETURN) next++;
+    if (bytes[next] === CARRIAGE_RETURN) next++;
     if (next >= bytes.length) return -1;
-    if (bytes[next] === NEWLINE) return next + 1;
-    at = bytes.indexOf(NEWLINE, at + 1);
+    if (bytes[next] === LINE_FEED) return next + 1;
+    at = bytes.indexOf(LINE_FEED, at + 1);
   }
   return -1;
 }
--- a/packages/heatherarch-forward/calls/target_connections.ts
+++ b/packages/heatherarch-forward/calls/target_connections.ts
@@ -36,23 +36,23 @@
 /** Some ten round trips between zones and a lost packet's first repeat (200 ms) twice. */
 const DEFAULT_CONNECT_TIMEOUT_MS = 500;
 /** Below the usual idle timeout of servers (5 s), so that a call seldom meets a closing one. */
-const DEFAULT_IDLE_MS = 4000;
+const DEFAULT_IDLE_TIMEOUT_MS = 4000;
 /** A connection is not used in the last second before the target closes it. */
-const IDLE_MARGIN_MS = 1000;
+const KEEP_ALIVE_MARGIN_MS = 1000;
 /** Part of a target's connections that all VMs together use; health checks need some too. */
-const USABLE_PART = 0.8;
+const USABLE_SHARE = 0.8;
 const MIN_CONNECTIONS = 2;
 /** Connections to one target while its service's limit is not known. */
-const UNKNOWN_LIMIT = 32;
+const DEFAULT_CONNECTION_LIMIT = 32;
 
 interface TargetPool {
   readonly pool: Pool;
-  readonly resets: ResetWatch;
-  open: number;
+  readonly resetDetector: ResetDetector;
+  inFlight: number;
 }
 
 /** What the end of a stream is tested with: servers skip an empty line before a request. */
-const END_PROBE = "\r\n";
+const RESET_PROBE = "\r\n";
 
 /**
  * Tells an answer that ended with its connection from one that was cut off. undici takes a
@@ -62,7 +62,7 @@
  * stream. A write tells the two apart: after a reset it fails at once. Without it each answer
  * without length that was cut right behind its last bytes passed as whole.
  */
-class ResetWatch {
+class ResetDetector {
   readonly #isInUse: () => boolean;
   #isResetting = false;
 
@@ -76,26 +76,26 @@
   }
 
   /** Wraps a connector so that errors of its sockets are seen first. */
-  watch(connector: Connector): Connector {
+  wrapConnector(connector: Connector): Connector {
     return (options, callback) =>
       connector(options, (...result) => {
         const [error, socket] = result;
         if (error === null) {
-          socket.prependListener("error", () => this.#noteReset());
-          socket.prependListener("end", () => this.#testEnd(socket));
+          socket.prependListener("error", () => this.#recordReset());
+          socket.prependListener("end", () => this.#checkEnd(socket));
         }
         callback(...result);
       });
   }
 
   /** Idle connections end without an answer that could be cut. */
-  #testEnd(socket: Socket): void {
+  #checkEnd(socket: Socket): void {
     if (!this.#isInUse()) return;
-    socket.write(END_PROBE);
-    if (socket.errored !== null) this.#noteReset();
+    socket.write(RESET_PROBE);
+    if (socket.errored !== null) this.#recordReset();
   }
 
-  #noteReset(): void {
+  #recordReset(): void {
     this.#isResetting = true;
     process.nextTick(() => {
       this.#isResetting = false;
@@ -114,7 +114,7 @@
       onResponseHead: () => undefined,
       findBlockReason: () => undefined,
       connectTimeoutMs: DEFAULT_CONNECT_TIMEOUT_MS,
-      idleTimeoutMs: DEFAULT_IDLE_MS,
+      idleTimeoutMs: DEFAULT_IDLE_TIMEOUT_MS,
       ...options,
     };
   }
@@ -126,14 +126,14 @@
 
   /** Connections of one target that this VM may have in use. */
   computeConnectionLimit(maxConnections: number | undefined): number {
-    if (maxConnections === undefined) return UNKNOWN_LIMIT;
-    const share = Math.floor(maxConnections * USABLE_PART / this.#liveVms);
+    if (maxConnections === undefined) return DEFAULT_CONNECTION_LIMIT;
+    const share = Math.floor(maxConnections * USABLE_SHARE / this.#liveVms);
     return Math.max(MIN_CONNECTIONS, share);
   }
 
   /** Whether another request may be sent to the target now. */
   hasCapacity(target: Target, maxConnections: number | undefined): boolean {
-    const open = this.#pools.get(target.id)?.open ?? 0;
+    const open = this.#pools.get(target.id)?.inFlight ?? 0;
     return open < this.computeConnectionLimit(maxConnections);
   }
 
@@ -146,19 +146,19 @@
     request: EncodedRequest,
     purpose: SendPurpose = "work",
   ): TargetExchange {
-    const ban = this.#options.findBlockReason(target, purpose);
-    if (ban !== undefined) return buildWithheldExchange(ban);
-    const pool = this.#openPool(target);
-    pool.open++;
+    const blockReason = this.#options.findBlockReason(target, purpose);
+    if (blockReason !== undefined) return buildWithheldExchange(blockReason);
+    const pool = this.#getPool(target);
+    pool.inFlight++;
     const exchange = new TargetExchange(
       pool.pool,
       `http://${target.address}`,
       request,
       {
         onRelease: () => {
-          pool.open--;
+          pool.inFlight--;
         },
-        isReset: () => pool.resets.isResetting,
+        isReset: () => pool.resetDetector.isResetting,
       },
     );
     exchange.head.then(
@@ -185,20 +185,24 @@
     await Promise.all(pools.map(({ pool }) => pool.destroy()));
   }
 
-  #openPool(target: Target): TargetPool {
+  #getPool(target: Target): TargetPool {
     let entry = this.#pools.get(target.id);
     if (entry === undefined) {
       const { connectTimeoutMs, idleTimeoutMs: idleMs } = this.#options;
-      const resets = new ResetWatch(() => created.open > 0);
+      const resetDetector = new ResetDetector(() => created.inFlight > 0);
       const connector = buildConnector({ timeout: connectTimeoutMs });
       const pool = new Pool(`http://${target.address}`, {
         pipelining: 1,
         connections: null,
-        connect: resets.watch(connector),
+        connect: resetDetector.wrapConnector(connector),
         keepAliveTimeout: idleMs,
-        keepAliveTimeoutThreshold: IDLE_MARGIN_MS,
+        keepAliveTimeoutThreshold: KEEP_ALIVE_MARGIN_MS,
       });
-      const created: TargetPool = { pool, resets, open: 0 };
+      const created: TargetPool = {
+        pool,
+        resetDetector: resetDetector,
+        inFlight: 0,
+      };
       entry = created;
       this.#pools.set(target.id, created);
     }
--- a/packages/heatherarch-forward/calls/target_exchange.ts
+++ b/packages/heatherarch-forward/calls/target_exchange.ts
@@ -70,14 +70,14 @@
   readonly head: Promise<ResponseHead>;
   /** Settles when the connection is free or gone; with an error where there is no whole answer. */
   readonly ended: Promise<"ended" | ExchangeError>;
-  readonly #waiting: Buffer[] = [];
+  readonly #bufferedChunks: Buffer[] = [];
   #resolveHead!: (head: ResponseHead) => void;
   #rejectHead!: (error: ExchangeError) => void;
   #resolveEnded!: (end: "ended" | ExchangeError) => void;
   #controller: Controller | undefined;
   #listener: BodyListener | undefined;
   #end: "open" | "ended" | ExchangeError = "open";
-  #abortedWith: string | undefined;
+  #abortReason: string | undefined;
   readonly #hooks: ExchangeHooks;
 
   constructor(
@@ -108,9 +108,9 @@
     }, {
       onRequestStart: (controller) => this.#start(controller),
       onResponseStart: (controller, status, headers) =>
-        this.#takeHead(controller, status, headers),
-      onResponseData: (_controller, bytes) => this.#takeData(bytes),
-      onResponseEnd: () => this.#takeEnd(),
+        this.#handleHead(controller, status, headers),
+      onResponseData: (_controller, bytes) => this.#handleData(bytes),
+      onResponseEnd: () => this.#handleEnd(),
       onResponseError: (_controller, error) => this.#fail(error),
     });
   }
@@ -123,7 +123,7 @@
   /** Gives up: the connection is closed, which most targets take as a cancellation. */
   abort(reason: string): void {
     if (this.#end !== "open") return;
-    this.#abortedWith ??= reason;
+    this.#abortReason ??= reason;
     if (this.#controller === undefined) {
       this.#finish(new ExchangeError("notSent", reason));
       return;
@@ -143,7 +143,7 @@
   /** Hands the body over: what has come so far at once, the rest as it comes. */
   setBodyListener(listener: BodyListener): void {
     this.#listener = listener;
-    for (const bytes of this.#waiting.splice(0)) listener.onData(bytes);
+    for (const bytes of this.#bufferedChunks.splice(0)) listener.onData(bytes);
     if (this.#end === "ended") listener.onEnd();
     else if (this.#end !== "open") listener.onFault(this.#end);
   }
@@ -166,7 +166,7 @@
   }
 
   #start(controller: Controller): void {
-    if (this.#controller !== undefined || this.#abortedWith !== undefined) {
+    if (this.#controller !== undefined || this.#abortReason !== undefined) {
       // The library would write the request a second time, or after it was given up.
       controller.abort(new Error("request is sent once at most"));
       return;
@@ -174,7 +174,7 @@
     this.#controller = controller;
   }
 
-  #takeHead(
+  #handleHead(
     controller: Controller,
     status: number,
     headers: IncomingHttpHeaders,
@@ -187,13 +187,13 @@
     this.#resolveHead({ status, headers, rawHeaders });
   }
 
-  #takeData(bytes: Buffer): void {
+  #handleData(bytes: Buffer): void {
     if (this.#end !== "open") return;
-    if (this.#listener === undefined) this.#waiting.push(bytes);
+    if (this.#listener === undefined) this.#bufferedChunks.push(bytes);
     else this.#listener.onData(bytes);
   }
 
-  #takeEnd(): void {
+  #handleEnd(): void {
     if (this.#hooks.isReset()) {
       this.#finish(new ExchangeError("lost", "reset before the end"));
     } else this.#finish("ended");
--- a/packages/heatherarch-forward/calls/target_list_guard.ts
+++ b/packages/heatherarch-forward/calls/target_list_guard.ts
@@ -41,12 +41,12 @@
 /** Clocks that part by less are read at different moments, milliseconds. */
 const MIN_UNCOUNTED_MS = 50;
 /** Pause between looks at the list's age, milliseconds. */
-const LOOK_MS = 5;
+const POLL_INTERVAL_MS = 5;
 
 /** The guard of one VM. */
 export class TargetListGuard {
   readonly #options: TargetListGuardOptions;
-  readonly #watch: LoopWatch;
+  readonly #loopWatch: LoopWatch;
   /**
    * Monotonic time from which calls are held back, later by each further standstill; undefined
    * while they go on.
@@ -59,16 +59,16 @@
 
   constructor(options: TargetListGuardOptions) {
     this.#options = options;
-    this.#watch = new LoopWatch({
+    this.#loopWatch = new LoopWatch({
       usualMs: () => options.tickIntervalMs,
-      onLate: (standstill) => this.#noteStandstill(standstill),
+      onLate: (standstill) => this.#handleStall(standstill),
     });
   }
 
   /** To be called in each of the process's regular turns. */
   recordTick(): void {
     const { clock } = this.#options;
-    this.#watch.noteTurn(clock.readMonotonicMs(), clock.readWallMs());
+    this.#loopWatch.noteTurn(clock.readMonotonicMs(), clock.readWallMs());
   }
 
   /** Whether no call may be sent now. */
@@ -91,10 +91,10 @@
 
   /** Settles when calls may be sent. */
   async awaitFreshList(): Promise<void> {
-    while (this.isHoldingCalls()) await sleep(LOOK_MS);
+    while (this.isHoldingCalls()) await sleep(POLL_INTERVAL_MS);
   }
 
-  #noteStandstill({ lateMs, uncountedMs }: Standstill): void {
+  #handleStall({ lateMs, uncountedMs }: Standstill): void {
     this.#resumedAtMs = this.#nowMs;
     if (uncountedMs >= MIN_UNCOUNTED_MS) this.#validFromMs = this.#nowMs;
     if (this.#heldSinceMs !== undefined) {
--- a/packages/heatherarch-forward/event_log.ts
+++ b/packages/heatherarch-forward/event_log.ts
@@ -31,7 +31,7 @@
 /** About twice the lines of a small VM at its usual load (some 15 calls a second, 4 lines each). */
 const DEFAULT_MAX_LINES_PER_SECOND = 150;
 /** Bytes that may wait for a reader of standard output before lines are dropped. */
-const MAX_WAITING_BYTES = 256 * 1024;
+const MAX_BUFFERED_BYTES = 256 * 1024;
 const MESSAGE = Symbol.for("message");
 
 /** An age as it is logged, in whole milliseconds; null for what was never known. */
@@ -87,7 +87,7 @@
     this.#lines++;
     const limit = level === "error" ? this.#maxLines * 2 : this.#maxLines;
     if (
-      this.#lines <= limit && process.stdout.writableLength < MAX_WAITING_BYTES
+      this.#lines <= limit && process.stdout.writableLength < MAX_BUFFERED_BYTES
     ) return true;
     this.#dropped++;
     return false;
--- a/packages/heatherarch-forward/forward_vm.ts
+++ b/packages/heatherarch-forward/forward_vm.ts
@@ -46,11 +46,11 @@
 
 const METRICS_PATH = "/metrics";
 /** How often the end of the calls in progress is looked for while stopping, milliseconds. */
-const DRAIN_LOOK_MS = 50;
+const DRAIN_POLL_MS = 50;
 /** Time to write the last lines and records before the platform ends the process. */
 const EXIT_MARGIN_MS = 400;
 /** Time for which an engine that another VM ordered to change gets no work; told again each heartbeat. */
-const CHANGING_MS = 1500;
+const ROLE_CHANGE_HOLD_MS = 1500;
 
 /** The process of one entry VM. */
 export class ForwardVm {
@@ -63,9 +63,9 @@
    * All parts once they are registered: the container looks a part up anew each time that it is
    * asked for, which calls and heartbeats do hundreds of times a second.
    */
-  #resolved: VmComponents | undefined;
+  #resolvedComponents: VmComponents | undefined;
   #sweeper: NodeJS.Timeout | undefined;
-  #undoViolations: (() => void) | undefined;
+  #removeViolationListener: (() => void) | undefined;
   #stopping = false;
   #stopped: Promise<void> | undefined;
   #liveVms = 1;
@@ -80,14 +80,14 @@
     this.#container = createContainer<VmComponents>({
       injectionMode: InjectionMode.PROXY,
     });
-    this.#registerBeliefs();
+    this.#registerCallDependencies();
     this.#registerTasks();
-    this.#resolved = { ...this.#container.cradle };
+    this.#resolvedComponents = { ...this.#container.cradle };
   }
 
   /** Whether this VM can serve: it knows a configuration and targets, and is not stopping. */
   get isReady(): boolean {
-    const { activeConfig: configs, directory } = this.#parts;
+    const { activeConfig: configs, directory } = this.#components;
     return !this.#stopping && configs.table !== undefined && directory.size > 0;
   }
 
@@ -98,18 +98,18 @@
       mesh,
       roleController: roles,
       storeReader: reading,
-    } = this.#parts;
+    } = this.#components;
     const {
       quarantinePersistence: quarantineKeeper,
       targetListGuard: listGuard,
-    } = this.#parts;
+    } = this.#components;
     const { listen } = this.#settings;
     this.#log.write("info", "starting", {
       pid: process.pid,
       node: process.version,
       listen,
     });
-    this.#undoViolations = registerViolationListener((error) =>
+    this.#removeViolationListener = registerViolationListener((error) =>
       this.#log.write("error", "invariantViolated", {
         invariant: error.invariant,
         detail: error.message,
@@ -117,7 +117,7 @@
     );
     this.#watchConfig();
     this.#watchQuarantine();
-    this.#surveyOnceListed();
+    this.#surveyCachesOnceListed();
     await Promise.all([
       ingress.start(),
       this.#listenStatus(status, listen.readiness),
@@ -161,75 +161,75 @@
     return this.#stopped;
   }
 
-  get #parts(): VmComponents {
-    return this.#resolved ?? this.#container.cradle;
+  get #components(): VmComponents {
+    return this.#resolvedComponents ?? this.#container.cradle;
   }
 
-  #registerBeliefs(): void {
-    const serving = buildCallDependencies({
+  #registerCallDependencies(): void {
+    const dependencies = buildCallDependencies({
       settings: this.#settings,
       codec: this.#ports.codec,
       clock: this.#clock,
       log: this.#log,
       countVms: () => this.#liveVms,
-      getListAgeMs: () => this.#parts.storeReader.getKnownAgeMs(),
-      refreshTargetList: () => this.#parts.storeReader.refreshList(),
+      getListAgeMs: () => this.#components.storeReader.getKnownAgeMs(),
+      refreshTargetList: () => this.#components.storeReader.refreshList(),
     });
-    for (const [name, part] of Object.entries(serving)) {
+    for (const [name, part] of Object.entries(dependencies)) {
       this.#container.register(name, asValue(part));
     }
   }
 
   #registerTasks(): void {
-    const parts = this.#parts;
+    const components = this.#components;
     const settings = this.#settings;
     const ports = this.#ports;
-    const wiring: VmTaskOptions = {
+    const options: VmTaskOptions = {
       settings,
       ports,
       incarnation: createId("vm"),
-      getComponents: () => this.#parts,
-      onLiveVms: (count) => this.#shareLimits(count),
-      onChanging: (targets) => this.#noteChanging(targets),
+      getComponents: () => this.#components,
+      onLiveVms: (count) => this.#applyVmCount(count),
+      onChanging: (targets) => this.#markChangingRole(targets),
     };
-    const callServer = new CallServer({ ...parts });
+    const callServer = new CallServer({ ...components });
     const callers = splitAddress(settings.listen.callers);
     this.#container.register({
       ingress: asValue(
         new Ingress({
           ...callers,
-          codec: parts.codec,
+          codec: components.codec,
           server: callServer,
-          clock: parts.clock,
-          log: parts.log,
+          clock: components.clock,
+          log: components.log,
         }),
       ),
       statusServer: asValue(
         new StatusServer({
-          metrics: parts.metrics,
+          metrics: components.metrics,
           readinessPath: ports.readinessPath,
           metricsPath: METRICS_PATH,
-          quarantine: parts.quarantine,
-          clock: parts.clock,
+          quarantine: components.quarantine,
+          clock: components.clock,
           isReady: () => this.isReady,
         }),
       ),
-      storeReader: asValue(buildStoreReader(wiring)),
+      storeReader: asValue(buildStoreReader(options)),
       quarantinePersistence: asValue(
         new QuarantineKeeper({
           topic: ports.directory.quarantine,
-          quarantine: parts.quarantine,
-          clock: parts.clock,
-          log: parts.log,
+          quarantine: components.quarantine,
+          clock: components.clock,
+          log: components.log,
         }),
       ),
-      roleController: asValue(buildRoleController(wiring)),
-      mesh: asValue(buildMesh(wiring)),
+      roleController: asValue(buildRoleController(options)),
+      mesh: asValue(buildMesh(options)),
     });
   }
 
   #watchConfig(): void {
-    const { activeConfig: configs, ingress, metrics, clock } = this.#parts;
+    const { activeConfig: configs, ingress, metrics, clock } = this.#components;
     configs.registerListener(({ table, before, source }) => {
       ingress.applyLimits(table.config.limits);
       metrics.configVersion.set(table.version);
@@ -245,65 +245,74 @@
   }
 
   #watchQuarantine(): void {
-    const { quarantine, clock } = this.#parts;
+    const { quarantine, clock } = this.#components;
     quarantine.registerChangeListener(({ kind, request, isOwn }) => {
       const source = isOwn ? "own" : "peer";
-      const held = quarantine.findQuarantined(request, clock.readMonotonicMs());
+      const quarantined = quarantine.findQuarantined(
+        request,
+        clock.readMonotonicMs(),
+      );
       if (kind === "cleared") {
         this.#log.write("info", "quarantineLifted", { request, source });
-      } else if (held !== undefined) {
+      } else if (quarantined !== undefined) {
         this.#log.write("warn", "requestQuarantined", {
           request,
           source,
-          account: held.account,
-          endedTargets: held.lives,
-          holdMs: Math.round(held.untilMs - held.sinceMs),
+          account: quarantined.account,
+          endedTargets: quarantined.lives,
+          holdMs: Math.round(quarantined.untilMs - quarantined.sinceMs),
         });
       }
     });
   }
 
   /** Surveys the engines' caches as soon as they are listed. */
-  #surveyOnceListed(): void {
-    const parts = this.#parts;
-    const listReaders = (): Target[] =>
-      parts.directory.listAll().filter((target) => target.role === "prefill");
+  #surveyCachesOnceListed(): void {
+    const components = this.#components;
+    const listPrefillEngines = (): Target[] =>
+      components.directory.listAll().filter((target) =>
+        target.role === "prefill"
+      );
     const timer = setInterval(() => {
       if (this.#stopping) return clearInterval(timer);
-      if (listReaders().length === 0 || !parts.mesh.hasList) return;
+      if (listPrefillEngines().length === 0 || !components.mesh.hasList) return;
       clearInterval(timer);
       const survey = new CacheSurvey({
         vmId: this.#settings.vm.id,
-        clock: parts.clock,
-        codec: parts.codec,
-        prompts: parts.prefixIndex,
-        connections: parts.connections,
-        events: parts.log,
-        listReaders,
-        listLiveVms: () => parts.mesh.listDutyVms(),
+        clock: components.clock,
+        codec: components.codec,
+        prompts: components.prefixIndex,
+        connections: components.connections,
+        events: components.log,
+        listReaders: listPrefillEngines,
+        listLiveVms: () => components.mesh.listDutyVms(),
       });
-      void survey.run(() => parts.mesh.hasDuty);
+      void survey.run(() => components.mesh.hasDuty);
     }, SWEEP_INTERVAL_MS);
   }
 
-  #shareLimits(liveVms: number): void {
-    const { retryBudget: allowance, connections, metrics } = this.#parts;
+  #applyVmCount(liveVms: number): void {
+    const { retryBudget: allowance, connections, metrics } = this.#components;
     this.#liveVms = liveVms;
     allowance.setLiveVms(liveVms);
     connections.setLiveVms(liveVms);
     metrics.liveVms.set(liveVms);
   }
 
-  #noteChanging(targets: readonly string[]): void {
+  #markChangingRole(targets: readonly string[]): void {
     const nowMs = this.#clock.readMonotonicMs();
     for (const id of targets) {
-      this.#parts.directory.markChangingRole(id, nowMs + CHANGING_MS, nowMs);
+      this.#components.directory.markChangingRole(
+        id,
+        nowMs + ROLE_CHANGE_HOLD_MS,
+        nowMs,
+      );
     }
   }
 
   #sweep(): void {
     const { directory, roleController: roles, targetListGuard: listGuard } =
-      this.#parts;
+      this.#components;
     const {
       mesh,
       storeReader: reading,
@@ -311,7 +320,7 @@
       prefillQueue: readQueue,
       activeConfig: configs,
       clock,
-    } = this.#parts;
+    } = this.#components;
     listGuard.recordTick();
     metrics.promptsWaiting.set(readQueue.size);
     reading.share(mesh.hasToRead(), mesh.hasDuty);
@@ -329,11 +338,11 @@
         reason: "not listed again after an outage of the store",
       });
     }
-    this.#noteChanging(roles.listChanging());
+    this.#markChangingRole(roles.listChanging());
   }
 
   #sweepQuarantine(): void {
-    const { quarantine, metrics } = this.#parts;
+    const { quarantine, metrics } = this.#components;
     if (quarantine.isEmpty) return;
     const nowMs = this.#clock.readMonotonicMs();
     quarantine.expire(nowMs);
@@ -351,7 +360,7 @@
 
   async #shutDown(): Promise<void> {
     this.#stopping = true;
-    const { ingress, mesh, roleController: roles } = this.#parts;
+    const { ingress, mesh, roleController: roles } = this.#components;
     const { graceSeconds, noticeMs } = this.#settings.shutdown;
     const startedAtMs = this.#clock.readMonotonicMs();
     const untilMs = startedAtMs + graceSeconds * 1000 - EXIT_MARGIN_MS;
@@ -361,7 +370,7 @@
     ingress.closeListener();
     while (
       ingress.openCalls > 0 && this.#clock.readMonotonicMs() < untilMs
-    ) await sleep(DRAIN_LOOK_MS);
+    ) await sleep(DRAIN_POLL_MS);
     this.#log.write("info", "stopped", {
       openCalls: ingress.openCalls,
       tookMs: Math.round(this.#clock.readMonotonicMs() - startedAtMs),
@@ -370,11 +379,12 @@
   }
 
   async #closeAll(): Promise<void> {
-    const { ingress, statusServer: status, mesh, connections } = this.#parts;
+    const { ingress, statusServer: status, mesh, connections } =
+      this.#components;
     clearInterval(this.#sweeper);
-    this.#undoViolations?.();
-    this.#parts.storeReader.stop();
-    this.#parts.quarantinePersistence.stop();
+    this.#removeViolationListener?.();
+    this.#components.storeReader.stop();
+    this.#components.quarantinePersistence.stop();
     ingress.closeAll();
     status.close();
     mesh.stop();
--- a/packages/heatherarch-forward/tests/unit/attempt_result_test.ts
+++ b/packages/heatherarch-forward/tests/unit/attempt_result_test.ts
@@ -13,7 +13,7 @@
 // A request that is held back says nothing of the target that it was meant for.
 test("what is withheld ends as not sent and is not held against its target", async () => {
   const health = new TargetHealth();
-  const run = {
+  const context = {
     nowMs: 0,
     hasEnded: false,
     call: { id: "c", arrivedAtMs: 0 },
@@ -24,13 +24,13 @@
     },
   } as unknown as CallContext;
   for (let i = 0; i < 10; i++) {
-    const end = await awaitAttempt({
-      run,
+    const result = await awaitAttempt({
+      run: context,
       target: buildTarget("t"),
       exchange: buildWithheldExchange("the request is quarantined"),
       stage: "whole",
     });
-    assert.equal(end.kind, "notSent");
+    assert.equal(result.kind, "notSent");
   }
   assert.equal(health.isAvoided("t", 0), false);
   assert.equal(health.isReachable("t"), true);
--- a/packages/heatherarch-forward/tests/unit/call_handlers_test.ts
+++ b/packages/heatherarch-forward/tests/unit/call_handlers_test.ts
@@ -8,7 +8,7 @@
   type ScriptOutcome,
 } from "./scripted_call.ts";
 
-const ENDS: readonly ScriptedResult[] = [
+const RESULTS: readonly ScriptedResult[] = [
   "notSent",
   "lostBefore",
   "lostAfter",
@@ -17,7 +17,7 @@
   "cut",
   "ok",
 ];
-const STEPS = ENDS.flatMap((end): ScriptedAttempt[] => [
+const STEPS = RESULTS.flatMap((end): ScriptedAttempt[] => [
   { end, restarts: false },
   { end, restarts: true },
 ]);
--- a/packages/heatherarch-forward/tests/unit/scripted_call.ts
+++ b/packages/heatherarch-forward/tests/unit/scripted_call.ts
@@ -81,8 +81,8 @@
   kind: CallKind,
   script: readonly ScriptedAttempt[],
 ): Promise<ScriptOutcome> {
-  const world = new ScriptedCall(kind, script);
-  return await world.play();
+  const call = new ScriptedCall(kind, script);
+  return await call.play();
 }
 
 class ScriptedCall {
@@ -90,7 +90,7 @@
   readonly #script: ScriptedAttempt[];
   readonly #length: number;
   readonly #directory = new TargetDirectory();
-  readonly #runs: string[] = [];
+  readonly #executions: string[] = [];
   readonly #starts = new Map([["a", 1], ["b", 1]]);
   #status: number | undefined;
   #isWhole = false;
@@ -107,14 +107,14 @@
   }
 
   async play(): Promise<ScriptOutcome> {
-    this.#list();
-    const run = this.#buildRun();
+    this.#listTargets();
+    const context = this.#buildContext();
     if (this.#isStream) {
       const prompt = buildPrompt("k", 100, 200);
-      await new GenerationHandler(run, prompt, TRAITS).serve();
-    } else await new PlainCallHandler(run).serve();
+      await new GenerationHandler(context, prompt, TRAITS).serve();
+    } else await new PlainCallHandler(context).serve();
     return {
-      runs: this.#runs,
+      runs: this.#executions,
       status: this.#status,
       isWhole: this.#isWhole,
       body: this.#body,
@@ -122,7 +122,7 @@
     };
   }
 
-  #list(): void {
+  #listTargets(): void {
     const targets = [...this.#starts].map(([instance, start]): Target =>
       buildTarget(`${instance}@${start}`, {
         instance,
@@ -138,10 +138,10 @@
     );
   }
 
-  #buildRun(): CallContext {
+  #buildContext(): CallContext {
     const clock = new RuntimeClock();
     return new CallContext({
-      dependencies: this.#buildServing(clock),
+      dependencies: this.#buildDependencies(clock),
       call: {
         id: "call",
         method: "POST",
@@ -155,14 +155,14 @@
       route: buildRoute({ kind: this.#kind, timeoutMs: 5000 }),
       service: { name: "s", maxConnections: 100 },
       configVersion: 1,
-      clientResponse: this.#buildCaller(),
+      clientResponse: this.#buildClientResponse(),
     });
   }
 
-  #buildServing(clock: RuntimeClock): CallDependencies {
-    const readModel = new PrefillTimeModel();
+  #buildDependencies(clock: RuntimeClock): CallDependencies {
+    const prefillTimeModel = new PrefillTimeModel();
     const connections = new TargetConnections();
-    connections.send = (target, request) => this.#open(target, request);
+    connections.send = (target, request) => this.#send(target, request);
     const log = new MemoryEventLog();
     const metrics = new ForwardMetrics();
     const quarantine = new RequestQuarantine();
@@ -185,12 +185,12 @@
         share: 1,
         windowMs: 10_000,
       }),
-      placer: new PromptPlacer({ model: readModel }),
+      placer: new PromptPlacer({ model: prefillTimeModel }),
       engineJitter: new EngineJitter({ vmId: "vm", drawUnit: () => 0 }),
       prefixIndex: new PrefixIndex(),
       retention: new CacheRetention(),
       countVms: () => 1,
-      prefillTimeModel: readModel,
+      prefillTimeModel: prefillTimeModel,
       prefillQueue: new PrefillQueue({ clock }),
       prefillCandidateCache: new PrefillCandidateCache(),
       log,
@@ -199,14 +199,14 @@
     } as unknown as CallDependencies;
   }
 
-  #buildCaller(): ClientResponse {
-    const caller = {
+  #buildClientResponse(): ClientResponse {
+    const clientResponse = {
       isDisconnected: false,
       isHeadSent: false,
       registerDisconnectListener: () => () => undefined,
       registerDrainListener: () => undefined,
       writeHead: (status: number) => {
-        caller.isHeadSent = true;
+        clientResponse.isHeadSent = true;
         this.#status = status;
       },
       write: (bytes: Buffer) => {
@@ -225,12 +225,12 @@
         this.#isWhole = true;
       },
     };
-    return caller as unknown as ClientResponse;
+    return clientResponse as unknown as ClientResponse;
   }
 
-  #open(target: Target, request: EncodedRequest): TargetExchange {
-    const isReading = request.path === "readPrompt";
-    const step = isReading || request.path === "free"
+  #send(target: Target, request: EncodedRequest): TargetExchange {
+    const isPrefill = request.path === "readPrompt";
+    const step = isPrefill || request.path === "free"
       ? undefined
       : this.#script.shift();
     const end = step?.end ?? "ok";
@@ -256,7 +256,7 @@
     const start = this.#starts.get(instance);
     if (start === undefined) return;
     this.#starts.set(instance, start + 1);
-    this.#list();
+    this.#listTargets();
   }
 
   #answer(
@@ -271,13 +271,13 @@
       resume: () => undefined,
       rawHeaders: [],
     } as unknown as Dispatcher.DispatchController;
-    const isReading = request.path === "readPrompt";
+    const isPrefill = request.path === "readPrompt";
     const fail = () => handler.onResponseError?.(controller, new Error(end));
     if (end === "notSent") return void fail();
     handler.onRequestStart?.(controller, {});
     if (end === "lostBefore") return void fail();
-    const isRun = end !== "refused" && !isReading && request.path !== "free";
-    if (isRun) this.#runs.push(target.id);
+    const isRun = end !== "refused" && !isPrefill && request.path !== "free";
+    if (isRun) this.#executions.push(target.id);
     if (end === "lostAfter") return void fail();
     const status = end === "refused" ? 503 : end === "failed" ? 500 : 200;
     const headers = { "x-not-run": String(end === "refused") };
--- a/packages/heatherarch-forward/tests/unit/target_connections_test.ts
+++ b/packages/heatherarch-forward/tests/unit/target_connections_test.ts
@@ -20,7 +20,9 @@
 });
 
 /** A target that counts requests, and whether it may be sent work. */
-async function build(ban: (purpose: SendPurpose) => string | undefined) {
+async function build(
+  findBlockReason: (purpose: SendPurpose) => string | undefined,
+) {
   let requests = 0;
   server = createServer((_request, response) => {
     requests++;
@@ -32,7 +34,7 @@
   const { port } = server.address() as AddressInfo;
   const target = buildTarget("t", { address: `127.0.0.1:${port}` });
   connections = new TargetConnections({
-    findBlockReason: (_target, purpose) => ban(purpose),
+    findBlockReason: (_target, purpose) => findBlockReason(purpose),
   });
   return { target, connections, count: () => requests };
 }
--- a/packages/heatherarch-forward/tests/unit/target_list_guard_test.ts
+++ b/packages/heatherarch-forward/tests/unit/target_list_guard_test.ts
@@ -3,29 +3,29 @@
 import { ManualClock } from "heatherarch-core";
 import { TargetListGuard, type TargetListGuardChange } from "../../mod.ts";
 
-const TURN_MS = 250;
+const TICK_MS = 250;
 const MAX_LIST_AGE_MS = 1400;
 
-interface GuardedList {
+interface TestGuard {
   readonly guard: TargetListGuard;
   readonly changes: TargetListGuardChange[];
   /** Passes time in turns of a process that runs. */
   run(ms: number): void;
   /** Passes time in which the process stands still. */
-  standStill(ms: number): void;
+  stall(ms: number): void;
   /** Wall time passes, and none by the monotonic clock. */
   suspend(ms: number): void;
   /** The list is taken in, as it was `ageMs` ago. */
   readList(ageMs?: number): void;
 }
 
-function createGuardedList(): GuardedList {
+function createTestGuard(): TestGuard {
   const clock = new ManualClock();
   let listAtMs = 0;
   const changes: TargetListGuardChange[] = [];
   const guard = new TargetListGuard({
     clock,
-    tickIntervalMs: TURN_MS,
+    tickIntervalMs: TICK_MS,
     maxListAgeMs: MAX_LIST_AGE_MS,
     getListAgeMs: () => clock.readMonotonicMs() - listAtMs,
     onChange: (change) => changes.push(change),
@@ -35,12 +35,12 @@
     guard,
     changes,
     run: (ms) => {
-      for (let passedMs = 0; passedMs < ms; passedMs += TURN_MS) {
-        clock.advance(TURN_MS);
+      for (let passedMs = 0; passedMs < ms; passedMs += TICK_MS) {
+        clock.advance(TICK_MS);
         guard.recordTick();
       }
     },
-    standStill: (ms) => clock.advance(ms),
+    stall: (ms) => clock.advance(ms),
     suspend: (ms) => clock.jumpWall(ms),
     readList: (ageMs = 0) => {
       listAtMs = clock.readMonotonicMs() - ageMs;
@@ -49,10 +49,10 @@
 }
 
 test("calls wait for the list after a standstill that made it too old", () => {
-  const list = createGuardedList();
-  list.standStill(3000);
+  const list = createTestGuard();
+  list.stall(3000);
   assert.equal(list.guard.isHoldingCalls(), true);
-  list.standStill(20);
+  list.stall(20);
   list.readList(2500);
   assert.equal(list.guard.isHoldingCalls(), true, "an answer from before it");
   list.readList(5);
@@ -64,8 +64,8 @@
 });
 
 test("calls go on after a while although the list can't be read", () => {
-  const list = createGuardedList();
-  list.standStill(3000);
+  const list = createTestGuard();
+  list.stall(3000);
   assert.equal(list.guard.isHoldingCalls(), true);
   list.run(500);
   assert.equal(list.guard.isHoldingCalls(), false);
@@ -73,26 +73,26 @@
 });
 
 test("an outage of the store alone holds no call back", () => {
-  const list = createGuardedList();
+  const list = createTestGuard();
   list.run(10_000);
   assert.equal(list.guard.isHoldingCalls(), false);
   assert.deepEqual(list.changes, []);
 });
 
 test("a short standstill after which the list is young enough holds no call back", () => {
-  const list = createGuardedList();
-  list.standStill(900);
+  const list = createTestGuard();
+  list.stall(900);
   assert.equal(list.guard.isHoldingCalls(), false);
 });
 
 test("a starved process holds calls back for as long as it runs, not as it stands", () => {
-  const list = createGuardedList();
-  list.standStill(2000);
+  const list = createTestGuard();
+  list.stall(2000);
   assert.equal(list.guard.isHoldingCalls(), true);
   for (let turn = 0; turn < 5; turn++) {
-    list.standStill(450);
+    list.stall(450);
     assert.equal(list.guard.isHoldingCalls(), true, `turn ${turn}`);
-    list.standStill(40);
+    list.stall(40);
     assert.equal(list.guard.isHoldingCalls(), true, `turn ${turn}`);
   }
   list.readList(490);
@@ -100,7 +100,7 @@
 });
 
 test("after a suspension that the clock missed only a later list counts", () => {
-  const { guard, readList, standStill, suspend } = createGuardedList();
+  const { guard, readList, stall: standStill, suspend } = createTestGuard();
   standStill(100);
   suspend(3000);
   assert.equal(guard.isHoldingCalls(), true);
@@ -112,7 +112,7 @@
 });
 
 test("what was under way at a standstill is told from what began after it", () => {
-  const { guard, standStill, run } = createGuardedList();
+  const { guard, stall: standStill, run } = createTestGuard();
   assert.equal(guard.hasStalledSince(0), false);
   standStill(1000);
   assert.equal(guard.hasStalledSince(0), true);
--- a/packages/heatherarch-forward/vm_dependencies.ts
+++ b/packages/heatherarch-forward/vm_dependencies.ts
@@ -54,14 +54,14 @@
  * a third of the time in which a leaving target may still get work, a VM whose hub has lost the
  * store reads by itself before two thirds of it are over.
  */
-const LIST_AGE_POLLS = 1.6;
+const MAX_LIST_AGE_POLLS = 1.6;
 const LIST_AGE_SLACK_MS = 300;
 
 /** Age up to which a list of targets is relied on, milliseconds. */
 export function computeMaxListAgeMs(
   { targetPollMs }: ForwardSettings["store"],
 ): number {
-  return targetPollMs * LIST_AGE_POLLS + LIST_AGE_SLACK_MS;
+  return targetPollMs * MAX_LIST_AGE_POLLS + LIST_AGE_SLACK_MS;
 }
 
 /** Builds what calls share, from a VM's settings. */
@@ -106,10 +106,10 @@
     connections: new TargetConnections({
       onResponseHead: (target, head) => notices.apply(target, head),
       findBlockReason: ({ id }, purpose) =>
-        findBan({ directory, backoffs: rests, clock }, id, purpose),
+        findBlockReason({ directory, backoffs: rests, clock }, id, purpose),
     }),
-    targetListGuard: buildListGuard(options, metrics),
-    retryBudget: buildAllowance(settings),
+    targetListGuard: buildTargetListGuard(options, metrics),
+    retryBudget: buildRetryBudget(settings),
     prefillQueue: new PrefillQueue({ clock }),
     prefillCandidateCache: new PrefillCandidateCache(),
     prefixIndex: new PrefixIndex(),
@@ -123,7 +123,7 @@
   };
 }
 
-function buildListGuard(
+function buildTargetListGuard(
   { settings, clock, log, getListAgeMs, refreshTargetList: refreshList }:
     CallDependenciesOptions,
   metrics: ForwardMetrics,
@@ -176,7 +176,7 @@
 }
 
 /** Why nothing may be sent to a target now; undefined if it may. */
-function findBan(
+function findBlockReason(
   { directory, backoffs: rests, clock }: Pick<
     CallDependencies,
     "directory" | "backoffs" | "clock"
@@ -199,7 +199,7 @@
   });
 }
 
-function buildAllowance({ retries }: ForwardSettings): RetryBudget {
+function buildRetryBudget({ retries }: ForwardSettings): RetryBudget {
   const { share, fixedPerWindow, windowSeconds } = retries;
   return new RetryBudget({
     share,
--- a/packages/heatherarch-forward/vm_tasks.ts
+++ b/packages/heatherarch-forward/vm_tasks.ts
@@ -49,9 +49,9 @@
 }
 
 /** Builds the mesh. */
-export function buildMesh(wiring: VmTaskOptions): FleetMesh {
-  const { settings, ports, incarnation, getComponents: getParts } = wiring;
-  const parts = getParts();
+export function buildMesh(options: VmTaskOptions): FleetMesh {
+  const { settings, ports, incarnation, getComponents: getParts } = options;
+  const components = getParts();
   return new FleetMesh({
     self: {
       id: settings.vm.id,
@@ -63,48 +63,48 @@
     ...settings.mesh,
     listen: settings.listen.mesh,
     vms: ports.directory.vms,
-    clock: parts.clock,
-    log: parts.log,
-    ledger: parts.workTracker,
-    prompts: parts.prefixIndex,
-    quarantine: parts.quarantine,
-    configs: parts.activeConfig,
-    directory: parts.directory,
-    getListAgeMs: () => parts.storeReader.getListAgeMs(),
+    clock: components.clock,
+    log: components.log,
+    ledger: components.workTracker,
+    prompts: components.prefixIndex,
+    quarantine: components.quarantine,
+    configs: components.activeConfig,
+    directory: components.directory,
+    getListAgeMs: () => components.storeReader.getListAgeMs(),
     maxListAgeMs: computeMaxListAgeMs(settings.store),
     applyTargets: (entries, isFull) =>
-      parts.storeReader.applyTargets(entries, isFull),
-    onListLost: (source) => parts.storeReader.noteHubLost(source),
-    getListReadAtMs: () => parts.storeReader.listReadAtMs,
-    onListRead: (atMs) => parts.directory.recordPeerRead(atMs),
+      components.storeReader.applyTargets(entries, isFull),
+    onListLost: (source) => components.storeReader.noteHubLost(source),
+    getListReadAtMs: () => components.storeReader.listReadAtMs,
+    onListRead: (atMs) => components.directory.recordPeerRead(atMs),
     configReads: planConfigReads(settings.store),
-    loadConfig: () => parts.storeReader.loadConfig(),
-    onLiveVms: wiring.onLiveVms,
-    onChanging: wiring.onChanging,
+    loadConfig: () => components.storeReader.loadConfig(),
+    onLiveVms: options.onLiveVms,
+    onChanging: options.onChanging,
     listChanging: () => getParts().roleController.listChanging(),
-    onLate: (lateMs) => parts.metrics.loopLate.observe(lateMs / 1000),
+    onLate: (lateMs) => components.metrics.loopLate.observe(lateMs / 1000),
     mayOrder: () =>
       getParts().storeReader.isListCurrent && getParts().mesh.hasDuty,
   });
 }
 
 /** Builds the task that gives orders to engines. */
-export function buildRoleController(wiring: VmTaskOptions): RoleKeeper {
-  const { settings, ports, incarnation, getComponents: getParts } = wiring;
-  const parts = getParts();
+export function buildRoleController(options: VmTaskOptions): RoleKeeper {
+  const { settings, ports, incarnation, getComponents: getParts } = options;
+  const components = getParts();
   return new RoleKeeper({
     vmId: settings.vm.id,
     incarnation,
     log: ports.log,
     leaseMs: settings.lease.durationMs,
-    clock: parts.clock,
-    configs: parts.activeConfig,
-    directory: parts.directory,
-    health: parts.health,
-    connections: parts.connections,
-    codec: parts.codec,
-    events: parts.log,
-    metrics: parts.metrics,
+    clock: components.clock,
+    configs: components.activeConfig,
+    directory: components.directory,
+    health: components.health,
+    connections: components.connections,
+    codec: components.codec,
+    events: components.log,
+    metrics: components.metrics,
     listOrderers: () => getParts().mesh.listOrderers(),
     isListCurrent: () => getParts().storeReader.isListCurrent,
     hasDuty: () => getParts().mesh.hasDuty,
@@ -112,28 +112,29 @@
 }
 
 /** Builds the task that reads the store. */
-export function buildStoreReader(wiring: VmTaskOptions): StoreReading {
+export function buildStoreReader(options: VmTaskOptions): StoreReading {
   const { settings: { store }, ports: { directory }, getComponents: getParts } =
-    wiring;
-  const parts = getParts();
+    options;
+  const components = getParts();
   return new StoreReading({
     configTopic: directory.configs,
     targetTopic: directory.targets,
     configReads: planConfigReads(store),
     targetPollMs: store.targetPollMs,
     getToldAtMs: () => getParts().mesh.listAtMs,
-    hasStoodStillSince: (atMs) => parts.targetListGuard.hasStalledSince(atMs),
-    clock: parts.clock,
-    log: parts.log,
-    metrics: parts.metrics,
-    configs: parts.activeConfig,
-    directory: parts.directory,
-    connections: parts.connections,
-    losses: parts.crashDetector,
-    prompts: parts.prefixIndex,
-    health: parts.health,
-    rests: parts.backoffs,
-    readModel: parts.prefillTimeModel,
-    spread: parts.engineJitter,
+    hasStoodStillSince: (atMs) =>
+      components.targetListGuard.hasStalledSince(atMs),
+    clock: components.clock,
+    log: components.log,
+    metrics: components.metrics,
+    configs: components.activeConfig,
+    directory: components.directory,
+    connections: components.connections,
+    losses: components.crashDetector,
+    prompts: components.prefixIndex,
+    health: components.health,
+    rests: components.backoffs,
+    readModel: components.prefillTimeModel,
+    spread: components.engineJitter,
   });
 }
