--- a/packages/heatherarch-forward/calls/attempt_result.ts
+++ b/packages/heatherarch-forward/calls/attempt_result.ts
@@ -43,7 +43,7 @@
 
 /** Options of {@linkcode awaitAttempt}. */
 export interface AwaitAttemptOptions {
-  readonly run: CallContext;
+  readonly context: CallContext;
   readonly target: Target;
   readonly exchange: TargetExchange;
   readonly stage: string;
@@ -71,7 +71,7 @@
 export async function awaitAttempt(
   options: AwaitAttemptOptions,
 ): Promise<AttemptResult> {
-  const { run: context, target, exchange, stage } = options;
+  const { context, target, exchange, stage } = options;
   const stopTimer = startSilenceTimer(options);
   let result: AttemptResult;
   try {
@@ -90,18 +90,18 @@
 /** Gives the exchange up when its target stays silent; returns what ends the watch. */
 function startSilenceTimer(options: AwaitAttemptOptions): () => void {
   const {
-    run,
+    context: run,
     target,
     exchange,
     timeoutMs,
-    extendsWhileAlive: isPatient = false,
+    extendsWhileAlive = false,
   } = options;
   if (timeoutMs === undefined) return () => undefined;
   const sentAtMs = run.nowMs;
   let timer: NodeJS.Timeout;
   const checkSilence = (): void => {
     const heardAtMs = run.dependencies.health.getLastAnswerAtMs(target.id);
-    if (isPatient && run.nowMs - heardAtMs < ALIVE_WINDOW_MS) {
+    if (extendsWhileAlive && run.nowMs - heardAtMs < ALIVE_WINDOW_MS) {
       timer = setTimeout(checkSilence, ALIVE_WINDOW_MS);
       return;
     }
@@ -163,7 +163,7 @@
     exchange.abort("encoded body");
     return { kind: "lost", reason: "answer in an encoding nobody asked for" };
   }
-  return { kind: "answer", head, metadata: metadata };
+  return { kind: "answer", head, metadata };
 }
 
 function ignore(): void {
@@ -177,7 +177,7 @@
   stage: string,
   result: AttemptResult,
 ): void {
-  const { health, directory, crashDetector: losses, log, metrics } =
+  const { health, directory, crashDetector, log, metrics } =
     context.dependencies;
   const outcome = result.kind === "answer"
     ? String(result.head.status)
@@ -187,7 +187,7 @@
   if (result.kind === "notRun" && result.refusal === "otherIncarnation") {
     directory.markReplaced(target.id);
     health.forget(target.id);
-    losses.recordCrash(target.id, "replaced");
+    crashDetector.recordCrash(target.id, "replaced");
   }
   if (result.kind === "notRun" && result.refusal === "otherRole") {
     health.avoidUntil(target.id, nowMs + OTHER_ROLE_AVOID_MS);
--- a/packages/heatherarch-forward/calls/call_context.ts
+++ b/packages/heatherarch-forward/calls/call_context.ts
@@ -80,10 +80,9 @@
     this.service = options.service;
     this.clientResponse = options.clientResponse;
     this.#configVersion = options.configVersion;
-    const { arrivedAtMs, clientTimeoutMs: patienceMs = Infinity } =
-      options.call;
+    const { arrivedAtMs, clientTimeoutMs = Infinity } = options.call;
     this.deadlineAtMs = arrivedAtMs +
-      Math.min(patienceMs, options.route.timeoutMs);
+      Math.min(clientTimeoutMs, options.route.timeoutMs);
     this.#ended = new Promise((resolve) => {
       this.#resolveEnded = resolve;
     });
@@ -168,9 +167,9 @@
 
   /** Settles when the list of targets may be acted on, or the call has ended. */
   async awaitTargetList(): Promise<void> {
-    const { targetListGuard: listGuard } = this.dependencies;
-    if (!listGuard.isHoldingCalls()) return;
-    await Promise.race([listGuard.awaitFreshList(), this.#ended]);
+    const { targetListGuard } = this.dependencies;
+    if (!targetListGuard.isHoldingCalls()) return;
+    await Promise.race([targetListGuard.awaitFreshList(), this.#ended]);
   }
 
   /** Sends a try and makes it the one that an early end of the call cancels. */
--- a/packages/heatherarch-forward/calls/call_server.ts
+++ b/packages/heatherarch-forward/calls/call_server.ts
@@ -125,7 +125,7 @@
     kind: "notReady" | "notFound" | "noTarget",
     reason: string,
   ): void {
-    const { activeConfig: configs, log, clock } = this.#dependencies;
+    const { activeConfig, log, clock } = this.#dependencies;
     response.fail(new ServeError(kind, reason), call.id);
     log.write("warn", "callRejected", {
       call: call.id,
@@ -133,8 +133,8 @@
       reason,
       host: call.host,
       path: call.path,
-      configVersion: configs.version,
-      configAgeMs: formatAge(configs.getAgeMs(clock.readMonotonicMs())),
+      configVersion: activeConfig.version,
+      configAgeMs: formatAge(activeConfig.getAgeMs(clock.readMonotonicMs())),
     });
   }
 }
--- a/packages/heatherarch-forward/calls/generation_handler.ts
+++ b/packages/heatherarch-forward/calls/generation_handler.ts
@@ -71,7 +71,7 @@
     this.#context = context;
     this.#prompt = prompt;
     this.#traits = traits;
-    this.#prefill = new PromptPrefill({ run: context, prompt, traits });
+    this.#prefill = new PromptPrefill({ context, prompt, traits });
     this.#relay = new StreamRelay({
       clientResponse: context.clientResponse,
       isResumable: context.route.kind === "resumableStream",
@@ -129,7 +129,7 @@
     try {
       const exchange = this.#send(target, prefilled);
       const result = await awaitAttempt({
-        run: context,
+        context,
         target,
         exchange,
         stage: prefilled === undefined ? "whole" : "takeOver",
@@ -189,10 +189,10 @@
   async #handleResponse(
     target: Target,
     exchange: TargetExchange,
-    { head, metadata: facts }: AttemptResponse,
+    { head, metadata }: AttemptResponse,
   ): Promise<void> {
     const isWhole = isSuccessStatus(head.status);
-    const fault = isWhole && !facts.signed
+    const fault = isWhole && !metadata.signed
       ? "success without a signature"
       : !isWhole && this.#relay.isStarted
       ? `no stream to go on with: status ${head.status}`
--- a/packages/heatherarch-forward/calls/plain_call_handler.ts
+++ b/packages/heatherarch-forward/calls/plain_call_handler.ts
@@ -93,7 +93,7 @@
     const endRun = ledger.beginRun(target.id, 0);
     try {
       const result = await awaitAttempt({
-        run: context,
+        context,
         target,
         exchange,
         stage: "whole",
--- a/packages/heatherarch-forward/calls/prompt_prefill.ts
+++ b/packages/heatherarch-forward/calls/prompt_prefill.ts
@@ -38,7 +38,7 @@
  */
 const LATE_PREFILL_SHARE = 0.25;
 /** Longest answer to a reading; it holds a handle and two numbers. */
-const MAX_HANDLE_BYTES = 64 * 1024;
+const MAX_RESPONSE_BYTES = 64 * 1024;
 /** A prompt that an engine has read, and how to take its cache over. */
 export interface PrefilledPrompt {
   readonly engine: Target;
@@ -69,7 +69,7 @@
 
 /** Options of {@linkcode PromptPrefill}. */
 export interface PromptPrefillOptions {
-  readonly run: CallContext;
+  readonly context: CallContext;
   readonly prompt: GenerationParams;
   readonly traits: EngineTraits;
 }
@@ -86,10 +86,10 @@
   #isRetry = false;
 
   constructor(options: PromptPrefillOptions) {
-    this.#context = options.run;
+    this.#context = options.context;
     this.#prompt = options.prompt;
     this.#traits = options.traits;
-    this.#prefixKey = options.run.dependencies.placer.findPrefixKey(
+    this.#prefixKey = options.context.dependencies.placer.findPrefixKey(
       options.prompt,
     );
   }
@@ -108,7 +108,7 @@
   async prefill(lastEventId: string | undefined): Promise<PrefillResult> {
     const booking = await this.#awaitBooking(lastEventId !== undefined);
     if (booking.kind !== "turn") return booking;
-    const { placed, startedAtMs, endPrefill: endPrefill } = booking;
+    const { placed, startedAtMs, endPrefill } = booking;
     const { placement } = placed;
     const context = this.#context;
     try {
@@ -129,16 +129,20 @@
   }
 
   /** Frees a cache that nobody will take over. */
-  releaseCache({ engine: by, kvSource: source }: PrefilledPrompt): void {
+  releaseCache({ engine, kvSource }: PrefilledPrompt): void {
     const { connections, codec, directory, log } = this.#context.dependencies;
-    if (directory.findTarget(by.id) === undefined) return;
-    connections.send(by, codec.encodeHandleRelease(source.handle), "release")
-      .readBody(MAX_HANDLE_BYTES)
+    if (directory.findTarget(engine.id) === undefined) return;
+    connections.send(
+      engine,
+      codec.encodeHandleRelease(kvSource.handle),
+      "release",
+    )
+      .readBody(MAX_RESPONSE_BYTES)
       .catch((error: Error) =>
         // It lapses by itself after some seconds.
         log.write("debug", "handleNotFreed", {
           call: this.#context.call.id,
-          target: by.id,
+          target: engine.id,
           reason: error.message,
         })
       );
@@ -167,7 +171,7 @@
     exchange: TargetExchange,
   ): Promise<KvHandle | PrefillResult> {
     const result = await awaitAttempt({
-      run: this.#context,
+      context: this.#context,
       target,
       exchange,
       stage: "readPrompt",
@@ -183,7 +187,7 @@
       );
     }
     try {
-      const body = await exchange.readBody(MAX_HANDLE_BYTES);
+      const body = await exchange.readBody(MAX_RESPONSE_BYTES);
       const { status } = result.head;
       const handle = isSuccessStatus(status)
         ? this.#context.dependencies.codec.decodeKvHandle(body)
@@ -222,25 +226,23 @@
   /** Waits until an engine is about to be free, and books the reading there. */
   #awaitBooking(isResumed: boolean): Promise<BookedPrefill | PrefillResult> {
     const context = this.#context;
-    const { prefillQueue: readQueue, prefillTimeModel: readModel } =
-      context.dependencies;
+    const { prefillQueue, prefillTimeModel } = context.dependencies;
     const { aimMs, priority } = context.route;
-    const { waitStartedAtMs: sinceMs, timeoutAtMs: leavesAtMs } =
-      computeWaitLimits({
-        arrivedAtMs: context.call.arrivedAtMs,
-        deadlineAtMs: context.deadlineAtMs,
-        aimMs,
-        ...(isResumed ? { interruptedAtMs: context.nowMs } : {}),
-      });
+    const { waitStartedAtMs, timeoutAtMs } = computeWaitLimits({
+      arrivedAtMs: context.call.arrivedAtMs,
+      deadlineAtMs: context.deadlineAtMs,
+      aimMs,
+      ...(isResumed ? { interruptedAtMs: context.nowMs } : {}),
+    });
     return new Promise((resolve) => {
-      const cancel = readQueue.enqueue({
+      const cancel = prefillQueue.enqueue({
         lane: computeLane(priority),
         kind: context.route.name,
         tokens: this.#prompt.promptTokens,
-        waitStartedAtMs: sinceMs,
+        waitStartedAtMs,
         aimMs,
-        timeoutAtMs: leavesAtMs,
-        firstTokenDelayMs: FIRST_TOKEN_MS + readModel.latencyMs,
+        timeoutAtMs,
+        firstTokenDelayMs: FIRST_TOKEN_MS + prefillTimeModel.latencyMs,
         findPlacement: () => this.#findPlacement(),
         mayPrefillLate: () => this.#mayPrefillLate(),
         onOutcome: (verdict) =>
@@ -259,21 +261,21 @@
 
   #beginPrefill(placed: LanePlacement): BookedPrefill {
     const { placement: { target, costMs }, lane } = placed;
-    const { workTracker: ledger, prefillTimeModel: readModel, metrics } =
+    const { workTracker, prefillTimeModel, metrics } =
       this.#context.dependencies;
     const startedAtMs = this.#context.nowMs;
     const waitedMs = startedAtMs - this.#context.call.arrivedAtMs;
     metrics.readWait.observe({ lane }, waitedMs / 1000);
     this.#recordHolder(target, "reading");
-    const latencyMs = readModel.latencyMs + RESPONSE_SLACK_MS;
+    const latencyMs = prefillTimeModel.latencyMs + RESPONSE_SLACK_MS;
     const read = { costMs, lane, latencyMs };
-    const endPrefill = ledger.beginPrefill(target.id, read, startedAtMs);
-    return { kind: "turn", placed, startedAtMs, endPrefill: endPrefill };
+    const endPrefill = workTracker.beginPrefill(target.id, read, startedAtMs);
+    return { kind: "turn", placed, startedAtMs, endPrefill };
   }
 
   /** Late prompts, long ones above all, keep engines from calls that can be on time. */
   #mayPrefillLate(): boolean {
-    const { workTracker: ledger } = this.#context.dependencies;
+    const { workTracker } = this.#context.dependencies;
     const nowMs = this.#context.nowMs;
     const prefillEngines = listAvailableEngines(
       this.#context,
@@ -281,7 +283,7 @@
       this.#tried,
     );
     const busy = prefillEngines.filter(({ id }) =>
-      ledger.hasLatePrefill(id, nowMs)
+      workTracker.hasLatePrefill(id, nowMs)
     );
     return busy.length <
       Math.max(1, Math.floor(prefillEngines.length * LATE_PREFILL_SHARE));
@@ -290,11 +292,14 @@
   /** The engine that would read the prompt soonest now. */
   #findPlacement(): PromptPlacement | undefined {
     const context = this.#context;
-    const { prefillCandidateCache: readerBoard, placer, engineJitter: spread } =
+    const { prefillCandidateCache, placer, engineJitter } =
       context.dependencies;
     const nowMs = context.nowMs;
-    const candidates = readerBoard.listCandidates(context, this.#tried);
-    const prefillEngines = readerBoard.listPrefillEngines(context);
+    const candidates = prefillCandidateCache.listCandidates(
+      context,
+      this.#tried,
+    );
+    const prefillEngines = prefillCandidateCache.listPrefillEngines(context);
     const holders = this.#prefixKey === undefined
       ? { prefixHolders: [], prefixSources: [] }
       : findHolders(
@@ -306,17 +311,17 @@
       );
     return placer.pickEngine(this.#prompt, {
       candidates,
-      prefillEngines: prefillEngines,
+      prefillEngines,
       ...holders,
       traits: this.#traits,
-      drawJitterMs: (target) => spread.drawMs(target),
+      drawJitterMs: (target) => engineJitter.drawMs(target),
     });
   }
 
   #recordHolder(target: Target, state: "reading" | "read"): void {
     if (this.#prefixKey === undefined) return;
-    const { prefixIndex: prompts } = this.#context.dependencies;
-    prompts.recordHolder(
+    const { prefixIndex } = this.#context.dependencies;
+    prefixIndex.recordHolder(
       this.#prefixKey,
       target.id,
       state,
@@ -329,12 +334,11 @@
     { placement, lane }: LanePlacement,
     startedAtMs: number,
   ): void {
-    const { prefillTimeModel: readModel, retention, log } =
-      this.#context.dependencies;
+    const { prefillTimeModel, retention, log } = this.#context.dependencies;
     const {
       target,
       costMs,
-      unloadedMs: aloneMs,
+      unloadedMs,
       backlogMs,
       isCold,
       fetchFrom,
@@ -344,10 +348,10 @@
     this.#recordHolder(target, "read");
     // Of a long prompt it is not known how much of it the engine held.
     if (this.#prefixKey === undefined) {
-      readModel.learn(target.id, { costMs, backlogMs, tookMs });
+      prefillTimeModel.learn(target.id, { costMs, backlogMs, tookMs });
     } else {
-      readModel.learnUnloaded(target.id, {
-        unloadedMs: aloneMs,
+      prefillTimeModel.learnUnloaded(target.id, {
+        unloadedMs,
         backlogMs,
         tookMs,
       });
@@ -368,10 +372,10 @@
       waitedMs: Math.round(startedAtMs - this.#context.call.arrivedAtMs),
       backlogMs: Math.round(backlogMs),
       costMs: Math.round(costMs),
-      aloneMs: Math.round(aloneMs),
+      aloneMs: Math.round(unloadedMs),
       tookMs: Math.round(tookMs),
-      factor: Number(readModel.getSlowdown(target.id).toFixed(2)),
-      latencyMs: Math.round(readModel.latencyMs),
+      factor: Number(prefillTimeModel.getSlowdown(target.id).toFixed(2)),
+      latencyMs: Math.round(prefillTimeModel.latencyMs),
     });
   }
 }
--- a/packages/heatherarch-forward/calls/quarantine_guard.ts
+++ b/packages/heatherarch-forward/calls/quarantine_guard.ts
@@ -90,16 +90,16 @@
 
   /** Reports how an exchange ends. */
   trackExchange(target: Target, exchange: TargetExchange): void {
-    const { crashDetector: losses } = this.#options.dependencies;
+    const { crashDetector } = this.#options.dependencies;
     const { id, host } = this.#options.call;
     void exchange.ended.then((end) => {
       if (end === "ended") return;
       if (end.isConnectionRefused) {
-        losses.recordCrash(target.id, "refusedConnection");
+        crashDetector.recordCrash(target.id, "refusedConnection");
       }
       if (end.fault !== "lost") return;
       this.#hasLostExchange = true;
-      this.#inquiries.push(losses.investigateLoss({
+      this.#inquiries.push(crashDetector.investigateLoss({
         call: id,
         request: this.digest,
         account: host,
--- a/packages/heatherarch-forward/calls/response_notices.ts
+++ b/packages/heatherarch-forward/calls/response_notices.ts
@@ -32,7 +32,7 @@
   /** Takes in the head of an answer from the connections of `target`. */
   apply(target: Target, { status, headers }: ResponseHead): void {
     const { codec, directory, log } = this.#options;
-    const { answeredBy, isLeaving, backoffMs: backoffMs } = codec
+    const { answeredBy, isLeaving, backoffMs } = codec
       .decodeResponse(
         status,
         headers,
@@ -49,9 +49,9 @@
   }
 
   #recordBackoff(target: string, backoffMs: number): void {
-    const { backoffs: rests, clock, log } = this.#options;
+    const { backoffs, clock, log } = this.#options;
     // Requests in flight get the same answer; the first one is logged.
-    if (!rests.recordBackoff(target, backoffMs, clock.readMonotonicMs())) {
+    if (!backoffs.recordBackoff(target, backoffMs, clock.readMonotonicMs())) {
       return;
     }
     log.write("info", "targetResting", { target, restMs: backoffMs });
--- a/packages/heatherarch-forward/calls/response_relay.ts
+++ b/packages/heatherarch-forward/calls/response_relay.ts
@@ -100,7 +100,7 @@
 
   /** Passes the body of one run on; the head of the first run stands for all. */
   relay(exchange: TargetExchange, head: ResponseHead): Promise<RelayResult> {
-    const { clientResponse: clientResponse, isResumable } = this.#options;
+    const { clientResponse, isResumable } = this.#options;
     if (!clientResponse.isHeadSent) {
       const drop = isResumable ? LENGTH_HEADERS : undefined;
       const endsConnection = getResponseFraming(head) === "connection";
@@ -144,7 +144,7 @@
   }
 
   #write(exchange: TargetExchange, bytes: Buffer): void {
-    const { clientResponse: clientResponse, onFirstByte } = this.#options;
+    const { clientResponse, onFirstByte } = this.#options;
     if (!this.#isStarted) {
       this.#isStarted = true;
       onFirstByte();
--- a/packages/heatherarch-forward/calls/target_connections.ts
+++ b/packages/heatherarch-forward/calls/target_connections.ts
@@ -188,19 +188,19 @@
   #getPool(target: Target): TargetPool {
     let entry = this.#pools.get(target.id);
     if (entry === undefined) {
-      const { connectTimeoutMs, idleTimeoutMs: idleMs } = this.#options;
+      const { connectTimeoutMs, idleTimeoutMs } = this.#options;
       const resetDetector = new ResetDetector(() => created.inFlight > 0);
       const connector = buildConnector({ timeout: connectTimeoutMs });
       const pool = new Pool(`http://${target.address}`, {
         pipelining: 1,
         connections: null,
         connect: resetDetector.wrapConnector(connector),
-        keepAliveTimeout: idleMs,
+        keepAliveTimeout: idleTimeoutMs,
         keepAliveTimeoutThreshold: KEEP_ALIVE_MARGIN_MS,
       });
       const created: TargetPool = {
         pool,
-        resetDetector: resetDetector,
+        resetDetector,
         inFlight: 0,
       };
       entry = created;
--- a/packages/heatherarch-forward/forward_vm.ts
+++ b/packages/heatherarch-forward/forward_vm.ts
@@ -87,21 +87,22 @@
 
   /** Whether this VM can serve: it knows a configuration and targets, and is not stopping. */
   get isReady(): boolean {
-    const { activeConfig: configs, directory } = this.#components;
-    return !this.#stopping && configs.table !== undefined && directory.size > 0;
+    const { activeConfig, directory } = this.#components;
+    return !this.#stopping && activeConfig.table !== undefined &&
+      directory.size > 0;
   }
 
   async start(): Promise<void> {
     const {
       ingress,
-      statusServer: status,
+      statusServer,
       mesh,
-      roleController: roles,
-      storeReader: reading,
+      roleController,
+      storeReader,
     } = this.#components;
     const {
-      quarantinePersistence: quarantineKeeper,
-      targetListGuard: listGuard,
+      quarantinePersistence,
+      targetListGuard,
     } = this.#components;
     const { listen } = this.#settings;
     this.#log.write("info", "starting", {
@@ -120,14 +121,14 @@
     this.#surveyCachesOnceListed();
     await Promise.all([
       ingress.start(),
-      this.#listenStatus(status, listen.readiness),
-      this.#listenStatus(status, listen.metrics, true),
+      this.#listenStatus(statusServer, listen.readiness),
+      this.#listenStatus(statusServer, listen.metrics, true),
     ]);
     await mesh.start();
-    reading.start();
-    quarantineKeeper.start();
-    roles.start();
-    listGuard.recordTick();
+    storeReader.start();
+    quarantinePersistence.start();
+    roleController.start();
+    targetListGuard.recordTick();
     this.#sweeper = setInterval(() => this.#sweep(), SWEEP_INTERVAL_MS);
     this.#log.write("info", "started", { address: listen.callers });
   }
@@ -229,8 +230,8 @@
   }
 
   #watchConfig(): void {
-    const { activeConfig: configs, ingress, metrics, clock } = this.#components;
-    configs.registerListener(({ table, before, source }) => {
+    const { activeConfig, ingress, metrics, clock } = this.#components;
+    activeConfig.registerListener(({ table, before, source }) => {
       ingress.applyLimits(table.config.limits);
       metrics.configVersion.set(table.version);
       this.#log.write("info", "configApplied", {
@@ -239,7 +240,7 @@
         routes: table.config.routes.length,
         source,
         // Of what was known of the store before this word.
-        ageMs: formatAge(configs.getAgeMs(clock.readMonotonicMs())),
+        ageMs: formatAge(activeConfig.getAgeMs(clock.readMonotonicMs())),
       });
     });
   }
@@ -292,9 +293,9 @@
   }
 
   #applyVmCount(liveVms: number): void {
-    const { retryBudget: allowance, connections, metrics } = this.#components;
+    const { retryBudget, connections, metrics } = this.#components;
     this.#liveVms = liveVms;
-    allowance.setLiveVms(liveVms);
+    retryBudget.setLiveVms(liveVms);
     connections.setLiveVms(liveVms);
     metrics.liveVms.set(liveVms);
   }
@@ -311,34 +312,35 @@
   }
 
   #sweep(): void {
-    const { directory, roleController: roles, targetListGuard: listGuard } =
-      this.#components;
+    const { directory, roleController, targetListGuard } = this.#components;
     const {
       mesh,
-      storeReader: reading,
+      storeReader,
       metrics,
-      prefillQueue: readQueue,
-      activeConfig: configs,
+      prefillQueue,
+      activeConfig,
       clock,
     } = this.#components;
-    listGuard.recordTick();
-    metrics.promptsWaiting.set(readQueue.size);
-    reading.share(mesh.hasToRead(), mesh.hasDuty);
+    targetListGuard.recordTick();
+    metrics.promptsWaiting.set(prefillQueue.size);
+    storeReader.share(mesh.hasToRead(), mesh.hasDuty);
     mesh.tend();
-    metrics.listAge.set(reading.getKnownAgeMs() / 1000);
-    metrics.configAge.set(configs.getAgeMs(clock.readMonotonicMs()) / 1000);
+    metrics.listAge.set(storeReader.getKnownAgeMs() / 1000);
+    metrics.configAge.set(
+      activeConfig.getAgeMs(clock.readMonotonicMs()) / 1000,
+    );
     this.#sweepQuarantine();
-    reading.forgetDropped("otherIncarnation");
+    storeReader.forgetDropped("otherIncarnation");
     const gone = directory.dropExpired(this.#clock.readMonotonicMs());
     metrics.targets.set(directory.size);
-    reading.forgetDropped("grace");
+    storeReader.forgetDropped("grace");
     for (const id of gone) {
       this.#log.write("info", "targetGone", {
         target: id,
         reason: "not listed again after an outage of the store",
       });
     }
-    this.#markChangingRole(roles.listChanging());
+    this.#markChangingRole(roleController.listChanging());
   }
 
   #sweepQuarantine(): void {
@@ -360,13 +362,13 @@
 
   async #shutDown(): Promise<void> {
     this.#stopping = true;
-    const { ingress, mesh, roleController: roles } = this.#components;
+    const { ingress, mesh, roleController } = this.#components;
     const { graceSeconds, noticeMs } = this.#settings.shutdown;
     const startedAtMs = this.#clock.readMonotonicMs();
     const untilMs = startedAtMs + graceSeconds * 1000 - EXIT_MARGIN_MS;
     this.#log.write("info", "stopping", { openCalls: ingress.openCalls });
     ingress.beginDrain();
-    await Promise.all([roles.stop(), mesh.leave(), sleep(noticeMs)]);
+    await Promise.all([roleController.stop(), mesh.leave(), sleep(noticeMs)]);
     ingress.closeListener();
     while (
       ingress.openCalls > 0 && this.#clock.readMonotonicMs() < untilMs
@@ -379,14 +381,13 @@
   }
 
   async #closeAll(): Promise<void> {
-    const { ingress, statusServer: status, mesh, connections } =
-      this.#components;
+    const { ingress, statusServer, mesh, connections } = this.#components;
     clearInterval(this.#sweeper);
     this.#removeViolationListener?.();
     this.#components.storeReader.stop();
     this.#components.quarantinePersistence.stop();
     ingress.closeAll();
-    status.close();
+    statusServer.close();
     mesh.stop();
     await connections.close();
   }
--- a/packages/heatherarch-forward/tests/unit/attempt_result_test.ts
+++ b/packages/heatherarch-forward/tests/unit/attempt_result_test.ts
@@ -25,7 +25,7 @@
   } as unknown as CallContext;
   for (let i = 0; i < 10; i++) {
     const result = await awaitAttempt({
-      run: context,
+      context,
       target: buildTarget("t"),
       exchange: buildWithheldExchange("the request is quarantined"),
       stage: "whole",
--- a/packages/heatherarch-forward/tests/unit/scripted_call.ts
+++ b/packages/heatherarch-forward/tests/unit/scripted_call.ts
@@ -190,7 +190,7 @@
       prefixIndex: new PrefixIndex(),
       retention: new CacheRetention(),
       countVms: () => 1,
-      prefillTimeModel: prefillTimeModel,
+      prefillTimeModel,
       prefillQueue: new PrefillQueue({ clock }),
       prefillCandidateCache: new PrefillCandidateCache(),
       log,
--- a/packages/heatherarch-forward/tests/unit/target_list_guard_test.ts
+++ b/packages/heatherarch-forward/tests/unit/target_list_guard_test.ts
@@ -100,11 +100,11 @@
 });
 
 test("after a suspension that the clock missed only a later list counts", () => {
-  const { guard, readList, stall: standStill, suspend } = createTestGuard();
-  standStill(100);
+  const { guard, readList, stall, suspend } = createTestGuard();
+  stall(100);
   suspend(3000);
   assert.equal(guard.isHoldingCalls(), true);
-  standStill(10);
+  stall(10);
   readList(100);
   assert.equal(guard.isHoldingCalls(), true, "asked for before");
   readList(5);
@@ -112,9 +112,9 @@
 });
 
 test("what was under way at a standstill is told from what began after it", () => {
-  const { guard, stall: standStill, run } = createTestGuard();
+  const { guard, stall, run } = createTestGuard();
   assert.equal(guard.hasStalledSince(0), false);
-  standStill(1000);
+  stall(1000);
   assert.equal(guard.hasStalledSince(0), true);
   run(500);
   assert.equal(guard.hasStalledSince(900), true);
--- a/packages/heatherarch-forward/vm_dependencies.ts
+++ b/packages/heatherarch-forward/vm_dependencies.ts
@@ -124,7 +124,7 @@
 }
 
 function buildTargetListGuard(
-  { settings, clock, log, getListAgeMs, refreshTargetList: refreshList }:
+  { settings, clock, log, getListAgeMs, refreshTargetList }:
     CallDependenciesOptions,
   metrics: ForwardMetrics,
 ): TargetListGuard {
@@ -137,7 +137,7 @@
       const isHeld = kind === "held";
       if (isHeld) {
         metrics.listHolds.inc();
-        refreshList();
+        refreshTargetList();
       }
       log.write("warn", isHeld ? "callsHeldBack" : "callsFreed", change);
     },
@@ -177,14 +177,14 @@
 
 /** Why nothing may be sent to a target now; undefined if it may. */
 function findBlockReason(
-  { directory, backoffs: rests, clock }: Pick<
+  { directory, backoffs, clock }: Pick<
     CallDependencies,
     "directory" | "backoffs" | "clock"
   >,
   target: string,
   purpose: SendPurpose,
 ): string | undefined {
-  if (rests.isInBackoff(target, clock.readMonotonicMs())) {
+  if (backoffs.isInBackoff(target, clock.readMonotonicMs())) {
     return "the target rests";
   }
   if (purpose === "release") return undefined;
--- a/packages/heatherarch-forward/vm_tasks.ts
+++ b/packages/heatherarch-forward/vm_tasks.ts
@@ -50,8 +50,8 @@
 
 /** Builds the mesh. */
 export function buildMesh(options: VmTaskOptions): FleetMesh {
-  const { settings, ports, incarnation, getComponents: getParts } = options;
-  const components = getParts();
+  const { settings, ports, incarnation, getComponents } = options;
+  const components = getComponents();
   return new FleetMesh({
     self: {
       id: settings.vm.id,
@@ -81,17 +81,17 @@
     loadConfig: () => components.storeReader.loadConfig(),
     onLiveVms: options.onLiveVms,
     onChanging: options.onChanging,
-    listChanging: () => getParts().roleController.listChanging(),
+    listChanging: () => getComponents().roleController.listChanging(),
     onLate: (lateMs) => components.metrics.loopLate.observe(lateMs / 1000),
     mayOrder: () =>
-      getParts().storeReader.isListCurrent && getParts().mesh.hasDuty,
+      getComponents().storeReader.isListCurrent && getComponents().mesh.hasDuty,
   });
 }
 
 /** Builds the task that gives orders to engines. */
 export function buildRoleController(options: VmTaskOptions): RoleKeeper {
-  const { settings, ports, incarnation, getComponents: getParts } = options;
-  const components = getParts();
+  const { settings, ports, incarnation, getComponents } = options;
+  const components = getComponents();
   return new RoleKeeper({
     vmId: settings.vm.id,
     incarnation,
@@ -105,23 +105,22 @@
     codec: components.codec,
     events: components.log,
     metrics: components.metrics,
-    listOrderers: () => getParts().mesh.listOrderers(),
-    isListCurrent: () => getParts().storeReader.isListCurrent,
-    hasDuty: () => getParts().mesh.hasDuty,
+    listOrderers: () => getComponents().mesh.listOrderers(),
+    isListCurrent: () => getComponents().storeReader.isListCurrent,
+    hasDuty: () => getComponents().mesh.hasDuty,
   });
 }
 
 /** Builds the task that reads the store. */
 export function buildStoreReader(options: VmTaskOptions): StoreReading {
-  const { settings: { store }, ports: { directory }, getComponents: getParts } =
-    options;
-  const components = getParts();
+  const { settings: { store }, ports: { directory }, getComponents } = options;
+  const components = getComponents();
   return new StoreReading({
     configTopic: directory.configs,
     targetTopic: directory.targets,
     configReads: planConfigReads(store),
     targetPollMs: store.targetPollMs,
-    getToldAtMs: () => getParts().mesh.listAtMs,
+    getToldAtMs: () => getComponents().mesh.listAtMs,
     hasStoodStillSince: (atMs) =>
       components.targetListGuard.hasStalledSince(atMs),
     clock: components.clock,
