--- a/packages/heatherarch-forward/calls/call_context.ts
+++ b/packages/heatherarch-forward/calls/call_context.ts
@@ -138,11 +138,11 @@
 
   /** Refuses the call if its request may not be sent; returns whether it goes on. */
   admit(): boolean {
-    const admission = this.#quarantineGuard.admit();
-    if (admission.kind === "quarantined") {
-      this.#refuseQuarantined(admission.entry);
+    const result = this.#quarantineGuard.admit();
+    if (result.kind === "quarantined") {
+      this.#refusePoison(result.entry);
     }
-    if (admission.kind === "onTrial") {
+    if (result.kind === "onTrial") {
       this.refuse("overloaded", "another copy of the request is on trial", {
         retryAfterMs: TRIAL_RETRY_AFTER_MS,
         detail: { request: this.#quarantineGuard.digest },
@@ -161,7 +161,7 @@
     const quarantined = this.#quarantineGuard.findQuarantined();
     if (quarantined === undefined) return mayRepeat;
     if (this.mayHaveRun) this.fail("targetFailed", QUARANTINED_REASON);
-    else this.#refuseQuarantined(quarantined);
+    else this.#refusePoison(quarantined);
     return false;
   }
 
@@ -276,11 +276,11 @@
   #handleQuarantine(quarantined: QuarantinedRequest): void {
     if (this.hasEnded || this.mayHaveRun) return;
     const exchange = this.#exchange;
-    this.#refuseQuarantined(quarantined);
+    this.#refusePoison(quarantined);
     exchange?.abort(QUARANTINED_REASON);
   }
 
-  #refuseQuarantined({ request, lives, untilMs }: QuarantinedRequest): void {
+  #refusePoison({ request, lives, untilMs }: QuarantinedRequest): void {
     this.dependencies.metrics.callsQuarantined.inc();
     this.refuse("quarantined", QUARANTINED_REASON, {
       retryAfterMs: untilMs - this.nowMs,
--- a/packages/heatherarch-forward/calls/response_notices.ts
+++ b/packages/heatherarch-forward/calls/response_notices.ts
@@ -48,12 +48,10 @@
     if (backoffMs !== undefined) this.#recordBackoff(target.id, backoffMs);
   }
 
-  #recordBackoff(target: string, backoffMs: number): void {
+  #recordBackoff(id: string, backoffMs: number): void {
     const { backoffs, clock, log } = this.#options;
     // Requests in flight get the same answer; the first one is logged.
-    if (!backoffs.recordBackoff(target, backoffMs, clock.readMonotonicMs())) {
-      return;
-    }
-    log.write("info", "targetResting", { target, restMs: backoffMs });
+    if (!backoffs.recordBackoff(id, backoffMs, clock.readMonotonicMs())) return;
+    log.write("info", "targetResting", { target: id, restMs: backoffMs });
   }
 }
