--- a/packages/heatherarch-forward/calls/attempt_result.ts
+++ b/packages/heatherarch-forward/calls/attempt_result.ts
@@ -90,22 +90,22 @@
 /** Gives the exchange up when its target stays silent; returns what ends the watch. */
 function startSilenceTimer(options: AwaitAttemptOptions): () => void {
   const {
-    context: run,
+    context,
     target,
     exchange,
     timeoutMs,
     extendsWhileAlive = false,
   } = options;
   if (timeoutMs === undefined) return () => undefined;
-  const sentAtMs = run.nowMs;
+  const sentAtMs = context.nowMs;
   let timer: NodeJS.Timeout;
   const checkSilence = (): void => {
-    const heardAtMs = run.dependencies.health.getLastAnswerAtMs(target.id);
-    if (extendsWhileAlive && run.nowMs - heardAtMs < ALIVE_WINDOW_MS) {
+    const heardAtMs = context.dependencies.health.getLastAnswerAtMs(target.id);
+    if (extendsWhileAlive && context.nowMs - heardAtMs < ALIVE_WINDOW_MS) {
       timer = setTimeout(checkSilence, ALIVE_WINDOW_MS);
       return;
     }
-    exchange.abort(`silent for ${Math.round(run.nowMs - sentAtMs)} ms`);
+    exchange.abort(`silent for ${Math.round(context.nowMs - sentAtMs)} ms`);
   };
   timer = setTimeout(checkSilence, timeoutMs);
   return () => clearTimeout(timer);
--- a/packages/heatherarch-forward/calls/call_context.ts
+++ b/packages/heatherarch-forward/calls/call_context.ts
@@ -139,9 +139,7 @@
   /** Refuses the call if its request may not be sent; returns whether it goes on. */
   admit(): boolean {
     const result = this.#quarantineGuard.admit();
-    if (result.kind === "quarantined") {
-      this.#refusePoison(result.entry);
-    }
+    if (result.kind === "quarantined") this.#refuseQuarantined(result.entry);
     if (result.kind === "onTrial") {
       this.refuse("overloaded", "another copy of the request is on trial", {
         retryAfterMs: TRIAL_RETRY_AFTER_MS,
@@ -161,7 +159,7 @@
     const quarantined = this.#quarantineGuard.findQuarantined();
     if (quarantined === undefined) return mayRepeat;
     if (this.mayHaveRun) this.fail("targetFailed", QUARANTINED_REASON);
-    else this.#refusePoison(quarantined);
+    else this.#refuseQuarantined(quarantined);
     return false;
   }
 
@@ -276,11 +274,11 @@
   #handleQuarantine(quarantined: QuarantinedRequest): void {
     if (this.hasEnded || this.mayHaveRun) return;
     const exchange = this.#exchange;
-    this.#refusePoison(quarantined);
+    this.#refuseQuarantined(quarantined);
     exchange?.abort(QUARANTINED_REASON);
   }
 
-  #refusePoison({ request, lives, untilMs }: QuarantinedRequest): void {
+  #refuseQuarantined({ request, lives, untilMs }: QuarantinedRequest): void {
     this.dependencies.metrics.callsQuarantined.inc();
     this.refuse("quarantined", QUARANTINED_REASON, {
       retryAfterMs: untilMs - this.nowMs,
