--- a/packages/heatherarch-forward/calls/generation_handler.ts
+++ b/packages/heatherarch-forward/calls/generation_handler.ts
@@ -111,8 +111,8 @@
   }
 
   #mayContinue(): boolean {
-    const { hasEnded: isOver, remainingMs, mayRunAgain } = this.#context;
-    return !isOver && mayRunAgain && remainingMs >= MIN_ROUND_MS;
+    const { hasEnded, remainingMs, mayRunAgain } = this.#context;
+    return !hasEnded && mayRunAgain && remainingMs >= MIN_ROUND_MS;
   }
 
   /** Runs the call at an engine that generates, from a KV cache or from the prompt itself. */
@@ -124,8 +124,8 @@
     if (target === undefined) return this.#refuseNoDecodeEngine(prefilled);
     const isUnbudgetedRetry = prefilled === undefined && this.#prefill.isRetry;
     if (isUnbudgetedRetry && !context.spendRetry()) return this.#conclude();
-    const { workTracker: ledger } = context.dependencies;
-    const endRun = ledger.beginRun(target.id, this.#prompt.promptTokens);
+    const { workTracker } = context.dependencies;
+    const endRun = workTracker.beginRun(target.id, this.#prompt.promptTokens);
     try {
       const exchange = this.#send(target, prefilled);
       const result = await awaitAttempt({
@@ -285,9 +285,9 @@
   }
 
   /** Ends a call at once that can't begin in its time. */
-  #refuseLate({ placement, prefillDeadlineMs: readByMs }: TooLate): void {
+  #refuseLate({ placement, prefillDeadlineMs }: TooLate): void {
     const context = this.#context;
-    const { target, readyMs, costMs, unloadedMs: aloneMs, backlogMs, isCold } =
+    const { target, readyMs, costMs, unloadedMs, backlogMs, isCold } =
       placement;
     if (context.mayHaveRun) {
       return context.fail("answerIncomplete", "no time to go on elsewhere");
@@ -309,10 +309,10 @@
         ),
         waitedMs: Math.round(waitedMs),
         costMs: Math.round(costMs),
-        aloneMs: Math.round(aloneMs),
+        aloneMs: Math.round(unloadedMs),
         backlogMs: Math.round(backlogMs),
         readyMs: Math.round(readyMs),
-        readInMs: Math.round(readByMs - context.nowMs),
+        readInMs: Math.round(prefillDeadlineMs - context.nowMs),
         remainingMs: Math.round(context.remainingMs),
       },
     });
@@ -344,8 +344,8 @@
 
   /** Time until an engine has taken the role; undefined where none is about to. */
   #predictDecodeReadyMs(): number | undefined {
-    const { dependencies: serving, service, nowMs } = this.#context;
-    const { directory } = serving;
+    const { dependencies, service, nowMs } = this.#context;
+    const { directory } = dependencies;
     const roleChangeStartsMs = directory.listServing(service.name)
       .filter((engine) => engine.role === "prefill")
       .map((engine) => directory.findRoleChangeStartMs(engine.id, nowMs))
@@ -358,7 +358,7 @@
   }
 
   #pickDecodeEngine(zone: string | undefined): Target | undefined {
-    const { workTracker: ledger, drawUnit } = this.#context.dependencies;
+    const { workTracker, drawUnit } = this.#context.dependencies;
     const nowMs = this.#context.nowMs;
     const kvRoom = this.#traits.kvTokens;
     const candidates = listAvailableEngines(
@@ -367,7 +367,7 @@
       this.#tried,
     )
       .map((target): TargetCandidate => {
-        const { runs, kvTokens } = ledger.getRunLoad(target.id, nowMs);
+        const { runs, kvTokens } = workTracker.getRunLoad(target.id, nowMs);
         return { target, runs, kvTokens, kvCapacityTokens: kvRoom };
       });
     return pickLeastLoaded(candidates, zone, drawUnit)?.target;
--- a/packages/heatherarch-forward/calls/plain_call_handler.ts
+++ b/packages/heatherarch-forward/calls/plain_call_handler.ts
@@ -79,7 +79,7 @@
 
   async #attempt(target: Target): Promise<PlainResult> {
     const context = this.#context;
-    const { codec, workTracker: ledger } = context.dependencies;
+    const { codec, workTracker } = context.dependencies;
     this.#tried.add(target.id);
     const exchange = context.send(
       target,
@@ -90,7 +90,7 @@
       }),
     );
     context.recordRun();
-    const endRun = ledger.beginRun(target.id, 0);
+    const endRun = workTracker.beginRun(target.id, 0);
     try {
       const result = await awaitAttempt({
         context,
@@ -171,7 +171,7 @@
   }
 
   #pickTarget(): Target | undefined {
-    const { workTracker: ledger, drawUnit } = this.#context.dependencies;
+    const { workTracker, drawUnit } = this.#context.dependencies;
     const nowMs = this.#context.nowMs;
     const candidates = listAvailableTargets({
       run: this.#context,
@@ -179,7 +179,7 @@
     })
       .map((target): TargetCandidate => ({
         target,
-        runs: ledger.getRunLoad(target.id, nowMs).runs,
+        runs: workTracker.getRunLoad(target.id, nowMs).runs,
         kvTokens: 0,
         kvCapacityTokens: 0,
       }));
