--- a/packages/heatherarch-forward/calls/call_context.ts
+++ b/packages/heatherarch-forward/calls/call_context.ts
@@ -195,7 +195,7 @@
   }
 
   /** Spends one further try of the fleet's allowance. */
-  spendRetry(): boolean {
+  takeRetry(): boolean {
     return this.dependencies.retryBudget.spendRetry(
       this.service.name,
       this.nowMs,
--- a/packages/heatherarch-forward/calls/generation_handler.ts
+++ b/packages/heatherarch-forward/calls/generation_handler.ts
@@ -123,7 +123,7 @@
     );
     if (target === undefined) return this.#refuseNoDecodeEngine(prefilled);
     const isUnbudgetedRetry = prefilled === undefined && this.#prefill.isRetry;
-    if (isUnbudgetedRetry && !context.spendRetry()) return this.#conclude();
+    if (isUnbudgetedRetry && !context.takeRetry()) return this.#conclude();
     const { workTracker } = context.dependencies;
     const endRun = workTracker.beginRun(target.id, this.#prompt.promptTokens);
     try {
@@ -242,16 +242,14 @@
   }
 
   #conclude(): void {
-    const context = this.#context;
-    if (context.hasEnded) return;
-    if (context.mayHaveRun) {
-      return context.fail("answerIncomplete", this.#reason);
-    }
+    const call = this.#context;
+    if (call.hasEnded) return;
+    if (call.mayHaveRun) return call.fail("answerIncomplete", this.#reason);
     if (this.#endIfInBackoff("generating") || this.#endIfInBackoff("reading")) {
       return;
     }
-    context.refuse("noTarget", this.#reason, {
-      retryAfterMs: MIN_RETRY_AFTER_MS * (1 + context.dependencies.drawUnit()),
+    call.refuse("noTarget", this.#reason, {
+      retryAfterMs: MIN_RETRY_AFTER_MS * (1 + call.dependencies.drawUnit()),
       detail: { tried: [...this.#tried] },
     });
   }
--- a/packages/heatherarch-forward/calls/plain_call_handler.ts
+++ b/packages/heatherarch-forward/calls/plain_call_handler.ts
@@ -61,7 +61,7 @@
       if (context.hasEnded) return;
       const target = this.#pickTarget();
       if (target === undefined) break;
-      if (isRetry && !context.spendRetry()) break;
+      if (isRetry && !context.takeRetry()) break;
       const result = await this.#attempt(target);
       if (context.hasEnded || result.kind === "delivered") return;
       if (result.kind !== "notSent") isRetry = true;
@@ -109,12 +109,10 @@
         exchange.abort("unsigned success");
         return { kind: "lost", reason: "success without a signature" };
       }
-      const response = await readResponse(exchange, result.head);
+      const answer = await readResponse(exchange, result.head);
       if (context.hasEnded) return { kind: "over" };
-      if (this.#mayImprove(result.head.status)) {
-        return { kind: "answer", answer: response };
-      }
-      this.#deliver(response, target);
+      if (this.#mayRetry(result.head.status)) return { kind: "answer", answer };
+      this.#deliver(answer, target);
       return { kind: "delivered" };
     } catch (error) {
       if (!(error instanceof ExchangeError)) throw error;
@@ -125,7 +123,7 @@
   }
 
   /** Whether a further try may turn a failure of the target into a success. */
-  #mayImprove(status: number): boolean {
+  #mayRetry(status: number): boolean {
     return status >= 500 && this.#context.mayRunAgain &&
       this.#context.remainingMs >= MIN_ATTEMPT_MS;
   }
--- a/packages/heatherarch-forward/calls/prompt_prefill.ts
+++ b/packages/heatherarch-forward/calls/prompt_prefill.ts
@@ -115,9 +115,7 @@
       // The prompt may have been placed right after a standstill, before the list was known.
       await context.awaitTargetList();
       if (context.hasEnded) return { kind: "over" };
-      if (this.#isRetry && !context.spendRetry()) {
-        return { kind: "noAllowance" };
-      }
+      if (this.#isRetry && !context.takeRetry()) return { kind: "noAllowance" };
       const exchange = this.#send(placed, lastEventId);
       const source = await this.#awaitHandle(placement, exchange);
       if ("kind" in source) return source;
