--- a/packages/heatherarch-forward/calls/generation_handler.ts
+++ b/packages/heatherarch-forward/calls/generation_handler.ts
@@ -256,13 +256,12 @@
   }
 
   /** Ends the call if all engines for a phase are in backoff. Returns whether they are. */
-  #endIfInBackoff(use: InferencePhase): boolean {
-    const context = this.#context;
-    const backoffMs = findEngineBackoffMs(context, use);
+  #endIfInBackoff(phase: InferencePhase): boolean {
+    const call = this.#context;
+    const backoffMs = findEngineBackoffMs(call, phase);
     if (backoffMs === undefined) return false;
-    if (context.mayHaveRun) {
-      context.fail("answerIncomplete", "all engines back off");
-    } else context.refuseForBackoff(backoffMs);
+    if (call.mayHaveRun) call.fail("answerIncomplete", "all engines back off");
+    else call.refuseForBackoff(backoffMs);
     return true;
   }
 
--- a/packages/heatherarch-forward/forward_vm.ts
+++ b/packages/heatherarch-forward/forward_vm.ts
@@ -1,5 +1,5 @@
 /**
- * One entry VM that forwards calls: builds all parts from its settings, starts them, and shuts
+ * One entry VM that forwards calls. Builds all components from its settings, starts them, and shuts
  * them down gracefully.
  *
  * @module
@@ -45,11 +45,11 @@
 }
 
 const METRICS_PATH = "/metrics";
-/** How often the end of the calls in progress is looked for while stopping, milliseconds. */
+/** Interval at which a stopping VM checks for calls in progress, milliseconds. */
 const DRAIN_POLL_MS = 50;
-/** Time to write the last lines and records before the platform ends the process. */
+/** Time reserved for the last log lines and records before the platform kills the process. */
 const EXIT_MARGIN_MS = 400;
-/** Time for which an engine that another VM ordered to change gets no work; told again each heartbeat. */
+/** Time for which an engine whose role is changing gets no work; renewed with each heartbeat. */
 const ROLE_CHANGE_HOLD_MS = 1500;
 
 /** The process of one entry VM. */
@@ -60,8 +60,8 @@
   readonly #log: EventLog;
   readonly #container: AwilixContainer<VmComponents>;
   /**
-   * All parts once they are registered: the container looks a part up anew each time that it is
-   * asked for, which calls and heartbeats do hundreds of times a second.
+   * All components, once they are registered. The container resolves a component again on each
+   * access, and calls and heartbeats access components hundreds of times a second.
    */
   #resolvedComponents: VmComponents | undefined;
   #sweeper: NodeJS.Timeout | undefined;
@@ -85,7 +85,7 @@
     this.#resolvedComponents = { ...this.#container.cradle };
   }
 
-  /** Whether this VM can serve: it knows a configuration and targets, and is not stopping. */
+  /** Whether this VM can serve calls: it has a configuration and targets, and is not stopping. */
   get isReady(): boolean {
     const { activeConfig, directory } = this.#components;
     return !this.#stopping && activeConfig.table !== undefined &&
@@ -133,7 +133,7 @@
     this.#log.write("info", "started", { address: listen.callers });
   }
 
-  /** Takes over settings that may change while the process runs. */
+  /** Applies the settings that may change while the process runs. */
   applySettings(settings: ForwardSettings): void {
     if (this.#log instanceof StdoutEventLog) {
       this.#log.setLevel(settings.logs.level);
@@ -141,12 +141,12 @@
     this.#log.write("info", "settingsReloaded", { level: settings.logs.level });
   }
 
-  /** Settings were read anew and can't be used: those in force stay. */
+  /** Logs that reloaded settings are invalid; the current settings stay in effect. */
   rejectSettings(faults: string): void {
     this.#log.write("error", "settingsRefused", { faults });
   }
 
-  /** Something threw where nothing catches; the process goes on. */
+  /** Logs an uncaught error; the process continues. */
   reportUncaughtError(error: unknown): void {
     this.#log.write("error", "uncaught", {
       error: String((error as Error)?.stack ?? error),
@@ -154,8 +154,8 @@
   }
 
   /**
-   * Finishes what is in progress, within the time that the platform gives, and ends. Asked again
-   * meanwhile, it settles when the first request does.
+   * Completes the calls in progress within the grace period of the platform, and stops. Further calls
+   * return the promise of the first one.
    */
   stop(): Promise<void> {
     this.#stopped ??= this.#shutDown();
@@ -239,7 +239,7 @@
         before,
         routes: table.config.routes.length,
         source,
-        // Of what was known of the store before this word.
+        // Age of the last successful read of the store before this update.
         ageMs: formatAge(activeConfig.getAgeMs(clock.readMonotonicMs())),
       });
     });
@@ -267,7 +267,7 @@
     });
   }
 
-  /** Surveys the engines' caches as soon as they are listed. */
+  /** Surveys the KV caches of the engines once the engines and the VMs are listed. */
   #surveyCachesOnceListed(): void {
     const components = this.#components;
     const listPrefillEngines = (): Target[] =>
--- a/packages/heatherarch-forward/metrics.ts
+++ b/packages/heatherarch-forward/metrics.ts
@@ -5,7 +5,7 @@
  */
 import { Counter, Gauge, Histogram, Registry } from "prom-client";
 
-/** From a lookup's own time to the longest client deadline on the users' sheets, seconds. */
+/** From the duration of a lookup to the longest client deadline that users specify, seconds. */
 const LATENCY_BUCKETS = [0.01, 0.03, 0.1, 0.2, 0.3, 0.5, 0.8, 1.5, 3, 5];
 
 /** Metrics of one VM. */
--- a/packages/heatherarch-forward/mod.ts
+++ b/packages/heatherarch-forward/mod.ts
@@ -1,6 +1,6 @@
 /**
- * The forwarded call: a client's request passes to a target as it is, by routes, beliefs on
- * targets, and limits that all VMs share.
+ * Forwarding of calls: a client's request passes to a target unchanged, chosen by routes, the state of
+ * the targets, and limits that all VMs share.
  *
  * @module
  */
--- a/packages/heatherarch-forward/model.ts
+++ b/packages/heatherarch-forward/model.ts
@@ -1,53 +1,56 @@
 /**
- * What the forwarding path knows of the world: routes, services, targets and calls, in the
- * product's own words. Adapters build these values; nothing here depends on a wire format.
+ * Domain model of the forwarding path: routes, services, targets and calls. Adapters build these
+ * values; nothing here depends on a wire format.
  *
  * @module
  */
 import type { Address } from "heatherarch-core";
 
 /**
- * What may be repeated. `idempotent` calls may run more than once; `once` calls and `stream`
- * answers run at most once per call; a `resumableStream` may go on at another target.
+ * Which calls may be repeated. An `idempotent` call may run more than once. A `once` or `stream` call
+ * runs at most once. A `resumableStream` may resume at another target.
  */
 export type CallKind = "idempotent" | "once" | "stream" | "resumableStream";
 
-/** A service that a route may use, with its share of the calls. */
+/** A service that a route may use, and its weight. */
 export interface WeightedService {
   readonly service: string;
   readonly weight: number;
 }
 
-/** A route: which calls it takes, and the profile that they are served by. */
+/** A route: which calls it matches, and how they are served. */
 export interface Route {
   readonly name: string;
   readonly host: string;
   /** Begins and ends with a slash. */
   readonly pathPrefix: string;
   readonly kind: CallKind;
-  /** Longest time that a call may be kept waiting, milliseconds. */
+  /** Timeout of a call, milliseconds. */
   readonly timeoutMs: number;
-  /** Time to the answer, or to the first event of a stream, that earns full worth. */
+  /**
+   * Latency objective, milliseconds: a call earns its full worth if the response, or the first event
+   * of a stream, takes no longer.
+   */
   readonly aimMs: number;
-  /** Rank among routes; 0 is served first. */
+  /** Priority among routes; 0 is served first. */
   readonly priority: number;
-  /** Targets on which one call may run. */
+  /** Number of targets on which one call may run. */
   readonly maxTargets: number;
   readonly services: readonly WeightedService[];
 }
 
-/** What the engines of a service can do. */
+/** Capabilities of the engines of a service. */
 export interface EngineTraits {
   readonly slots: number;
   /** Tokens that fit in an engine's KV cache. */
   readonly kvTokens: number;
   readonly kvBytesPerToken: number;
   readonly linkMbps: number;
-  /** Time for which a change of role takes an engine away, milliseconds. */
+  /** Time for which an engine is unavailable during a role change, milliseconds. */
   readonly roleChangeMs: number;
 }
 
-/** A service: engines, or a plain one. */
+/** A service of engines, or a plain service. */
 export interface ServiceSpec {
   readonly name: string;
   /** Connections that one target accepts from all VMs together. */
@@ -55,7 +58,7 @@
   readonly engine?: EngineTraits;
 }
 
-/** Bounds on what a client may send. */
+/** Limits on what a client may send. */
 export interface ClientLimits {
   readonly maxHeaderBytes: number;
   readonly maxBodyBytes: number;
@@ -63,7 +66,7 @@
   readonly idleTimeoutMs: number;
 }
 
-/** One version of the fleet's routing configuration, whole. */
+/** One complete version of the fleet's routing configuration. */
 export interface RoutingConfig {
   readonly version: number;
   readonly routes: readonly Route[];
@@ -71,19 +74,22 @@
   readonly limits: ClientLimits;
 }
 
-/** What an engine does now; undefined for a plain target. */
+/** Role of an engine; a plain target has none. */
 export type TargetRole = "prefill" | "decode";
 
 /**
- * One life of a target. Beliefs and promises are keyed by `id`, so that nothing that was learned of
- * a target holds for the one that starts again under its name.
+ * One incarnation of a target. State and promises are keyed by `id`, so that nothing that was learned
+ * about an incarnation applies to the next one after a restart.
  */
 export interface Target {
-  /** Another life has another id. */
+  /** Differs for each incarnation. */
   readonly id: string;
-  /** The id that the list and the target itself use, which its lives share; `id` by default. */
+  /** Id in the target list and in the target's responses, shared by its incarnations; `id` by default. */
   readonly instance?: string;
-  /** Start of this life, Unix milliseconds by the target's clock; of two lives the later holds. */
+  /**
+   * Start of this incarnation, Unix milliseconds by the target's clock. Of two incarnations the later
+   * one is valid.
+   */
   readonly startedAtMs?: number;
   readonly service: string;
   readonly address: Address;
@@ -94,14 +100,14 @@
   readonly role?: TargetRole;
 }
 
-/** What an engine says of itself when it is asked. */
+/** What an engine reports about itself on request. */
 export interface EngineReport {
   readonly role: TargetRole;
-  /** An order is being carried out. */
+  /** A role change is in progress. */
   readonly isChangingRole: boolean;
-  /** Orders that this incarnation has accepted. */
+  /** Number of orders that this incarnation has accepted. */
   readonly ordersTaken: number;
-  /** Start of the life that answers, Unix milliseconds. */
+  /** Start of the incarnation that responds, Unix milliseconds. */
   readonly startedAtMs?: number;
 }
 
@@ -111,41 +117,41 @@
   readonly incarnation: string;
   readonly availabilityZone: string;
   readonly mesh: Address;
-  /** What the VM can carry as a hub of its zone; more is better. */
+  /** Capacity of the VM as a hub of its zone; more is better. */
   readonly capacity?: number;
 }
 
-/** A shared or own part of a prompt. */
+/** A part of a prompt: shared with other prompts, or specific to the call or its session. */
 export interface PromptPart {
   readonly id: string;
   readonly tokens: number;
 }
 
-/** What a call says of its generation. */
+/** Parameters of a generation call, as its headers declare them. */
 export interface GenerationParams {
   readonly model: string;
   readonly promptTokens: number;
   readonly maxOutputTokens: number;
-  /** In prompt order; the last part is the call's own or its session's. */
+  /** In prompt order; the last part is specific to the call or its session. */
   readonly parts: readonly PromptPart[];
 }
 
-/** One attempt of a client, read whole. */
+/** One attempt of a client, completely received. */
 export interface ForwardedCall {
-  /** The client's id of this attempt. */
+  /** Id that the client gave to this attempt. */
   readonly id: string;
   readonly method: string;
-  /** Path with its query, as the client sent it. */
+  /** Path with query, as the client sent it. */
   readonly path: string;
   readonly host: string;
-  /** End-to-end headers, names and values alternating. */
+  /** End-to-end headers, as alternating names and values. */
   readonly headers: readonly string[];
   readonly body: Buffer;
-  /** Monotonic time at which the head of the call was read. */
+  /** Monotonic time at which the head of the call was received. */
   readonly arrivedAtMs: number;
-  /** How long the client waits, milliseconds from `arrivedAtMs`; undefined where it does not say. */
+  /** Timeout of the client, milliseconds from `arrivedAtMs`; undefined if the client gives none. */
   readonly clientTimeoutMs?: number;
   readonly generation?: GenerationParams;
-  /** Id of the last event that the client has of an earlier stream. */
+  /** Id of the last event that the client received from an earlier stream. */
   readonly lastEventId?: string;
 }
--- a/packages/heatherarch-forward/ports.ts
+++ b/packages/heatherarch-forward/ports.ts
@@ -14,21 +14,21 @@
   VmRecord,
 } from "./model.ts";
 
-/** One record of a topic of keyed records; without a value the key was removed. */
+/** One record of a keyed topic. Without a value the key was removed. */
 export interface KeyedEntry<T> {
   readonly key: string;
   readonly value?: T;
-  /** The newest record can't be understood: it names nothing, also where an earlier one did. */
+  /** The newest record can't be decoded. It has no value, even if an earlier record had one. */
   readonly isUnreadable?: true;
 }
 
-/** Entries together with the offset from which later changes are read. */
+/** Entries, and the offset from which later changes are read. */
 export interface TopicSlice<T> {
   readonly entries: readonly KeyedEntry<T>[];
   readonly next: number;
 }
 
-/** The platform's store did not answer, or refused. A write may have taken effect. */
+/** Thrown when the platform's store did not respond or refused. A write may have taken effect. */
 export class StoreUnavailableError extends Error {
   constructor(detail: string, cause?: unknown) {
     super(`platform store: ${detail}`, { cause });
@@ -36,13 +36,13 @@
   }
 }
 
-/** A topic of keyed records. Every call may throw {@linkcode StoreUnavailableError}. */
+/** A topic of keyed records. Every method may throw {@linkcode StoreUnavailableError}. */
 export interface KeyedTopicPort<T> {
-  /** The newest record of each key. An answer may take `timeoutMs`. */
+  /** Loads the newest record of each key. The response may take up to `timeoutMs`. */
   load(timeoutMs?: number): Promise<TopicSlice<T>>;
   /**
-   * Records from `from` on; undefined where these have expired. The store waits up to `waitMs` for
-   * one, and its answer may take `timeoutMs` more.
+   * Reads the records from offset `from` on; undefined if they have expired. The store waits up to
+   * `waitMs` for a record, and its response may take another `timeoutMs`.
    */
   readChanges(
     from: number,
@@ -57,16 +57,16 @@
   put(key: string, value: T | undefined): Promise<void>;
 }
 
-/** A request that is held back, as it is kept for VMs that start; its key is the digest. */
+/** A quarantined request, stored for VMs that start later under the digest of the request. */
 export interface QuarantineRecord {
   readonly account: string;
-  /** Lives of targets that ended under it. */
+  /** Incarnations of targets that crashed on the request. */
   readonly lives: readonly string[];
-  /** Time of the latest end, Unix milliseconds. */
+  /** Time of the latest crash, Unix milliseconds. */
   readonly atUnixMs: number;
 }
 
-/** All that the forwarding path keeps in, or learns from, the platform's store. */
+/** Topics of the platform's store that the forwarding path reads or writes. */
 export interface DirectoryPorts {
   readonly configs: KeyedTopicPort<RoutingConfig>;
   readonly targets: KeyedTopicPort<Target>;
@@ -74,30 +74,30 @@
   readonly quarantine: WritableTopicPort<QuarantineRecord>;
 }
 
-/** How one try of a call is sent. */
+/** How one attempt of a call is sent. */
 export interface AttemptOptions {
   readonly target: Target;
-  /** Time that the target may spend, milliseconds. */
+  /** Time that the target may take, milliseconds. */
   readonly timeoutMs: number;
-  /** What the try is for: a whole run, reading a prompt, or a run that takes a KV cache over. */
+  /** Purpose of the attempt: a whole run, a prefill, or a run that takes over a KV cache. */
   readonly stage: "whole" | "readPrompt" | "takeOver";
-  /** The engine that read the prompt, and its handle; for `takeOver`. */
+  /** The engine that prefilled the prompt, and the handle of its KV cache; for `takeOver`. */
   readonly kvSource?: KvHandle;
   /** An engine from which cached parts of the prompt are fetched first. */
   readonly fetchFrom?: Address;
-  /** 0 is first, 9 is last; undefined leaves the engine's default. */
+  /** 0 is highest, 9 is lowest; if undefined, the engine uses its default. */
   readonly enginePriority?: number;
-  /** Go on after this event. */
+  /** Resume the stream after this event. */
   readonly lastEventId?: string;
 }
 
-/** KV cache that an engine holds for one call. */
+/** Handle of a KV cache that an engine holds for one call. */
 export interface KvHandle {
   readonly address: Address;
   readonly handle: string;
 }
 
-/** A request ready to be written to a target. */
+/** A request, encoded for a target. */
 export interface EncodedRequest {
   readonly path: string;
   readonly method: string;
@@ -105,23 +105,23 @@
   readonly body: Buffer | null;
 }
 
-/** What the head of a target's answer says, besides its status. */
+/** What the head of a target's response contains, besides its status. */
 export interface ResponseMetadata {
-  /** Id of the call that the answer belongs to, as the target says. */
+  /** Id of the call that the response belongs to, according to the target. */
   readonly callId?: string;
-  /** The answer bears the target's signature. */
+  /** The response has the target's signature. */
   readonly signed: boolean;
-  /** The target says that it did not run the request and never will. */
+  /** The target did not run the request and never will. */
   readonly notRun: boolean;
-  /** The target does not take such a request: it is another incarnation, or in another role. */
+  /** The target rejects the request because it is another incarnation, or has another role. */
   readonly misdirected: boolean;
-  /** The target says that it will stop. */
+  /** The target will stop. */
   readonly isLeaving: boolean;
-  /** Time for which the target wants no requests of this VM, milliseconds. */
+  /** Time for which the target asks for no requests from this VM, milliseconds. */
   readonly backoffMs?: number;
-  /** Id of the incarnation that answered, where it says so. */
+  /** Id of the incarnation that responded, if it is given. */
   readonly answeredBy?: string;
-  /** Requests running and waiting at the target, where it tells. */
+  /** Requests that run and wait at the target, if it reports them. */
   readonly load?: {
     readonly running: number;
     readonly waiting: number;
@@ -129,32 +129,32 @@
   };
 }
 
-/** Translates calls and answers between the wire and the model. */
+/** Translates calls and responses between the wire format and the model. */
 export interface CallCodec {
-  /** Reads what a client's head says. Throws a `ServeError` for a malformed head. */
+  /** Decodes the head of a client's request. Throws a `ServeError` if it is malformed. */
   decodeCall(head: ClientRequestHead): Omit<ForwardedCall, "body">;
   encodeAttempt(call: ForwardedCall, options: AttemptOptions): EncodedRequest;
   decodeResponse(
     status: number,
     headers: IncomingHttpHeaders,
   ): ResponseMetadata;
-  /** Reads the answer to a `readPrompt` try; undefined where it holds no handle. */
+  /** Decodes the response to a `readPrompt` attempt; undefined if it has no handle. */
   decodeKvHandle(body: Buffer): string | undefined;
-  /** The request that frees a handle. */
+  /** Encodes the request that releases a handle. */
   encodeHandleRelease(handle: string): EncodedRequest;
-  /** The request that asks an engine for its report. */
+  /** Encodes the request for an engine's report. */
   encodeReportRequest(target: Target): EncodedRequest;
-  /** Reads a report; undefined where it is none. */
+  /** Decodes a report; undefined if the body is not a report. */
   decodeReport(body: Buffer): EngineReport | undefined;
-  /** The request that asks an engine which prompt parts it keeps. */
+  /** Encodes the request for the list of prompt parts that an engine has cached. */
   encodeCacheListRequest(target: Target): EncodedRequest;
-  /** Ids of the parts in such an answer; undefined where it is none. */
+  /** Decodes the ids of the cached parts; undefined if the body is not such a list. */
   decodeCacheList(body: Buffer): readonly string[] | undefined;
-  /** The request that changes an engine's role. */
+  /** Encodes the request that changes an engine's role. */
   encodeRoleOrder(order: RoleOrder): EncodedRequest;
 }
 
-/** Head of a client's request as the HTTP server read it. */
+/** Head of a client's request, as parsed by the HTTP server. */
 export interface ClientRequestHead {
   readonly method: string;
   readonly url: string;
@@ -163,13 +163,13 @@
   readonly arrivedAtMs: number;
 }
 
-/** An order to an engine, under a lease. */
+/** An order to an engine to change its role, given under a lease. */
 export interface RoleOrder {
   readonly target: Target;
   readonly role: TargetRole;
   readonly holder: string;
   /** Fencing token of the lease. */
   readonly fencing: number;
-  /** The engine refuses the order unless it has accepted this many before. */
+  /** The engine refuses the order unless it has accepted exactly this many orders before. */
   readonly ordersTaken: number;
 }
--- a/packages/heatherarch-forward/tests/unit/attempt_result_test.ts
+++ b/packages/heatherarch-forward/tests/unit/attempt_result_test.ts
@@ -10,8 +10,9 @@
 } from "../../mod.ts";
 import { buildTarget } from "./fixtures.ts";
 
-// A request that is held back says nothing of the target that it was meant for.
-test("what is withheld ends as not sent and is not held against its target", async () => {
+// A withheld request is never sent, so its result tells nothing about the target. Counted as a failure
+// it would make the VM avoid a healthy target.
+test("a withheld request ends as not sent and does not count as a failure of its target", async () => {
   const health = new TargetHealth();
   const context = {
     nowMs: 0,
--- a/packages/heatherarch-forward/tests/unit/call_handlers_test.ts
+++ b/packages/heatherarch-forward/tests/unit/call_handlers_test.ts
@@ -21,13 +21,13 @@
   { end, restarts: false },
   { end, restarts: true },
 ]);
-/** Tries whose ends are played in all orders; later ones end well. */
+/** Number of attempts whose results are enumerated in all sequences; later attempts succeed. */
 const DEPTH = 3;
 const MAX_TARGETS = 2;
-/** Statuses that promise that the call has not run and will not. */
+/** Statuses that promise that the call did not run and will not run. */
 const NOT_RUN: ReadonlySet<number | undefined> = new Set([408, 421, 429, 503]);
 
-/** All orders of events, each as long as tries were made. */
+/** Runs all sequences of results, each as long as attempts are made. */
 async function playAll(
   kind: CallKind,
   check: (outcome: ScriptOutcome, script: readonly ScriptedAttempt[]) => void,
@@ -39,7 +39,7 @@
     const outcome = await runScript(kind, script);
     played++;
     check(outcome, script);
-    // A script that was not used up has no further orders.
+    // A script that was not used up has no longer sequences.
     if (outcome.used < script.length || script.length === DEPTH) return;
     for (const step of STEPS) await playFrom([...script, step]);
   };
@@ -57,7 +57,7 @@
 for (
   const kind of ["once", "idempotent", "stream", "resumableStream"] as const
 ) {
-  test(`${kind}: whatever is lost, refused or restarted, "not run" is true and nothing runs too often`, async () => {
+  test(`${kind}: after any loss, refusal or restart, "not run" is true and the call runs at most as often as allowed`, async () => {
     const played = await playAll(kind, (outcome, script) => {
       const { runs, status, isWhole, body } = outcome;
       const shown = describe(outcome, script);
@@ -69,11 +69,11 @@
       const events = [...body.matchAll(/id: (\d)/g)].map(([, id]) => id);
       assert.deepEqual(events, ["1", "2", "3"], shown);
     });
-    assert.ok(played > STEPS.length, `${played} orders`);
+    assert.ok(played > STEPS.length, `${played} sequences`);
   });
 }
 
-test("a call is tried again where it has not run, and never where it may have", async () => {
+test("a call is retried if it has not run, and only a repeatable one if it may have run", async () => {
   const play = async (kind: CallKind, end: ScriptedResult) => {
     const { status, runs } = await runScript(kind, [{ end, restarts: true }]);
     return [status, runs.length];
--- a/packages/heatherarch-forward/tests/unit/fixtures.ts
+++ b/packages/heatherarch-forward/tests/unit/fixtures.ts
@@ -1,5 +1,5 @@
 /**
- * Fixtures of the forwarding path.
+ * Test fixtures for the forwarding path.
  *
  * @module
  */
@@ -11,7 +11,7 @@
   Target,
 } from "../../mod.ts";
 
-/** A target of a plain service, or of what `overrides` say. */
+/** Builds a target; by default of a plain service. */
 export function buildTarget(
   id: string,
   overrides: Partial<Target> = {},
@@ -27,7 +27,7 @@
   };
 }
 
-/** An engine that reads prompts, or of another role. */
+/** Builds an engine; by default a prefill engine. */
 export function buildEngine(
   id: string,
   overrides: Partial<Target> = {},
@@ -35,7 +35,7 @@
   return buildTarget(id, { role: "prefill", slots: 64, ...overrides });
 }
 
-/** A route of an idempotent service. */
+/** Builds a route; by default of idempotent calls. */
 export function buildRoute(overrides: Partial<Route> = {}): Route {
   return {
     name: "r",
@@ -51,7 +51,7 @@
   };
 }
 
-/** A configuration with one plain service. */
+/** Builds a configuration; by default with one plain service. */
 export function buildConfig(
   overrides: Partial<RoutingConfig> = {},
 ): RoutingConfig {
@@ -69,7 +69,7 @@
   };
 }
 
-/** Engines as the users' sheets describe them. */
+/** Capabilities of an engine as users specify them. */
 export const TRAITS: EngineTraits = {
   slots: 64,
   kvTokens: 483_452,
@@ -78,7 +78,7 @@
   roleChangeMs: 3000,
 };
 
-/** A prompt with a long shared beginning. */
+/** Builds a prompt; by default with a long shared prefix. */
 export function buildPrompt(
   key: string,
   shared = 13_300,
--- a/packages/heatherarch-forward/tests/unit/scripted_call.ts
+++ b/packages/heatherarch-forward/tests/unit/scripted_call.ts
@@ -1,6 +1,7 @@
 /**
- * Two targets that may start again under their ids, and one call that meets a scripted end of each
- * try. It keeps what really ran, to judge what the caller was told.
+ * Simulates one call against two targets that may restart under the same ids. A script gives the
+ * result of each attempt. The simulation records which targets really ran the call, so that tests can
+ * check what the client was told.
  *
  * @module
  */
@@ -39,44 +40,44 @@
 } from "../../mod.ts";
 import { buildPrompt, buildRoute, buildTarget, TRAITS } from "./fixtures.ts";
 
-/** How a try ends at the target, and for the one that sent it. */
+/** How an attempt ends, at the target and at the sender. */
 export type ScriptedResult =
   /** No connection. */
   | "notSent"
-  /** Written, and lost before the target ran it. */
+  /** Sent, but lost before the target ran it. */
   | "lostBefore"
-  /** Run, and the answer lost. */
+  /** Run, but the response is lost. */
   | "lostAfter"
-  /** The target says that it did not run it. */
+  /** The target reports that it did not run the request. */
   | "refused"
-  /** Run, with a failure of the target's own. */
+  /** Run, with an error response. */
   | "failed"
-  /** Run, and cut off in the middle of its answer. */
+  /** Run, but the response is truncated. */
   | "cut"
   | "ok";
 
-/** One step of a script: how a try ends, and whether the target then starts again under its id. */
+/** One step of a script: how an attempt ends, and whether the target then restarts under its id. */
 export interface ScriptedAttempt {
   readonly end: ScriptedResult;
   readonly restarts: boolean;
 }
 
-/** What became of the call. */
+/** Outcome of the call. */
 export interface ScriptOutcome {
-  /** Targets' lives that ran the call, in order. */
+  /** Incarnations of targets that ran the call, in order. */
   readonly runs: readonly string[];
-  /** Status that the caller got; undefined where its connection was cut off. */
+  /** Status that the client received; undefined if its connection was closed without one. */
   readonly status: number | undefined;
-  /** The answer was ended as a whole one. */
+  /** Whether the response ended as a complete one. */
   readonly isWhole: boolean;
   readonly body: string;
-  /** Steps of the script that were used. */
+  /** Number of steps of the script that were used. */
   readonly used: number;
 }
 
 const EVENTS = 3;
 
-/** Serves one call of a kind; tries after the end of the script end well. */
+/** Serves one call of a kind. Attempts after the end of the script succeed. */
 export async function runScript(
   kind: CallKind,
   script: readonly ScriptedAttempt[],
@@ -130,7 +131,7 @@
         ...(this.#isStream ? { role: "decode", slots: 64 } : {}),
       })
     );
-    // One engine reads prompts, and its life goes on.
+    // One prefill engine, which never restarts.
     if (this.#isStream) targets.push(buildTarget("r", { role: "prefill" }));
     this.#directory.applyList(
       targets.map((value) => ({ key: value.instance ?? value.id, value })),
@@ -320,7 +321,7 @@
   } as unknown as CallCodec;
 }
 
-/** A guard whose list is always known. */
+/** Builds a guard whose list is always fresh. */
 function buildIdleGuard(clock: RuntimeClock): TargetListGuard {
   return new TargetListGuard({
     clock,
--- a/packages/heatherarch-forward/tests/unit/sse_splitter_test.ts
+++ b/packages/heatherarch-forward/tests/unit/sse_splitter_test.ts
@@ -4,7 +4,7 @@
 
 const STREAM = "id: 1\ndata: a\n\nid: 2\r\ndata: b\r\n\r\ndata: c\n\nid: 3\nda";
 
-test("events come out whole, wherever the bytes are cut", () => {
+test("events are returned complete, wherever the bytes are split", () => {
   for (let cut = 0; cut <= STREAM.length; cut++) {
     const splitter = new SseSplitter();
     const events = [
--- a/packages/heatherarch-forward/tests/unit/target_connections_test.ts
+++ b/packages/heatherarch-forward/tests/unit/target_connections_test.ts
@@ -19,7 +19,7 @@
   server?.close();
 });
 
-/** A target that counts requests, and whether it may be sent work. */
+/** Builds connections to a server that counts requests, with a check of whether one may be sent. */
 async function build(
   findBlockReason: (purpose: SendPurpose) => string | undefined,
 ) {
@@ -39,7 +39,7 @@
   return { target, connections, count: () => requests };
 }
 
-test("work for a target that may get none is not sent, and says that it was not", async () => {
+test("work for a blocked target is not sent, and fails as withheld", async () => {
   let ban: string | undefined = "the target leaves";
   const { target, connections, count } = await build(() => ban);
   await assert.rejects(
@@ -53,7 +53,7 @@
   assert.equal((await connections.send(target, REQUEST).head).status, 200);
 });
 
-test("what an earlier request left at a target may be released where work may not be sent", async () => {
+test("resources of an earlier request may be released at a target that is blocked for work", async () => {
   const { target, connections, count } = await build((purpose) =>
     purpose === "work" ? "the target leaves" : undefined
   );
--- a/packages/heatherarch-forward/tests/unit/target_list_guard_test.ts
+++ b/packages/heatherarch-forward/tests/unit/target_list_guard_test.ts
@@ -9,13 +9,13 @@
 interface TestGuard {
   readonly guard: TargetListGuard;
   readonly changes: TargetListGuardChange[];
-  /** Passes time in turns of a process that runs. */
+  /** Advances time in ticks of a running process. */
   run(ms: number): void;
-  /** Passes time in which the process stands still. */
+  /** Advances time while the process is stalled. */
   stall(ms: number): void;
-  /** Wall time passes, and none by the monotonic clock. */
+  /** Advances the wall clock but not the monotonic clock. */
   suspend(ms: number): void;
-  /** The list is taken in, as it was `ageMs` ago. */
+  /** Reads the list as it was `ageMs` ago. */
   readList(ageMs?: number): void;
 }
 
@@ -48,13 +48,17 @@
   };
 }
 
-test("calls wait for the list after a standstill that made it too old", () => {
+test("calls wait for the list after a stall that made it stale", () => {
   const list = createTestGuard();
   list.stall(3000);
   assert.equal(list.guard.isHoldingCalls(), true);
   list.stall(20);
   list.readList(2500);
-  assert.equal(list.guard.isHoldingCalls(), true, "an answer from before it");
+  assert.equal(
+    list.guard.isHoldingCalls(),
+    true,
+    "a list from before the stall",
+  );
   list.readList(5);
   assert.equal(list.guard.isHoldingCalls(), false);
   assert.deepEqual(list.changes, [
@@ -63,7 +67,7 @@
   ]);
 });
 
-test("calls go on after a while although the list can't be read", () => {
+test("calls continue after a while although the list can't be read", () => {
   const list = createTestGuard();
   list.stall(3000);
   assert.equal(list.guard.isHoldingCalls(), true);
@@ -72,20 +76,20 @@
   assert.equal(list.changes.at(-1)?.kind, "freed");
 });
 
-test("an outage of the store alone holds no call back", () => {
+test("an outage of the store alone holds no calls", () => {
   const list = createTestGuard();
   list.run(10_000);
   assert.equal(list.guard.isHoldingCalls(), false);
   assert.deepEqual(list.changes, []);
 });
 
-test("a short standstill after which the list is young enough holds no call back", () => {
+test("a short stall after which the list is still fresh holds no calls", () => {
   const list = createTestGuard();
   list.stall(900);
   assert.equal(list.guard.isHoldingCalls(), false);
 });
 
-test("a starved process holds calls back for as long as it runs, not as it stands", () => {
+test("only running time counts towards the hold of a process starved of CPU time", () => {
   const list = createTestGuard();
   list.stall(2000);
   assert.equal(list.guard.isHoldingCalls(), true);
@@ -96,22 +100,30 @@
     assert.equal(list.guard.isHoldingCalls(), true, `turn ${turn}`);
   }
   list.readList(490);
-  assert.equal(list.guard.isHoldingCalls(), false, "within the bound");
+  assert.equal(
+    list.guard.isHoldingCalls(),
+    false,
+    "the list is within its maximum age",
+  );
 });
 
-test("after a suspension that the clock missed only a later list counts", () => {
+test("after a suspension that the monotonic clock missed, only a later list counts", () => {
   const { guard, readList, stall, suspend } = createTestGuard();
   stall(100);
   suspend(3000);
   assert.equal(guard.isHoldingCalls(), true);
   stall(10);
   readList(100);
-  assert.equal(guard.isHoldingCalls(), true, "asked for before");
+  assert.equal(
+    guard.isHoldingCalls(),
+    true,
+    "a list requested before the suspension",
+  );
   readList(5);
   assert.equal(guard.isHoldingCalls(), false);
 });
 
-test("what was under way at a standstill is told from what began after it", () => {
+test("operations in progress during a stall are distinguished from later ones", () => {
   const { guard, stall, run } = createTestGuard();
   assert.equal(guard.hasStalledSince(0), false);
   stall(1000);
--- a/packages/heatherarch-forward/vm_dependencies.ts
+++ b/packages/heatherarch-forward/vm_dependencies.ts
@@ -1,5 +1,5 @@
 /**
- * Builds what the calls of one VM share: its beliefs, and the means to act on them.
+ * Builds what the calls of one VM share: its state, its scheduling, and its connections to targets.
  *
  * @module
  */
@@ -40,31 +40,31 @@
   readonly log: EventLog;
   /** Number of VMs that share the load. */
   readonly countVms: () => number;
-  /** Age of what this VM knows of the list of targets, milliseconds. */
+  /** Age of this VM's copy of the target list, milliseconds. */
   readonly getListAgeMs: () => number;
-  /** Has the list read soon. */
+  /** Requests an early read of the target list. */
   readonly refreshTargetList: () => void;
 }
 
 const MS_PER_SECOND = 1000;
-/** How often beliefs that have lapsed are swept, milliseconds. */
+/** Interval at which expired state is removed, milliseconds. */
 export const SWEEP_INTERVAL_MS = 250;
 /**
- * A list of targets is relied on up to this many of its readings and this time. With readings at
- * a third of the time in which a leaving target may still get work, a VM whose hub has lost the
- * store reads by itself before two thirds of it are over.
+ * A target list is used up to an age of this many poll intervals plus the slack. If the poll interval
+ * is a third of the time for which a leaving target may still get work, a VM whose hub has lost the
+ * store reads the list itself before two thirds of that time are over.
  */
 const MAX_LIST_AGE_POLLS = 1.6;
 const LIST_AGE_SLACK_MS = 300;
 
-/** Age up to which a list of targets is relied on, milliseconds. */
+/** Computes the age up to which a target list is used, milliseconds. */
 export function computeMaxListAgeMs(
   { targetPollMs }: ForwardSettings["store"],
 ): number {
   return targetPollMs * MAX_LIST_AGE_POLLS + LIST_AGE_SLACK_MS;
 }
 
-/** Builds what calls share, from a VM's settings. */
+/** Builds the dependencies of calls from a VM's settings. */
 export function buildCallDependencies(
   options: CallDependenciesOptions,
 ): CallDependencies {
@@ -144,7 +144,7 @@
   });
 }
 
-/** Builds the inquiry into lost exchanges, which logs each loss and each crash. */
+/** Builds the detector of crashed targets, which logs each lost exchange and each crash. */
 export function buildCrashDetector(
   { quarantine, directory, clock, log, metrics }: Pick<
     CallDependencies,
@@ -175,7 +175,7 @@
   });
 }
 
-/** Why nothing may be sent to a target now; undefined if it may. */
+/** Returns why nothing may be sent to a target now, or undefined if a request may be sent. */
 function findBlockReason(
   { directory, backoffs, clock }: Pick<
     CallDependencies,
@@ -185,10 +185,10 @@
   purpose: SendPurpose,
 ): string | undefined {
   if (backoffs.isInBackoff(target, clock.readMonotonicMs())) {
-    return "the target rests";
+    return "the target is in backoff";
   }
   if (purpose === "release") return undefined;
-  return directory.isLeaving(target) ? "the target leaves" : undefined;
+  return directory.isLeaving(target) ? "the target is leaving" : undefined;
 }
 
 function buildQuarantine({ quarantine }: ForwardSettings): RequestQuarantine {
--- a/packages/heatherarch-forward/vm_tasks.ts
+++ b/packages/heatherarch-forward/vm_tasks.ts
@@ -1,5 +1,5 @@
 /**
- * The tasks of one VM that depend on each other, wired up from its settings.
+ * Builds the interdependent tasks of one VM from its settings.
  *
  * @module
  */
@@ -16,16 +16,16 @@
 import { planConfigReads } from "./scheduling/config_reads.ts";
 import { computeMaxListAgeMs } from "./vm_dependencies.ts";
 
-/** What an adapter brings. */
+/** What a platform adapter provides. */
 export interface PlatformPorts {
   readonly codec: CallCodec;
   readonly directory: DirectoryPorts;
   readonly log: LogPort;
-  /** Path at which the platform's balancer asks for readiness. */
+  /** Path of the readiness check of the platform's load balancer. */
   readonly readinessPath: string;
 }
 
-/** All parts of a VM: what calls share, and its tasks. */
+/** All components of a VM: the dependencies of calls, and the tasks. */
 export interface VmComponents extends CallDependencies {
   readonly mesh: FleetMesh;
   readonly roleController: RoleKeeper;
@@ -35,20 +35,20 @@
   readonly quarantinePersistence: QuarantineKeeper;
 }
 
-/** What the tasks are built from. */
+/** Options of the functions that build tasks. */
 export interface VmTaskOptions {
   readonly settings: ForwardSettings;
   readonly ports: PlatformPorts;
   readonly incarnation: string;
-  /** The parts, of which some are not built yet. */
+  /** Returns the components; some may not be built yet. */
   readonly getComponents: () => VmComponents;
-  /** Called when the number of VMs that share the fleet's limits has changed. */
+  /** Called when the number of VMs that share the fleet's limits changes. */
   readonly onLiveVms: (count: number) => void;
-  /** Called with engines that a peer has ordered to change. */
+  /** Called with the engines that a peer has ordered to change their role. */
   readonly onChanging: (targets: readonly string[]) => void;
 }
 
-/** Builds the mesh. */
+/** Builds the mesh of this VM with its peers. */
 export function buildMesh(options: VmTaskOptions): FleetMesh {
   const { settings, ports, incarnation, getComponents } = options;
   const components = getComponents();
@@ -88,7 +88,7 @@
   });
 }
 
-/** Builds the task that gives orders to engines. */
+/** Builds the task that orders engines to change their role. */
 export function buildRoleController(options: VmTaskOptions): RoleKeeper {
   const { settings, ports, incarnation, getComponents } = options;
   const components = getComponents();
@@ -111,7 +111,7 @@
   });
 }
 
-/** Builds the task that reads the store. */
+/** Builds the task that reads the platform's store. */
 export function buildStoreReader(options: VmTaskOptions): StoreReading {
   const { settings: { store }, ports: { directory }, getComponents } = options;
   const components = getComponents();
