--- a/packages/heatherarch-forward/calls/attempt_result.ts
+++ b/packages/heatherarch-forward/calls/attempt_result.ts
@@ -11,7 +11,7 @@
   type ResponseHead,
   type TargetExchange,
 } from "./target_exchange.ts";
-import type { TryOutcome } from "../state/target_health.ts";
+import type { AttemptOutcome } from "../state/target_health.ts";
 
 /** Result of an attempt, up to the head of its response. */
 export type AttemptResult =
@@ -100,7 +100,9 @@
   const sentAtMs = context.nowMs;
   let timer: NodeJS.Timeout;
   const checkSilence = (): void => {
-    const heardAtMs = context.dependencies.health.getLastAnswerAtMs(target.id);
+    const heardAtMs = context.dependencies.health.getLastResponseAtMs(
+      target.id,
+    );
     if (extendsWhileAlive && context.nowMs - heardAtMs < ALIVE_WINDOW_MS) {
       timer = setTimeout(checkSilence, ALIVE_WINDOW_MS);
       return;
@@ -220,7 +222,7 @@
   });
 }
 
-function rateResult(result: AttemptResult): TryOutcome {
+function rateResult(result: AttemptResult): AttemptOutcome {
   switch (result.kind) {
     case "answer":
       return result.head.status >= 500 ? "failed" : "answered";
