--- a/packages/heatherarch-forward/calls/attempt_result.ts
+++ b/packages/heatherarch-forward/calls/attempt_result.ts
@@ -60,11 +60,11 @@
  * then its entry in the target list shows the role (entries are written every 1.2 s).
  */
 const OTHER_ROLE_AVOID_MS = 1500;
-const SUCCESS_STATUS = { least: 200, most: 299 };
+const SUCCESS_STATUS = { min: 200, max: 299 };
 
 /** Whether an HTTP status means success. */
 export function isSuccessStatus(status: number): boolean {
-  return status >= SUCCESS_STATUS.least && status <= SUCCESS_STATUS.most;
+  return status >= SUCCESS_STATUS.min && status <= SUCCESS_STATUS.max;
 }
 
 /** Waits for the head of a response, classifies it, and records what it tells about the target. */
@@ -100,10 +100,12 @@
   const sentAtMs = context.nowMs;
   let timer: NodeJS.Timeout;
   const checkSilence = (): void => {
-    const heardAtMs = context.dependencies.health.getLastResponseAtMs(
+    const lastResponseAtMs = context.dependencies.health.getLastResponseAtMs(
       target.id,
     );
-    if (extendsWhileAlive && context.nowMs - heardAtMs < ALIVE_WINDOW_MS) {
+    if (
+      extendsWhileAlive && context.nowMs - lastResponseAtMs < ALIVE_WINDOW_MS
+    ) {
       timer = setTimeout(checkSilence, ALIVE_WINDOW_MS);
       return;
     }
--- a/packages/heatherarch-forward/calls/call_context.ts
+++ b/packages/heatherarch-forward/calls/call_context.ts
@@ -154,10 +154,10 @@
    * and ends the call if its request is quarantined.
    */
   async mayRetry(): Promise<boolean> {
-    const mayRepeat = await this.#quarantineGuard.mayRetry();
+    const mayRetry = await this.#quarantineGuard.mayRetry();
     if (this.hasEnded) return false;
     const quarantined = this.#quarantineGuard.findQuarantined();
-    if (quarantined === undefined) return mayRepeat;
+    if (quarantined === undefined) return mayRetry;
     if (this.mayHaveRun) this.fail("targetFailed", QUARANTINED_REASON);
     else this.#refuseQuarantined(quarantined);
     return false;
@@ -254,7 +254,7 @@
     const jitter = 1 + this.dependencies.drawUnit() * BACKOFF_JITTER_SHARE;
     this.refuse("overloaded", "all targets have asked for a backoff", {
       retryAfterMs: backoffMs * jitter,
-      detail: { backoffMs: Math.round(backoffMs) },
+      detail: { restMs: Math.round(backoffMs) },
     });
   }
 
--- a/packages/heatherarch-forward/calls/end_to_end_headers.ts
+++ b/packages/heatherarch-forward/calls/end_to_end_headers.ts
@@ -17,16 +17,19 @@
   "upgrade",
 ]);
 
-/** Copies the end-to-end headers of a list of alternating names and values, except those in `drop`. */
+/** Copies the end-to-end headers of a list of alternating names and values, except those in `excluded`. */
 export function copyEndToEndHeaders(
   raw: readonly string[],
-  drop: ReadonlySet<string> = new Set(),
+  excluded: ReadonlySet<string> = new Set(),
 ): string[] {
-  const named = listNamedByConnection(raw);
+  const connectionOptions = listConnectionOptions(raw);
   const kept: string[] = [];
   for (let i = 0; i + 1 < raw.length; i += 2) {
     const name = raw[i].toLowerCase();
-    if (CONNECTION_HEADERS.has(name) || named.has(name) || drop.has(name)) {
+    if (
+      CONNECTION_HEADERS.has(name) || connectionOptions.has(name) ||
+      excluded.has(name)
+    ) {
       continue;
     }
     kept.push(raw[i], raw[i + 1]);
@@ -35,13 +38,13 @@
 }
 
 /** Lists the header names that `Connection` headers declare as hop-by-hop. */
-function listNamedByConnection(raw: readonly string[]): Set<string> {
-  const named = new Set<string>();
+function listConnectionOptions(raw: readonly string[]): Set<string> {
+  const options = new Set<string>();
   for (let i = 0; i + 1 < raw.length; i += 2) {
     if (raw[i].toLowerCase() !== "connection") continue;
     for (const name of raw[i + 1].split(",")) {
-      named.add(name.trim().toLowerCase());
+      options.add(name.trim().toLowerCase());
     }
   }
-  return named;
+  return options;
 }
--- a/packages/heatherarch-forward/calls/generation_handler.ts
+++ b/packages/heatherarch-forward/calls/generation_handler.ts
@@ -192,10 +192,10 @@
     exchange: TargetExchange,
     { head, metadata }: AttemptResponse,
   ): Promise<void> {
-    const isWhole = isSuccessStatus(head.status);
-    const fault = isWhole && !metadata.signed
+    const isSuccess = isSuccessStatus(head.status);
+    const fault = isSuccess && !metadata.signed
       ? "successful response without a signature"
-      : !isWhole && this.#relay.isStarted
+      : !isSuccess && this.#relay.isStarted
       ? `the stream could not be resumed: status ${head.status}`
       : undefined;
     if (fault !== undefined) {
@@ -273,12 +273,12 @@
     if (this.#endIfInBackoff("generating")) return;
     const reason = "no decode engine";
     if (context.mayHaveRun) return context.fail("answerIncomplete", reason);
-    const comesInMs = this.#predictDecodeReadyMs();
-    const waitMs = comesInMs ?? this.#traits.roleChangeMs;
+    const decodeReadyMs = this.#predictDecodeReadyMs();
+    const waitMs = decodeReadyMs ?? this.#traits.roleChangeMs;
     const jitter = 1 + context.dependencies.drawUnit() / 4;
     context.refuse("noTarget", reason, {
       retryAfterMs: Math.max(MIN_RETRY_AFTER_MS, waitMs) * jitter,
-      detail: { tried: [...this.#tried], comesInMs },
+      detail: { tried: [...this.#tried], comesInMs: decodeReadyMs },
     });
   }
 
@@ -308,9 +308,7 @@
           isCold,
           factor: Number(
             context.dependencies.prefillTimeModel.getSlowdown(target.id)
-              .toFixed(
-                2,
-              ),
+              .toFixed(2),
           ),
           waitedMs: Math.round(waitedMs),
           costMs: Math.round(costMs),
@@ -355,7 +353,7 @@
     const roleChangeStartsMs = directory.listServing(service.name)
       .filter((engine) => engine.role === "prefill")
       .map((engine) => directory.findRoleChangeStartMs(engine.id, nowMs))
-      .filter((sinceMs) => sinceMs !== undefined);
+      .filter((startedAtMs) => startedAtMs !== undefined);
     return predictDecodeReadyMs(
       roleChangeStartsMs,
       this.#traits.roleChangeMs,
@@ -366,7 +364,7 @@
   #pickDecodeEngine(zone: string | undefined): Target | undefined {
     const { workTracker, drawUnit } = this.#context.dependencies;
     const nowMs = this.#context.nowMs;
-    const kvRoom = this.#traits.kvTokens;
+    const kvCapacityTokens = this.#traits.kvTokens;
     const candidates = listAvailableEngines(
       this.#context,
       "generating",
@@ -374,7 +372,7 @@
     )
       .map((target): TargetCandidate => {
         const { runs, kvTokens } = workTracker.getRunLoad(target.id, nowMs);
-        return { target, runs, kvTokens, kvCapacityTokens: kvRoom };
+        return { target, runs, kvTokens, kvCapacityTokens };
       });
     return pickLeastLoaded(candidates, zone, drawUnit)?.target;
   }
--- a/packages/heatherarch-forward/calls/prompt_prefill.ts
+++ b/packages/heatherarch-forward/calls/prompt_prefill.ts
@@ -118,10 +118,10 @@
       if (context.hasEnded) return { kind: "over" };
       if (this.#isRetry && !context.takeRetry()) return { kind: "noAllowance" };
       const exchange = this.#send(placed, lastEventId);
-      const source = await this.#awaitHandle(placement, exchange);
-      if ("kind" in source) return source;
+      const kvSource = await this.#awaitHandle(placement, exchange);
+      if ("kind" in kvSource) return kvSource;
       this.#recordPrefill(placed, startedAtMs);
-      return this.#deliver({ engine: placement.target, kvSource: source });
+      return this.#deliver({ engine: placement.target, kvSource });
     } finally {
       endPrefill();
     }
@@ -244,11 +244,11 @@
         firstTokenDelayMs: FIRST_TOKEN_MS + prefillTimeModel.latencyMs,
         findPlacement: () => this.#findPlacement(),
         mayPrefillLate: () => this.#mayPrefillLate(),
-        onOutcome: (verdict) =>
+        onOutcome: (outcome) =>
           resolve(
-            verdict.kind === "placed"
-              ? this.#beginPrefill(verdict.placed)
-              : verdict,
+            outcome.kind === "placed"
+              ? this.#beginPrefill(outcome.placed)
+              : outcome,
           ),
       });
       void context.ended.then(() => {
@@ -267,8 +267,8 @@
     metrics.readWait.observe({ lane }, waitedMs / 1000);
     this.#recordHolder(target, "reading");
     const latencyMs = prefillTimeModel.latencyMs + RESPONSE_SLACK_MS;
-    const read = { costMs, lane, latencyMs };
-    const endPrefill = workTracker.beginPrefill(target.id, read, startedAtMs);
+    const work = { costMs, lane, latencyMs };
+    const endPrefill = workTracker.beginPrefill(target.id, work, startedAtMs);
     return { kind: "turn", placed, startedAtMs, endPrefill };
   }
 
--- a/packages/heatherarch-forward/calls/quarantine_guard.ts
+++ b/packages/heatherarch-forward/calls/quarantine_guard.ts
@@ -29,7 +29,7 @@
   readonly #options: QuarantineGuardOptions;
   readonly #removeListener: () => void;
   #digest: string | undefined;
-  #inquiries: Promise<unknown>[] = [];
+  #investigations: Promise<unknown>[] = [];
   #hasLostExchange = false;
   #endTrial: (() => void) | undefined;
 
@@ -54,12 +54,12 @@
   admit(): Admission {
     const { quarantine, clock } = this.#options.dependencies;
     if (quarantine.isEmpty) return { kind: "free" };
-    const admission = quarantine.admit(
+    const result = quarantine.admit(
       this.digest,
       clock.readMonotonicMs(),
     );
-    if (admission.kind === "trial") this.#endTrial = admission.end;
-    return admission;
+    if (result.kind === "trial") this.#endTrial = result.end;
+    return result;
   }
 
   /** Returns the quarantine of the request, or undefined if there is none. */
@@ -77,10 +77,13 @@
    * retry is left to the client, which gives the other VMs time to learn of the crashes.
    */
   async mayRetry(): Promise<boolean> {
-    const inquiries = this.#inquiries;
-    this.#inquiries = [];
-    if (inquiries.length > 0) {
-      await Promise.race([Promise.all(inquiries), sleep(MAX_PROBE_WAIT_MS)]);
+    const investigations = this.#investigations;
+    this.#investigations = [];
+    if (investigations.length > 0) {
+      await Promise.race([
+        Promise.all(investigations),
+        sleep(MAX_PROBE_WAIT_MS),
+      ]);
     }
     if (!this.#hasLostExchange) return true;
     return !this.#options.dependencies.quarantine.isLastTrial(
@@ -99,7 +102,7 @@
       }
       if (end.fault !== "lost") return;
       this.#hasLostExchange = true;
-      this.#inquiries.push(crashDetector.investigateLoss({
+      this.#investigations.push(crashDetector.investigateLoss({
         call: id,
         request: this.digest,
         account: host,
--- a/packages/heatherarch-forward/calls/response_notices.ts
+++ b/packages/heatherarch-forward/calls/response_notices.ts
@@ -32,11 +32,10 @@
   /** Applies the head of a response that arrived on a connection to `target`. */
   apply(target: Target, { status, headers }: ResponseHead): void {
     const { codec, directory, log } = this.#options;
-    const { answeredBy, isLeaving, backoffMs } = codec
-      .decodeResponse(
-        status,
-        headers,
-      );
+    const { answeredBy, isLeaving, backoffMs } = codec.decodeResponse(
+      status,
+      headers,
+    );
     const instance = target.instance ?? target.id;
     if (answeredBy !== undefined && answeredBy !== instance) return;
     if (isLeaving && directory.markLeaving(target.id)) {
--- a/packages/heatherarch-forward/calls/response_relay.ts
+++ b/packages/heatherarch-forward/calls/response_relay.ts
@@ -105,9 +105,9 @@
   relay(exchange: TargetExchange, head: ResponseHead): Promise<RelayResult> {
     const { clientResponse, isResumable } = this.#options;
     if (!clientResponse.isHeadSent) {
-      const drop = isResumable ? LENGTH_HEADERS : undefined;
+      const excluded = isResumable ? LENGTH_HEADERS : undefined;
       const endsConnection = getResponseFraming(head) === "connection";
-      const headers = copyEndToEndHeaders(head.rawHeaders, drop);
+      const headers = copyEndToEndHeaders(head.rawHeaders, excluded);
       clientResponse.writeHead(head.status, headers, { endsConnection });
     }
     const splitter = isResumable ? new SseSplitter() : undefined;
--- a/packages/heatherarch-forward/calls/target_connections.ts
+++ b/packages/heatherarch-forward/calls/target_connections.ts
@@ -133,8 +133,8 @@
 
   /** Whether another request may be sent to the target now. */
   hasCapacity(target: Target, maxConnections: number | undefined): boolean {
-    const open = this.#pools.get(target.id)?.inFlight ?? 0;
-    return open < this.computeConnectionLimit(maxConnections);
+    const inFlight = this.#pools.get(target.id)?.inFlight ?? 0;
+    return inFlight < this.computeConnectionLimit(maxConnections);
   }
 
   /**
--- a/packages/heatherarch-forward/calls/target_list_guard.ts
+++ b/packages/heatherarch-forward/calls/target_list_guard.ts
@@ -61,7 +61,7 @@
     this.#options = options;
     this.#loopWatch = new LoopWatch({
       usualMs: () => options.tickIntervalMs,
-      onLate: (standstill) => this.#handleStall(standstill),
+      onLate: (stall) => this.#handleStall(stall),
     });
   }
 
