--- a/packages/heatherarch-forward/tests/unit/call_handlers_test.ts
+++ b/packages/heatherarch-forward/tests/unit/call_handlers_test.ts
@@ -28,23 +28,23 @@
 const NOT_RUN: ReadonlySet<number | undefined> = new Set([408, 421, 429, 503]);
 
 /** Runs all sequences of results, each as long as attempts are made. */
-async function playAll(
+async function runAll(
   kind: CallKind,
   check: (outcome: ScriptOutcome, script: readonly ScriptedAttempt[]) => void,
 ): Promise<number> {
-  let played = 0;
-  const playFrom = async (
+  let sequences = 0;
+  const runFrom = async (
     script: readonly ScriptedAttempt[],
   ): Promise<void> => {
     const outcome = await runScript(kind, script);
-    played++;
+    sequences++;
     check(outcome, script);
-    // A script that was not used up has no longer sequences.
+    // If the call made fewer attempts than scripted, longer scripts give the same outcome.
     if (outcome.used < script.length || script.length === DEPTH) return;
-    for (const step of STEPS) await playFrom([...script, step]);
+    for (const step of STEPS) await runFrom([...script, step]);
   };
-  for (const step of STEPS) await playFrom([step]);
-  return played;
+  for (const step of STEPS) await runFrom([step]);
+  return sequences;
 }
 
 function describe(
@@ -58,33 +58,33 @@
   const kind of ["once", "idempotent", "stream", "resumableStream"] as const
 ) {
   test(`${kind}: after any loss, refusal or restart, "not run" is true and the call runs at most as often as allowed`, async () => {
-    const played = await playAll(kind, (outcome, script) => {
+    const sequences = await runAll(kind, (outcome, script) => {
       const { runs, status, isWhole, body } = outcome;
-      const shown = describe(outcome, script);
-      if (NOT_RUN.has(status)) assert.equal(runs.length, 0, shown);
-      const most = kind === "once" || kind === "stream" ? 1 : MAX_TARGETS;
-      assert.ok(runs.length <= most, shown);
-      assert.ok(status !== undefined, shown);
+      const description = describe(outcome, script);
+      if (NOT_RUN.has(status)) assert.equal(runs.length, 0, description);
+      const maxRuns = kind === "once" || kind === "stream" ? 1 : MAX_TARGETS;
+      assert.ok(runs.length <= maxRuns, description);
+      assert.ok(status !== undefined, description);
       if (status !== 200 || !isWhole) return;
       const events = [...body.matchAll(/id: (\d)/g)].map(([, id]) => id);
-      assert.deepEqual(events, ["1", "2", "3"], shown);
+      assert.deepEqual(events, ["1", "2", "3"], description);
     });
-    assert.ok(played > STEPS.length, `${played} sequences`);
+    assert.ok(sequences > STEPS.length, `${sequences} sequences`);
   });
 }
 
 test("a call is retried if it has not run, and only a repeatable one if it may have run", async () => {
-  const play = async (kind: CallKind, end: ScriptedResult) => {
+  const run = async (kind: CallKind, end: ScriptedResult) => {
     const { status, runs } = await runScript(kind, [{ end, restarts: true }]);
     return [status, runs.length];
   };
   for (const kind of ["once", "idempotent", "stream"] as const) {
-    assert.deepEqual(await play(kind, "notSent"), [200, 1], kind);
-    assert.deepEqual(await play(kind, "refused"), [200, 1], kind);
+    assert.deepEqual(await run(kind, "notSent"), [200, 1], kind);
+    assert.deepEqual(await run(kind, "refused"), [200, 1], kind);
   }
-  assert.deepEqual(await play("once", "lostBefore"), [502, 0]);
-  assert.deepEqual(await play("once", "lostAfter"), [502, 1]);
-  assert.deepEqual(await play("stream", "lostAfter"), [502, 1]);
-  assert.deepEqual(await play("idempotent", "lostAfter"), [200, 2]);
-  assert.deepEqual(await play("resumableStream", "cut"), [200, 2]);
+  assert.deepEqual(await run("once", "lostBefore"), [502, 0]);
+  assert.deepEqual(await run("once", "lostAfter"), [502, 1]);
+  assert.deepEqual(await run("stream", "lostAfter"), [502, 1]);
+  assert.deepEqual(await run("idempotent", "lostAfter"), [200, 2]);
+  assert.deepEqual(await run("resumableStream", "cut"), [200, 2]);
 });
--- a/packages/heatherarch-forward/tests/unit/scripted_call.ts
+++ b/packages/heatherarch-forward/tests/unit/scripted_call.ts
@@ -83,7 +83,7 @@
   script: readonly ScriptedAttempt[],
 ): Promise<ScriptOutcome> {
   const call = new ScriptedCall(kind, script);
-  return await call.play();
+  return await call.run();
 }
 
 class ScriptedCall {
@@ -107,7 +107,7 @@
     return this.#kind === "stream" || this.#kind === "resumableStream";
   }
 
-  async play(): Promise<ScriptOutcome> {
+  async run(): Promise<ScriptOutcome> {
     this.#listTargets();
     const context = this.#buildContext();
     if (this.#isStream) {
@@ -240,7 +240,7 @@
       handler: Dispatcher.DispatchHandler,
     ): boolean => {
       setImmediate(() => {
-        this.#answer(target, request, end, handler);
+        this.#respond(target, request, end, handler);
         if (step?.restarts) this.#restart(target);
       });
       return true;
@@ -260,7 +260,7 @@
     this.#listTargets();
   }
 
-  #answer(
+  #respond(
     target: Target,
     request: EncodedRequest,
     end: ScriptedResult,
--- a/packages/heatherarch-forward/tests/unit/target_list_guard_test.ts
+++ b/packages/heatherarch-forward/tests/unit/target_list_guard_test.ts
@@ -49,59 +49,59 @@
 }
 
 test("calls wait for the list after a stall that made it stale", () => {
-  const list = createTestGuard();
-  list.stall(3000);
-  assert.equal(list.guard.isHoldingCalls(), true);
-  list.stall(20);
-  list.readList(2500);
+  const fixture = createTestGuard();
+  fixture.stall(3000);
+  assert.equal(fixture.guard.isHoldingCalls(), true);
+  fixture.stall(20);
+  fixture.readList(2500);
   assert.equal(
-    list.guard.isHoldingCalls(),
+    fixture.guard.isHoldingCalls(),
     true,
     "a list from before the stall",
   );
-  list.readList(5);
-  assert.equal(list.guard.isHoldingCalls(), false);
-  assert.deepEqual(list.changes, [
+  fixture.readList(5);
+  assert.equal(fixture.guard.isHoldingCalls(), false);
+  assert.deepEqual(fixture.changes, [
     { kind: "held", lateMs: 3000, ageMs: 3000 },
     { kind: "freed", isFresh: true, heldMs: 20 },
   ]);
 });
 
 test("calls continue after a while although the list can't be read", () => {
-  const list = createTestGuard();
-  list.stall(3000);
-  assert.equal(list.guard.isHoldingCalls(), true);
-  list.run(500);
-  assert.equal(list.guard.isHoldingCalls(), false);
-  assert.equal(list.changes.at(-1)?.kind, "freed");
+  const fixture = createTestGuard();
+  fixture.stall(3000);
+  assert.equal(fixture.guard.isHoldingCalls(), true);
+  fixture.run(500);
+  assert.equal(fixture.guard.isHoldingCalls(), false);
+  assert.equal(fixture.changes.at(-1)?.kind, "freed");
 });
 
 test("an outage of the store alone holds no calls", () => {
-  const list = createTestGuard();
-  list.run(10_000);
-  assert.equal(list.guard.isHoldingCalls(), false);
-  assert.deepEqual(list.changes, []);
+  const fixture = createTestGuard();
+  fixture.run(10_000);
+  assert.equal(fixture.guard.isHoldingCalls(), false);
+  assert.deepEqual(fixture.changes, []);
 });
 
 test("a short stall after which the list is still fresh holds no calls", () => {
-  const list = createTestGuard();
-  list.stall(900);
-  assert.equal(list.guard.isHoldingCalls(), false);
+  const fixture = createTestGuard();
+  fixture.stall(900);
+  assert.equal(fixture.guard.isHoldingCalls(), false);
 });
 
 test("only running time counts towards the hold of a process starved of CPU time", () => {
-  const list = createTestGuard();
-  list.stall(2000);
-  assert.equal(list.guard.isHoldingCalls(), true);
-  for (let turn = 0; turn < 5; turn++) {
-    list.stall(450);
-    assert.equal(list.guard.isHoldingCalls(), true, `turn ${turn}`);
-    list.stall(40);
-    assert.equal(list.guard.isHoldingCalls(), true, `turn ${turn}`);
+  const fixture = createTestGuard();
+  fixture.stall(2000);
+  assert.equal(fixture.guard.isHoldingCalls(), true);
+  for (let round = 0; round < 5; round++) {
+    fixture.stall(450);
+    assert.equal(fixture.guard.isHoldingCalls(), true, `turn ${round}`);
+    fixture.stall(40);
+    assert.equal(fixture.guard.isHoldingCalls(), true, `turn ${round}`);
   }
-  list.readList(490);
+  fixture.readList(490);
   assert.equal(
-    list.guard.isHoldingCalls(),
+    fixture.guard.isHoldingCalls(),
     false,
     "the list is within its maximum age",
   );
--- a/packages/heatherarch-forward/vm_dependencies.ts
+++ b/packages/heatherarch-forward/vm_dependencies.ts
@@ -70,15 +70,15 @@
 ): CallDependencies {
   const { settings, codec, clock, log, countVms } = options;
   const metrics = new ForwardMetrics();
-  const readModel = new PrefillTimeModel();
+  const prefillTimeModel = new PrefillTimeModel();
   const directory = new TargetDirectory({
     targetHeartbeatMs: settings.store.targetHeartbeatMs,
   });
-  const rests = new TargetBackoffs();
+  const backoffs = new TargetBackoffs();
   const notices = new ResponseNotices({
     codec,
     directory,
-    backoffs: rests,
+    backoffs,
     clock,
     log,
   });
@@ -89,9 +89,9 @@
     codec,
     metrics,
     directory,
-    backoffs: rests,
+    backoffs,
     quarantine,
-    prefillTimeModel: readModel,
+    prefillTimeModel,
     countVms,
     activeConfig: new ActiveConfig(),
     health: new TargetHealth(),
@@ -106,7 +106,7 @@
     connections: new TargetConnections({
       onResponseHead: (target, head) => notices.apply(target, head),
       findBlockReason: ({ id }, purpose) =>
-        findBlockReason({ directory, backoffs: rests, clock }, id, purpose),
+        findBlockReason({ directory, backoffs, clock }, id, purpose),
     }),
     targetListGuard: buildTargetListGuard(options, metrics),
     retryBudget: buildRetryBudget(settings),
@@ -114,7 +114,7 @@
     prefillCandidateCache: new PrefillCandidateCache(),
     prefixIndex: new PrefixIndex(),
     retention: new CacheRetention(),
-    placer: new PromptPlacer({ model: readModel }),
+    placer: new PromptPlacer({ model: prefillTimeModel }),
     engineJitter: new EngineJitter({
       vmId: settings.vm.id,
       drawUnit: Math.random,
