--- a/packages/heatherarch-forward/fleet/config_exchange.ts
+++ b/packages/heatherarch-forward/fleet/config_exchange.ts
@@ -13,14 +13,14 @@
 /** Options of {@linkcode ConfigExchange}. */
 export interface ConfigExchangeOptions {
   readonly node: Pick<MeshNode, "call" | "registerCall">;
-  readonly configs: ActiveConfig;
+  readonly activeConfig: ActiveConfig;
   readonly log: EventLog;
-  readonly configReads: Pick<
+  readonly configReadTiming: Pick<
     ConfigReadTiming,
     "askPeerAfterMs" | "peerTimeoutMs"
   >;
   /** Whether this VM reads the store's topics by itself. */
-  readonly hasToRead: () => boolean;
+  readonly mustReadStore: () => boolean;
   /** Reads the configuration from the store, once. */
   readonly loadConfig: () => Promise<void>;
 }
@@ -51,23 +51,27 @@
   }
 
   /** A peer has this version: it is fetched if it is newer. */
-  noteVersion(peer: string, version: number): void {
-    const { configs, log, hasToRead } = this.#options;
-    if (version <= configs.version) return;
+  handlePeerVersion(peer: string, version: number): void {
+    const {
+      activeConfig,
+      log,
+      mustReadStore,
+    } = this.#options;
+    if (version <= activeConfig.version) return;
     this.#holders.set(peer, version);
     if (this.#isAsking) return;
     log.write("info", "configHeard", {
       peer,
       version,
-      before: configs.version,
-      reads: hasToRead(),
+      before: activeConfig.version,
+      reads: mustReadStore(),
     });
     void this.#ask();
   }
 
   /** The configuration; null for a large one, unless the peer has no other way to it. */
   #answer(isOnlyWay: unknown): RoutingConfig | null {
-    const config = this.#options.configs.table?.config;
+    const config = this.#options.activeConfig.table?.config;
     if (config === undefined) return null;
     const isLarge = config.routes.length > MAX_MESH_ROUTES;
     return isLarge && isOnlyWay !== true ? null : config;
@@ -75,9 +79,12 @@
 
   /** Fetches a configuration that peers have and that the store has not brought in time. */
   async #ask(): Promise<void> {
-    const { configReads, hasToRead } = this.#options;
+    const {
+      configReadTiming,
+      mustReadStore,
+    } = this.#options;
     this.#isAsking = true;
-    if (hasToRead()) await sleep(configReads.askPeerAfterMs);
+    if (mustReadStore()) await sleep(configReadTiming.askPeerAfterMs);
     if (!await this.#takeFromPeers(false)) {
       await this.#load();
       await this.#takeFromPeers(true);
@@ -101,7 +108,7 @@
 
   /** The peer with the newest version; undefined where none is newer than this VM's. */
   #pickHolder(): string | undefined {
-    let newest = this.#options.configs.version;
+    let newest = this.#options.activeConfig.version;
     let holder: string | undefined;
     for (const [peer, version] of this.#holders) {
       if (version <= newest) continue;
@@ -113,17 +120,22 @@
 
   /** Whether the peer gave its configuration; undefined where it did not answer. */
   async #take(peer: string, isOnlyWay: boolean): Promise<boolean | undefined> {
-    const { configs, configReads, log, node } = this.#options;
+    const {
+      activeConfig,
+      configReadTiming,
+      log,
+      node,
+    } = this.#options;
     try {
       const config = await node.call(
         peer,
         CONFIG_CALL,
         isOnlyWay,
-        configReads.peerTimeoutMs,
+        configReadTiming.peerTimeoutMs,
       );
       if (config === null) return false;
       const { version } = config as RoutingConfig;
-      configs.applyConfig(config as RoutingConfig, `peer ${peer}`);
+      activeConfig.applyConfig(config as RoutingConfig, `peer ${peer}`);
       this.#holders.set(peer, version);
       return true;
     } catch (error) {
--- a/packages/heatherarch-forward/fleet/hub_sums.ts
+++ b/packages/heatherarch-forward/fleet/digest_cache.ts
@@ -7,9 +7,9 @@
 import type { WorkDigest } from "heatherarch-mesh";
 import type { WorkRow, WorkTracker } from "../state/work_tracker.ts";
 
-/** Options of {@linkcode HubSums}. */
-export interface HubSumsOptions {
-  readonly ledger: WorkTracker;
+/** Options of {@linkcode DigestCache}. */
+export interface DigestCacheOptions {
+  readonly workTracker: WorkTracker;
   /** Live VMs of the hub's zone, itself included. */
   readonly countZoneVms: () => number;
   /** Live VMs of the fleet. */
@@ -19,37 +19,43 @@
 type Sum = Pick<WorkDigest, "vms" | "work">;
 
 /** The sums of the round in progress. */
-export class HubSums {
-  readonly #options: HubSumsOptions;
+export class DigestCache {
+  readonly #options: DigestCacheOptions;
   #fleet: Sum | undefined;
   #zone: Sum | undefined;
 
-  constructor(options: HubSumsOptions) {
+  constructor(options: DigestCacheOptions) {
     this.#options = options;
   }
 
   /** A round begins, or something was heard: what was summed is old. */
-  forget(): void {
+  invalidate(): void {
     this.#fleet = undefined;
     this.#zone = undefined;
   }
 
   /** The work of the hub's zone. */
-  sumZone(nowMs: number): Sum {
-    const { ledger, countZoneVms } = this.#options;
+  getZoneDigest(nowMs: number): Sum {
+    const {
+      workTracker,
+      countZoneVms,
+    } = this.#options;
     this.#zone ??= {
       vms: countZoneVms(),
-      work: copyRows(ledger.sumRows(nowMs, false)),
+      work: copyRows(workTracker.sumRows(nowMs, false)),
     };
     return this.#zone;
   }
 
   /** The work of the fleet. */
-  sumFleet(nowMs: number): Sum {
-    const { ledger, countFleetVms } = this.#options;
+  getFleetDigest(nowMs: number): Sum {
+    const {
+      workTracker,
+      countFleetVms,
+    } = this.#options;
     this.#fleet ??= {
       vms: countFleetVms(),
-      work: copyRows(ledger.sumRows(nowMs, true)),
+      work: copyRows(workTracker.sumRows(nowMs, true)),
     };
     return this.#fleet;
   }
--- a/packages/heatherarch-forward/fleet/feed_source.ts
+++ b/packages/heatherarch-forward/fleet/feed_source.ts
@@ -17,9 +17,9 @@
 }
 
 /** What one heartbeat told of the list. */
-export interface FeedNews {
+export interface FeedUpdate {
   /** Monotonic time for which the word holds. */
-  readonly atMs: number;
+  readonly validAtMs: number;
   readonly isFull: boolean;
   readonly entries: readonly KeyedEntry<Target>[];
 }
@@ -40,12 +40,12 @@
   }
 
   /** The whole list has come from it. */
-  get hasList(): boolean {
+  get hasFullList(): boolean {
     return this.#hasList;
   }
 
   /** It said last that it can't read the list. */
-  get isListLost(): boolean {
+  get isStale(): boolean {
     return this.#isListLost;
   }
 
@@ -54,7 +54,7 @@
     return this.#hasList ? "changes" : "all";
   }
 
-  noteHeard(nowMs: number): void {
+  recordHeartbeat(nowMs: number): void {
     this.#heardAtMs = nowMs;
   }
 
@@ -67,11 +67,11 @@
    * date, which is that of a request. So a feed with news that is dated before the time for which
    * this VM's own list holds can be neither applied nor passed over: the whole list is asked for.
    */
-  take(
+  handleFeed(
     feed: TargetFeed,
     nowMs: number,
     holdsAtMs = -Infinity,
-  ): FeedNews | undefined {
+  ): FeedUpdate | undefined {
     const ageMs = readFeedAge(feed);
     this.#isListLost = ageMs === Infinity;
     if (this.#isListLost) return undefined;
@@ -80,6 +80,6 @@
     const isOlder = hasNews && atMs < holdsAtMs;
     if (feed.isFull || isOlder) this.#hasList = !isOlder;
     if (!this.#hasList) return undefined;
-    return { atMs, isFull: feed.isFull, entries: decodeFeed(feed) };
+    return { validAtMs: atMs, isFull: feed.isFull, entries: decodeFeed(feed) };
   }
 }
--- a/packages/heatherarch-forward/fleet/fleet_news.ts
+++ b/packages/heatherarch-forward/fleet/fleet_gossip.ts
@@ -11,8 +11,8 @@
 import type { TargetDirectory } from "../state/target_directory.ts";
 import type { EventLog } from "../event_log.ts";
 
-/** Options of {@linkcode FleetNews}. */
-export interface FleetNewsOptions {
+/** Options of {@linkcode FleetGossip}. */
+export interface FleetGossipOptions {
   readonly quarantine: RequestQuarantine;
   readonly directory: TargetDirectory;
   readonly clock: Clock;
@@ -20,7 +20,7 @@
 }
 
 /** The parts of a heartbeat that this module fills. */
-export type NewsParts = Pick<Heartbeat, "crashes" | "leavingTargets">;
+export type GossipFields = Pick<Heartbeat, "crashes" | "leavingTargets">;
 
 type CrashMessage = NonNullable<Heartbeat["crashes"]>[number];
 
@@ -34,11 +34,11 @@
 const NO_LOG = -1;
 
 /** The gossip of one VM. */
-export class FleetNews {
-  readonly #options: FleetNewsOptions;
+export class FleetGossip {
+  readonly #options: FleetGossipOptions;
   readonly #links = new WeakMap<Link, LinkCursors>();
 
-  constructor(options: FleetNewsOptions) {
+  constructor(options: FleetGossipOptions) {
     this.#options = options;
   }
 
@@ -55,7 +55,7 @@
   }
 
   /** What is new since the last heartbeat on a link. */
-  build(link: Link): NewsParts {
+  buildFields(link: Link): GossipFields {
     let cursors = this.#links.get(link);
     if (cursors === undefined) {
       cursors = { crashes: undefined, leaving: 0 };
@@ -65,7 +65,7 @@
   }
 
   /** Merges a peer's heartbeat, which may have waited here for `waitedMs`. */
-  take({ crashes, leavingTargets }: Heartbeat, waitedMs: number): void {
+  handle({ crashes, leavingTargets }: Heartbeat, waitedMs: number): void {
     const { quarantine, directory, clock, log } = this.#options;
     if (crashes !== undefined) {
       quarantine.mergePeerReports(crashes, clock.readMonotonicMs() - waitedMs);
@@ -76,25 +76,34 @@
     }
   }
 
-  #buildCrashes(cursors: LinkCursors): NewsParts {
+  #buildCrashes(cursors: LinkCursors): GossipFields {
     const { quarantine, clock } = this.#options;
     if (quarantine.isEmpty) return {};
-    const { reports: notes, cursor } = quarantine.listReports(
+    const {
+      reports,
+      cursor,
+    } = quarantine.listReports(
       cursors.crashes,
       clock.readMonotonicMs(),
     );
     cursors.crashes = cursor;
-    if (notes.length === 0) return {};
-    return { crashes: notes.map((note): CrashMessage => [...note]) };
+    if (reports.length === 0) return {};
+    return { crashes: reports.map((note): CrashMessage => [...note]) };
   }
 
-  #buildLeaving(cursors: LinkCursors): NewsParts {
-    const { targetIds: lives, cursor } = this.#options.directory
+  #buildLeaving(cursors: LinkCursors): GossipFields {
+    const {
+      targetIds,
+      cursor,
+    } = this.#options.directory
       .listAnnouncedLeaving(cursors.leaving);
     cursors.leaving = cursor;
-    if (lives.length === 0) return {};
+    if (targetIds.length === 0) return {};
     return {
-      leavingTargets: lives.map((target) => ({ target, sinceOffset: NO_LOG })),
+      leavingTargets: targetIds.map((target) => ({
+        target,
+        sinceOffset: NO_LOG,
+      })),
     };
   }
 }
--- a/packages/heatherarch-forward/fleet/fleet_mesh.ts
+++ b/packages/heatherarch-forward/fleet/fleet_mesh.ts
@@ -18,7 +18,7 @@
 import type { VmRecord } from "../model.ts";
 import type { WritableTopicPort } from "../ports.ts";
 import { ConfigExchange } from "./config_exchange.ts";
-import { FleetNews } from "./fleet_news.ts";
+import { FleetGossip } from "./fleet_gossip.ts";
 import { HubExchange, type HubExchangeOptions } from "./hub_exchange.ts";
 import { VmListFollower } from "./vm_list_follower.ts";
 import type { PrefixIndex } from "../state/prefix_index.ts";
@@ -33,8 +33,8 @@
     | "getListAgeMs"
     | "maxListAgeMs"
     | "applyTargets"
-    | "onListLost"
-    | "listChanging"
+    | "onListStale"
+    | "listChangingRole"
   > {
   readonly self: VmRecord;
   /** Address to listen on; peers dial the one in `self`. */
@@ -53,23 +53,23 @@
   readonly vms: WritableTopicPort<VmRecord>;
   readonly clock: Clock;
   readonly log: EventLog;
-  readonly ledger: WorkTracker;
-  readonly prompts: PrefixIndex;
+  readonly workTracker: WorkTracker;
+  readonly prefixIndex: PrefixIndex;
   readonly quarantine: RequestQuarantine;
-  readonly configs: ActiveConfig;
-  readonly configReads: ConfigReadTiming;
+  readonly activeConfig: ActiveConfig;
+  readonly configReadTiming: ConfigReadTiming;
   /** Reads the configuration from the store, once. */
   readonly loadConfig: () => Promise<void>;
   /** Called when the number of VMs that share the fleet's limits has changed. */
   readonly onLiveVms: (count: number) => void;
   /** Called with engines that a peer has ordered to change. */
-  readonly onChanging: (targets: readonly string[]) => void;
+  readonly onChangingRole: (targets: readonly string[]) => void;
   /** Monotonic time at which this VM itself last read the list of targets without fault. */
   readonly getListReadAtMs: () => number;
   /** A peer has read the list of targets at this monotonic time. */
-  readonly onListRead: (atMs: number) => void;
+  readonly onPeerListRead: (atMs: number) => void;
   /** This process stood still for so many milliseconds. */
-  readonly onLate: (lateMs: number) => void;
+  readonly onLoopStall: (lateMs: number) => void;
   /** Whether this VM could give orders now. */
   readonly mayOrder: () => boolean;
 }
@@ -82,7 +82,7 @@
   readonly #membership: Membership;
   readonly #node: MeshNode;
   readonly #hubs: HubExchange;
-  readonly #news: FleetNews;
+  readonly #news: FleetGossip;
   readonly #list: VmListFollower;
   readonly #configs: ConfigExchange;
   /** Prompt notes told on each link so far. */
@@ -109,18 +109,18 @@
     this.#hubs = new HubExchange({
       ...options,
       membership: this.#membership,
-      onSource: (source) =>
+      onSourceChange: (source) =>
         options.log.write("info", "hubChosen", {
           source,
           live: this.#membership.listLive(self.availabilityZone).length,
         }),
     });
-    this.#news = new FleetNews(options);
+    this.#news = new FleetGossip(options);
     this.#list = new VmListFollower({
       self,
       vms: options.vms,
       clock: options.clock,
-      isFed: () => !this.hasToRead(),
+      hasFreshFeed: () => !this.mustReadStore(),
       onList: (listed) => this.#applyList(listed),
       onFault: (error) => this.#noteListFault(error),
     });
@@ -146,7 +146,7 @@
     this.#configs = new ConfigExchange({
       ...options,
       node: this.#node,
-      hasToRead: () => this.hasToRead(),
+      mustReadStore: () => this.mustReadStore(),
     });
   }
 
@@ -156,9 +156,11 @@
     );
     this.#configs.start();
     await this.#node.start();
-    const { ledger } = this.#options;
+    const {
+      workTracker,
+    } = this.#options;
     this.#undoListeners.push(
-      ledger.registerOwnWorkListener(() => {
+      workTracker.registerOwnWorkListener(() => {
         // A hub tells sums of many VMs, which change all the time.
         if (!this.#membership.isHub) this.#node.noteNews();
       }),
@@ -186,28 +188,28 @@
   }
 
   /** Whether the list of VMs has been read: from then on duties are known. */
-  get hasList(): boolean {
+  get hasVmList(): boolean {
     return this.#hasList;
   }
 
   /** Whether this VM has to read the store's topics by itself. */
-  hasToRead(): boolean {
+  mustReadStore(): boolean {
     if (!this.#membership.hasHubs) return true;
-    return !this.#hubs.isFed(this.#options.clock.readMonotonicMs());
+    return !this.#hubs.hasFreshFeed(this.#options.clock.readMonotonicMs());
   }
 
   /** Monotonic time for which a hub's word on the list of targets held. */
-  get listAtMs(): number {
-    return this.#hubs.listAtMs;
+  get feedValidAtMs(): number {
+    return this.#hubs.feedValidAtMs;
   }
 
   /** Whether this VM is one of those that do what one VM has to do for the fleet. */
-  get hasDuty(): boolean {
+  get isCoordinator(): boolean {
     return !this.#membership.hasHubs || this.#membership.isHub;
   }
 
   /** Ids of the live VMs that share what is done for the whole fleet, this one included. */
-  listDutyVms(): string[] {
+  listCoordinators(): string[] {
     const live = this.listLive();
     if (!this.#membership.hasHubs) return live;
     const hubs = new Set(this.#membership.pickLinkPeers().map(({ id }) => id));
@@ -216,7 +218,7 @@
   }
 
   /** Ids of the live VMs that could give orders, this one included. */
-  listOrderers(): string[] {
+  listOrderCandidates(): string[] {
     const { self } = this.#options;
     return this.listLive().filter((id) =>
       id === self.id || this.#orderers.has(id)
@@ -224,20 +226,20 @@
   }
 
   /** To be called some times a second: counts VMs, and looks at their list when it is time. */
-  tend(): void {
-    this.countVms();
-    this.#list.tend();
+  tick(): void {
+    this.updateVmCount();
+    this.#list.tick();
   }
 
   #applyList(listed: readonly VmRecord[]): void {
     this.#listed = listed.length;
     this.#membership.noteListed(listed);
     this.#hasList = true;
-    this.countVms();
+    this.updateVmCount();
   }
 
   /** VMs that are listed but do not answer may still spend of what all share. */
-  countVms(): void {
+  updateVmCount(): void {
     const live = this.#membership.hasHubs
       ? this.#hubs.liveVms
       : this.listLive().length;
@@ -253,16 +255,19 @@
   }
 
   #buildHeartbeat(link: Link, peer: LinkIdentity): Heartbeat | undefined {
-    const { configs, mayOrder } = this.#options;
+    const {
+      activeConfig,
+      mayOrder,
+    } = this.#options;
     const parts = this.#membership.hasHubs
-      ? this.#hubs.build(link, peer)
+      ? this.#hubs.buildFields(link, peer)
       : this.#buildMeshParts(link);
-    const news = this.#news.build(link);
+    const news = this.#news.buildFields(link);
     const isEmpty = parts === undefined && Object.keys(news).length === 0;
     if (isEmpty && !this.#leaving) return undefined;
     return {
       kind: "heartbeat",
-      configOffset: configs.version,
+      configOffset: activeConfig.version,
       controlOffset: -1,
       intervalMs: Math.round(this.#node.intervalMs),
       leaving: this.#leaving,
@@ -284,17 +289,25 @@
 
   /** What is told on a link of two VMs without hubs: own work, and notes since the last time. */
   #buildMeshParts(link: Link): Partial<Heartbeat> {
-    const { ledger, prompts, clock, listChanging } = this.#options;
-    const changing = listChanging();
-    const { updates: notes, cursor } = prompts.listUpdates(
+    const {
+      workTracker,
+      prefixIndex,
+      clock,
+      listChangingRole,
+    } = this.#options;
+    const changing = listChangingRole();
+    const {
+      updates,
+      cursor,
+    } = prefixIndex.listUpdates(
       this.#told.get(link) ?? 0,
     );
     this.#told.set(link, cursor);
     return {
-      work: ledger.listOwnRows(clock.readMonotonicMs())
+      work: workTracker.listOwnRows(clock.readMonotonicMs())
         .map((row): [string, number, number, ...number[]] => [...row]),
-      ...(notes.length === 0 ? {} : {
-        prompts: notes.map((note): [string, string, number] => [...note]),
+      ...(updates.length === 0 ? {} : {
+        prompts: updates.map((note): [string, string, number] => [...note]),
       }),
       ...(changing.length === 0 ? {} : { changing: [0, [...changing]] }),
     };
@@ -305,36 +318,40 @@
     from: LinkIdentity,
     waitedMs: number,
   ): void {
-    if (this.#membership.hasHubs) this.#hubs.take(heartbeat, from, waitedMs);
+    if (this.#membership.hasHubs) this.#hubs.handle(heartbeat, from, waitedMs);
     else this.#takeMeshParts(heartbeat, from);
-    this.#news.take(heartbeat, waitedMs);
+    this.#news.handle(heartbeat, waitedMs);
     if (heartbeat.mayOrder) this.#orderers.add(from.id);
     else this.#orderers.delete(from.id);
     if (heartbeat.listAgeMs !== undefined) {
-      const { clock, onListRead } = this.#options;
-      onListRead(clock.readMonotonicMs() - heartbeat.listAgeMs - waitedMs);
+      const { clock, onPeerListRead } = this.#options;
+      onPeerListRead(clock.readMonotonicMs() - heartbeat.listAgeMs - waitedMs);
     }
     if (heartbeat.changing !== undefined) {
-      this.#options.onChanging(heartbeat.changing[1]);
+      this.#options.onChangingRole(heartbeat.changing[1]);
     }
-    this.#configs.noteVersion(from.id, heartbeat.configOffset);
+    this.#configs.handlePeerVersion(from.id, heartbeat.configOffset);
   }
 
   #takeMeshParts(heartbeat: Heartbeat, from: LinkIdentity): void {
-    const { ledger, prompts, clock } = this.#options;
+    const {
+      workTracker,
+      prefixIndex,
+      clock,
+    } = this.#options;
     const nowMs = clock.readMonotonicMs();
     if (heartbeat.prompts !== undefined) {
-      prompts.applyPeerUpdates(heartbeat.prompts, nowMs);
+      prefixIndex.applyPeerUpdates(heartbeat.prompts, nowMs);
     }
     if (heartbeat.work !== undefined) {
-      ledger.setPeerWork(from.id, heartbeat.work, nowMs);
+      workTracker.setPeerWork(from.id, heartbeat.work, nowMs);
     }
   }
 
   /** What was known before a standstill is older by the time that the clock did not count. */
   #noteStandstill({ lateMs, uncountedMs }: Standstill): void {
-    this.#hubs.noteUncounted(uncountedMs);
-    this.#options.onLate(lateMs);
+    this.#hubs.addUncountedMs(uncountedMs);
+    this.#options.onLoopStall(lateMs);
     this.#options.log.write("warn", "loopLate", {
       lateMs: Math.round(lateMs),
       uncountedMs: Math.round(uncountedMs),
--- a/packages/heatherarch-forward/fleet/hub_exchange.ts
+++ b/packages/heatherarch-forward/fleet/hub_exchange.ts
@@ -17,14 +17,17 @@
   WorkDigest,
 } from "heatherarch-mesh";
 import {
-  HubPeers,
-  NOTHING_COUNTED,
-  PEER_SILENCE_MS,
-  type PeerState,
-} from "./hub_peers.ts";
-import { HubList, type HubListOptions } from "./hub_list.ts";
-import { copyRows, HubSums } from "./hub_sums.ts";
-import { ListRelief } from "./list_relief.ts";
+  NO_HEARTBEAT,
+  PEER_TIMEOUT_MS,
+  type PeerSubscription,
+  PeerSubscriptions,
+} from "./peer_subscriptions.ts";
+import {
+  TargetListRelay,
+  type TargetListRelayOptions,
+} from "./target_list_relay.ts";
+import { copyRows, DigestCache } from "./digest_cache.ts";
+import { ListFallback } from "./list_fallback.ts";
 import type {
   PrefixIndex,
   PrefixUpdate,
@@ -38,21 +41,21 @@
 } from "../state/work_tracker.ts";
 
 /** Options of {@linkcode HubExchange}. */
-export interface HubExchangeOptions extends HubListOptions {
+export interface HubExchangeOptions extends TargetListRelayOptions {
   readonly self: LinkIdentity;
   readonly membership: Membership;
-  readonly ledger: WorkTracker;
-  readonly prompts: PrefixIndex;
+  readonly workTracker: WorkTracker;
+  readonly prefixIndex: PrefixIndex;
   /** Engines that change their role by an order of this VM. */
-  readonly listChanging: () => readonly string[];
+  readonly listChangingRole: () => readonly string[];
   /** The source says that it can't read the list of targets. */
-  readonly onListLost: (source: string) => void;
+  readonly onListStale: (source: string) => void;
   /** A VM gets its sums from another hub now. */
-  readonly onSource: (source: string | undefined) => void;
+  readonly onSourceChange: (source: string | undefined) => void;
 }
 
 /** The parts of a heartbeat that this module fills. */
-export type HubParts = Pick<
+export type HubFields = Pick<
   Heartbeat,
   | "work"
   | "prompts"
@@ -81,10 +84,10 @@
   readonly #options: HubExchangeOptions;
   /** Notes on prompts told on each link so far. */
   readonly #told = new WeakMap<Link, number>();
-  readonly #peers = new HubPeers();
+  readonly #peers = new PeerSubscriptions();
   readonly #zones = new Map<string, ZoneSource>();
-  readonly #relief: ListRelief;
-  readonly #list: HubList;
+  readonly #relief: ListFallback;
+  readonly #list: TargetListRelay;
   readonly #sent = new Map<number, readonly WorkRow[]>();
   #beat = 0;
   #wasHub = false;
@@ -92,14 +95,14 @@
   #fleetVms = 1;
   /** Time for which the heartbeat that is being taken in may have waited, milliseconds. */
   #waitedMs = 0;
-  readonly #sums: HubSums;
+  readonly #sums: DigestCache;
 
   constructor(options: HubExchangeOptions) {
     this.#options = options;
-    this.#relief = new ListRelief(options);
-    this.#list = new HubList(options);
-    this.#sums = new HubSums({
-      ledger: options.ledger,
+    this.#relief = new ListFallback(options);
+    this.#list = new TargetListRelay(options);
+    this.#sums = new DigestCache({
+      workTracker: options.workTracker,
       countZoneVms: () => this.#countZoneVms(),
       countFleetVms: () => this.liveVms,
     });
@@ -119,52 +122,52 @@
   }
 
   /** Whether a hub tells this VM the list of targets, lately enough to rely on it. */
-  isFed(nowMs: number): boolean {
+  hasFreshFeed(nowMs: number): boolean {
     const { membership } = this.#options;
-    if (membership.isHub || this.#source?.hasList !== true) return false;
-    return this.#list.isCurrent(nowMs);
+    if (membership.isHub || this.#source?.hasFullList !== true) return false;
+    return this.#list.isFresh(nowMs);
   }
 
   /** Monotonic time for which a hub's word on the list of targets held. */
-  get listAtMs(): number {
-    return this.#list.atMs;
+  get feedValidAtMs(): number {
+    return this.#list.validAtMs;
   }
 
   /** The monotonic clock did not count so many milliseconds: a hub's word is as much older. */
-  noteUncounted(uncountedMs: number): void {
-    this.#list.noteUncounted(uncountedMs);
+  addUncountedMs(uncountedMs: number): void {
+    this.#list.addUncountedMs(uncountedMs);
   }
 
   /** To be called once before each round of heartbeats. */
   beginRound(): void {
     const nowMs = this.#nowMs;
     const { membership } = this.#options;
-    this.#sums.forget();
+    this.#sums.invalidate();
     this.#dropSilentPeers(nowMs);
     const { isHub } = membership;
     if (isHub !== this.#wasHub) this.#noteDuty(isHub);
-    if (isHub) this.#relief.tend(nowMs);
+    if (isHub) this.#relief.tick(nowMs);
     else this.#tendSource(nowMs);
     this.#beat++;
-    this.#sent.set(this.#beat, this.#options.ledger.listOwnRows(nowMs));
+    this.#sent.set(this.#beat, this.#options.workTracker.listOwnRows(nowMs));
     this.#sent.delete(this.#beat - MAX_SENT);
   }
 
   /** What a heartbeat tells one peer; undefined where it tells nothing. */
-  build(link: Link, peer: LinkIdentity): HubParts | undefined {
+  buildFields(link: Link, peer: LinkIdentity): HubFields | undefined {
     const parts = this.#buildParts(link, peer);
     if (parts === undefined) return undefined;
-    const { directory, listChanging } = this.#options;
+    const { directory, listChangingRole } = this.#options;
     // Two hubs that passed on to each other what they hear would never forget it.
     const changing = parts.digest?.scope === "fleet"
       ? directory.listChangingRole(this.#nowMs)
-      : listChanging();
+      : listChangingRole();
     return changing.length === 0
       ? parts
       : { ...parts, changing: [0, [...changing]] };
   }
 
-  #buildParts(link: Link, peer: LinkIdentity): HubParts | undefined {
+  #buildParts(link: Link, peer: LinkIdentity): HubFields | undefined {
     const { self, membership } = this.#options;
     const isNear = peer.availabilityZone === self.availabilityZone;
     if (!membership.isHub) {
@@ -187,8 +190,8 @@
   #buildRelief(
     link: Link,
     peer: LinkIdentity,
-    state: PeerState | undefined,
-  ): HubParts {
+    state: PeerSubscription | undefined,
+  ): HubFields {
     const asked = this.#relief.findSource(peer.id);
     const wanted = state?.listWanted;
     return {
@@ -204,13 +207,13 @@
   }
 
   /** Takes in what a peer told, which may have waited here for so many milliseconds. */
-  take(heartbeat: Heartbeat, from: LinkIdentity, waitedMs = 0): void {
+  handle(heartbeat: Heartbeat, from: LinkIdentity, waitedMs = 0): void {
     const nowMs = this.#nowMs;
     this.#waitedMs = waitedMs;
     const { self, membership } = this.#options;
     const isNear = from.availabilityZone === self.availabilityZone;
-    this.#sums.forget();
-    this.#peers.noteHeard(heartbeat, from, isNear, nowMs);
+    this.#sums.invalidate();
+    this.#peers.handleHeartbeat(heartbeat, from, isNear, nowMs);
     if (membership.isHub) this.#takeAsHub(heartbeat, from, isNear, nowMs);
     else if (this.#source?.id === from.id) {
       this.#takeFromSource(this.#source, heartbeat, nowMs);
@@ -223,15 +226,18 @@
     isNear: boolean,
     nowMs: number,
   ): void {
-    const { ledger, prompts } = this.#options;
+    const {
+      workTracker,
+      prefixIndex,
+    } = this.#options;
     const relief = this.#relief.findSource(from.id);
     if (relief !== undefined && heartbeat.targets !== undefined) {
-      relief.noteHeard(nowMs);
+      relief.recordHeartbeat(nowMs);
       // One that asks the hubs in turn would tell of each loss again and again.
-      this.#list.takeFeed(relief, heartbeat.targets, nowMs - this.#waitedMs);
+      this.#list.handleFeed(relief, heartbeat.targets, nowMs - this.#waitedMs);
     }
     if (heartbeat.prompts !== undefined) {
-      prompts.applyPeerUpdates(
+      prefixIndex.applyPeerUpdates(
         heartbeat.prompts,
         nowMs,
         isNear ? "zone" : "fleet",
@@ -244,8 +250,8 @@
       return;
     }
     if (heartbeat.work === undefined) return;
-    ledger.setPeerWork(from.id, heartbeat.work, nowMs);
-    this.#peers.noteCounted(from.incarnation, heartbeat.beat);
+    workTracker.setPeerWork(from.id, heartbeat.work, nowMs);
+    this.#peers.setCounted(from.incarnation, heartbeat.beat);
   }
 
   /** The sum of another zone; of its hubs the one that covers more VMs is heard. */
@@ -258,7 +264,7 @@
       digest.vms > known.vms;
     if (!isBetter) return;
     this.#zones.set(zone, { peer: from.id, vms: digest.vms, atMs: nowMs });
-    this.#options.ledger.setPeerWork(
+    this.#options.workTracker.setPeerWork(
       nameZone(zone),
       digest.work,
       nowMs,
@@ -271,26 +277,29 @@
     heartbeat: Heartbeat,
     nowMs: number,
   ): void {
-    const { ledger, prompts } = this.#options;
-    source.noteHeard(nowMs);
+    const {
+      workTracker,
+      prefixIndex,
+    } = this.#options;
+    source.recordHeartbeat(nowMs);
     if (heartbeat.prompts !== undefined) {
-      prompts.applyPeerUpdates(heartbeat.prompts, nowMs);
+      prefixIndex.applyPeerUpdates(heartbeat.prompts, nowMs);
     }
     const { digest, targets } = heartbeat;
     if (digest !== undefined) {
       this.#fleetVms = digest.vms;
       const own = this.#sent.get(digest.counted) ?? [];
       const rows = subtractRows(digest.work, own);
-      ledger.setPeerWork(FLEET, rows, nowMs, "gathered");
+      workTracker.setPeerWork(FLEET, rows, nowMs, "gathered");
     }
     if (targets === undefined) return;
-    const wasLost = source.isListLost;
-    this.#list.takeFeed(source, targets, nowMs - this.#waitedMs);
-    if (source.isListLost && !wasLost) this.#options.onListLost(source.id);
+    const wasLost = source.isStale;
+    this.#list.handleFeed(source, targets, nowMs - this.#waitedMs);
+    if (source.isStale && !wasLost) this.#options.onListStale(source.id);
   }
 
   /** This VM's own work and notes, as every VM tells them. */
-  #buildOwn(link: Link): HubParts {
+  #buildOwn(link: Link): HubFields {
     return {
       beat: this.#beat,
       work: copyRows(this.#sent.get(this.#beat) ?? []),
@@ -299,38 +308,41 @@
   }
 
   /** The sum of this hub's zone, for a hub of another zone. */
-  #buildZone(link: Link, isServed: boolean): HubParts {
+  #buildZone(link: Link, isServed: boolean): HubFields {
     if (!isServed) return {};
     return {
       digest: {
         scope: "zone",
-        counted: NOTHING_COUNTED,
-        ...this.#sums.sumZone(this.#nowMs),
+        counted: NO_HEARTBEAT,
+        ...this.#sums.getZoneDigest(this.#nowMs),
       },
       ...this.#buildNotes(link, "zone"),
     };
   }
 
   /** The sum over the fleet and the list of targets, for a VM of this zone. */
-  #buildFleet(link: Link, peer: PeerState): HubParts {
+  #buildFleet(link: Link, peer: PeerSubscription): HubFields {
     const isWhole = peer.wants === "all";
     if (isWhole) peer.wants = "changes";
     return {
       digest: {
         scope: "fleet",
         counted: peer.counted,
-        ...this.#sums.sumFleet(this.#nowMs),
+        ...this.#sums.getFleetDigest(this.#nowMs),
       },
       targets: this.#list.buildFeed(link, this.#list.getAgeMs(), isWhole),
       ...this.#buildNotes(link, "fleet"),
     };
   }
 
-  #buildNotes(link: Link, scope: UpdateScope): Pick<HubParts, "prompts"> {
-    const { updates: notes, cursor } = this.#options.prompts
+  #buildNotes(link: Link, scope: UpdateScope): Pick<HubFields, "prompts"> {
+    const {
+      updates,
+      cursor,
+    } = this.#options.prefixIndex
       .listUpdates(this.#told.get(link) ?? 0, scope);
     this.#told.set(link, cursor);
-    return notes.length === 0 ? {} : { prompts: notes.map(copyNote) };
+    return updates.length === 0 ? {} : { prompts: updates.map(copyNote) };
   }
 
   /** Keeps the source while it tells, and takes the next hub when it does not. */
@@ -350,7 +362,7 @@
       (source !== undefined && hubs.includes(source.id)
         ? source.id
         : undefined);
-    if (id !== source?.id) this.#options.onSource(id);
+    if (id !== source?.id) this.#options.onSourceChange(id);
     this.#source = id === undefined
       ? undefined
       : new FeedSource({ id, sinceMs: nowMs });
@@ -358,23 +370,25 @@
 
   /** Sums that others keep for this VM are not mixed with those that it keeps itself. */
   #noteDuty(isHub: boolean): void {
-    const { ledger } = this.#options;
+    const {
+      workTracker,
+    } = this.#options;
     this.#wasHub = isHub;
     if (isHub) {
-      ledger.forgetPeer(FLEET);
+      workTracker.forgetPeer(FLEET);
       this.#source = undefined;
       return;
     }
-    ledger.forgetAllPeers();
+    workTracker.forgetAllPeers();
     this.#zones.clear();
-    this.#relief.end();
+    this.#relief.clear();
   }
 
   #dropSilentPeers(nowMs: number): void {
     const { membership } = this.#options;
     membership.noteServing(this.#peers.dropSilent(nowMs));
     for (const [zone, { atMs }] of this.#zones) {
-      if (nowMs - atMs > PEER_SILENCE_MS) this.#zones.delete(zone);
+      if (nowMs - atMs > PEER_TIMEOUT_MS) this.#zones.delete(zone);
     }
   }
 
--- a/packages/heatherarch-forward/fleet/list_relief.ts
+++ b/packages/heatherarch-forward/fleet/list_fallback.ts
@@ -11,8 +11,8 @@
 import type { LinkIdentity, Membership } from "heatherarch-mesh";
 import { FeedSource } from "./feed_source.ts";
 
-/** Options of {@linkcode ListRelief}. */
-export interface ListReliefOptions {
+/** Options of {@linkcode ListFallback}. */
+export interface ListFallbackOptions {
   readonly self: LinkIdentity;
   readonly membership: Membership;
   /** Age of what this VM itself has read of the list of targets, milliseconds. */
@@ -22,11 +22,11 @@
 }
 
 /** The choice of that hub. */
-export class ListRelief {
-  readonly #options: ListReliefOptions;
+export class ListFallback {
+  readonly #options: ListFallbackOptions;
   #source: FeedSource | undefined;
 
-  constructor(options: ListReliefOptions) {
+  constructor(options: ListFallbackOptions) {
     this.#options = options;
   }
 
@@ -36,11 +36,11 @@
   }
 
   /** Asks while it is needed, and asks the next hub where one can't tell or is silent. */
-  tend(nowMs: number): void {
+  tick(nowMs: number): void {
     const { getListAgeMs, maxListAgeMs } = this.#options;
-    if (getListAgeMs() <= maxListAgeMs) return this.end();
+    if (getListAgeMs() <= maxListAgeMs) return this.clear();
     const source = this.#source;
-    const isKept = source !== undefined && !source.isListLost &&
+    const isKept = source !== undefined && !source.isStale &&
       !source.isSilent(nowMs);
     if (isKept) return;
     const hubs = this.#listOtherHubs();
@@ -52,7 +52,7 @@
   }
 
   /** Asks nobody any more. */
-  end(): void {
+  clear(): void {
     this.#source = undefined;
   }
 
--- a/packages/heatherarch-forward/fleet/hub_peers.ts
+++ b/packages/heatherarch-forward/fleet/peer_subscriptions.ts
@@ -6,31 +6,31 @@
 import type { Heartbeat, LinkIdentity } from "heatherarch-mesh";
 
 /** What a peer has asked for, and which of its heartbeats is counted in. */
-export interface PeerState {
+export interface PeerSubscription {
   wants: "nothing" | "changes" | "all";
   /** What a hub that can't read the store wants of the list. */
   readonly listWanted: "changes" | "all" | undefined;
   counted: number;
   readonly heardAtMs: number;
   /** The peer is of this VM's zone. */
-  readonly isNear: boolean;
+  readonly isSameZone: boolean;
 }
 
 /** A peer that has asked for nothing for this long is served no more, milliseconds. */
-export const PEER_SILENCE_MS = 2000;
+export const PEER_TIMEOUT_MS = 2000;
 /** No heartbeat of a peer is counted in. */
-export const NOTHING_COUNTED = -1;
+export const NO_HEARTBEAT = -1;
 
 /** Peers by incarnation. */
-export class HubPeers {
-  readonly #peers = new Map<string, PeerState>();
+export class PeerSubscriptions {
+  readonly #peers = new Map<string, PeerSubscription>();
 
-  find(incarnation: string): PeerState | undefined {
+  find(incarnation: string): PeerSubscription | undefined {
     return this.#peers.get(incarnation);
   }
 
   /** Takes in what a heartbeat asks for. */
-  noteHeard(
+  handleHeartbeat(
     heartbeat: Heartbeat,
     from: LinkIdentity,
     isNear: boolean,
@@ -39,25 +39,25 @@
     this.#peers.set(from.incarnation, {
       wants: heartbeat.wants ?? "nothing",
       listWanted: heartbeat.listWanted,
-      counted: this.find(from.incarnation)?.counted ?? NOTHING_COUNTED,
+      counted: this.find(from.incarnation)?.counted ?? NO_HEARTBEAT,
       heardAtMs: nowMs,
-      isNear,
+      isSameZone: isNear,
     });
   }
 
   /** The work that a peer told with its heartbeat `beat` is counted in. */
-  noteCounted(incarnation: string, beat: number | undefined): void {
+  setCounted(incarnation: string, beat: number | undefined): void {
     const state = this.find(incarnation);
-    if (state !== undefined) state.counted = beat ?? NOTHING_COUNTED;
+    if (state !== undefined) state.counted = beat ?? NO_HEARTBEAT;
   }
 
   /** Drops peers that are silent; returns whether one of this zone takes this VM for its hub. */
   dropSilent(nowMs: number): boolean {
     let isServing = false;
     for (const [incarnation, peer] of this.#peers) {
-      if (nowMs - peer.heardAtMs > PEER_SILENCE_MS) {
+      if (nowMs - peer.heardAtMs > PEER_TIMEOUT_MS) {
         this.#peers.delete(incarnation);
-      } else if (peer.isNear && peer.wants !== "nothing") isServing = true;
+      } else if (peer.isSameZone && peer.wants !== "nothing") isServing = true;
     }
     return isServing;
   }
--- a/packages/heatherarch-forward/fleet/hub_list.ts
+++ b/packages/heatherarch-forward/fleet/target_list_relay.ts
@@ -12,8 +12,8 @@
 import type { FeedSource } from "./feed_source.ts";
 import { encodeFeed } from "./target_feed.ts";
 
-/** Options of {@linkcode HubList}. */
-export interface HubListOptions {
+/** Options of {@linkcode TargetListRelay}. */
+export interface TargetListRelayOptions {
   readonly directory: TargetDirectory;
   readonly clock: Clock;
   /** Age of what this VM itself has read of the list of targets, milliseconds. */
@@ -28,28 +28,28 @@
 }
 
 /** The list at one VM. */
-export class HubList {
-  readonly #options: HubListOptions;
+export class TargetListRelay {
+  readonly #options: TargetListRelayOptions;
   /** Cursors behind what was told on each link; none until it was given the whole list. */
   readonly #cursors = new WeakMap<Link, number>();
   #atMs = -Infinity;
 
-  constructor(options: HubListOptions) {
+  constructor(options: TargetListRelayOptions) {
     this.#options = options;
   }
 
   /** Monotonic time for which a hub's word on the list held. */
-  get atMs(): number {
+  get validAtMs(): number {
     return this.#atMs;
   }
 
   /** Whether a hub's word is young enough to rely on. */
-  isCurrent(nowMs: number): boolean {
+  isFresh(nowMs: number): boolean {
     return nowMs - this.#atMs <= this.#options.maxListAgeMs;
   }
 
   /** The monotonic clock did not count so many milliseconds: a hub's word is as much older. */
-  noteUncounted(uncountedMs: number): void {
+  addUncountedMs(uncountedMs: number): void {
     this.#atMs -= uncountedMs;
   }
 
@@ -60,11 +60,11 @@
   }
 
   /** Takes in the list as `source` told it at `toldAtMs`. */
-  takeFeed(source: FeedSource, feed: TargetFeed, toldAtMs: number): void {
+  handleFeed(source: FeedSource, feed: TargetFeed, toldAtMs: number): void {
     const { directory, applyTargets } = this.#options;
-    const news = source.take(feed, toldAtMs, directory.validAtMs);
+    const news = source.handleFeed(feed, toldAtMs, directory.validAtMs);
     if (news === undefined) return;
-    this.#atMs = news.atMs;
+    this.#atMs = news.validAtMs;
     if (news.isFull || news.entries.length > 0) {
       applyTargets(news.entries, news.isFull);
     }
--- a/packages/heatherarch-forward/fleet/vm_list_follower.ts
+++ b/packages/heatherarch-forward/fleet/vm_list_follower.ts
@@ -14,7 +14,7 @@
   readonly vms: WritableTopicPort<VmRecord>;
   readonly clock: Clock;
   /** Whether hubs tell this VM of the fleet: it has little use for the list then. */
-  readonly isFed: () => boolean;
+  readonly hasFreshFeed: () => boolean;
   readonly onList: (listed: readonly VmRecord[]) => void;
   readonly onFault: (error: unknown) => void;
 }
@@ -50,7 +50,7 @@
   }
 
   /** To be called some times a second: looks when it is time. */
-  tend(): void {
+  tick(): void {
     const restedMs = this.#options.clock.readMonotonicMs() - this.#lookedAtMs;
     // A VM that hubs tell no more looks soon, although it had put that off.
     if (restedMs >= this.#pickRestMs()) this.#endRest?.();
@@ -97,7 +97,7 @@
 
   #pickRestMs(): number {
     if (!this.#isAnnounced) return UNLISTED_LOOK_MS;
-    if (this.#options.isFed()) return FED_LOOK_MS;
+    if (this.#options.hasFreshFeed()) return FED_LOOK_MS;
     return EARLY_LOOKS_MS[this.#looks] ?? LOOK_MS;
   }
 }
--- a/packages/heatherarch-forward/forward_vm.ts
+++ b/packages/heatherarch-forward/forward_vm.ts
@@ -24,7 +24,7 @@
 import { type EventLog, formatAge, StdoutEventLog } from "./event_log.ts";
 import { Ingress } from "./tasks/ingress.ts";
 import type { Target } from "./model.ts";
-import { QuarantineKeeper } from "./tasks/quarantine_keeper.ts";
+import { QuarantinePersistence } from "./tasks/quarantine_persistence.ts";
 import { buildCallDependencies, SWEEP_INTERVAL_MS } from "./vm_dependencies.ts";
 import {
   buildMesh,
@@ -172,7 +172,7 @@
       clock: this.#clock,
       log: this.#log,
       countVms: () => this.#liveVms,
-      getListAgeMs: () => this.#parts.storeReader.getKnownAgeMs(),
+      getListAgeMs: () => this.#parts.storeReader.getEffectiveListAgeMs(),
       refreshTargetList: () => this.#parts.storeReader.refreshList(),
     });
     for (const [name, part] of Object.entries(serving)) {
@@ -216,7 +216,7 @@
       ),
       storeReader: asValue(buildStoreReader(wiring)),
       quarantinePersistence: asValue(
-        new QuarantineKeeper({
+        new QuarantinePersistence({
           topic: ports.directory.quarantine,
           quarantine: parts.quarantine,
           clock: parts.clock,
@@ -270,19 +270,19 @@
       parts.directory.listAll().filter((target) => target.role === "prefill");
     const timer = setInterval(() => {
       if (this.#stopping) return clearInterval(timer);
-      if (listReaders().length === 0 || !parts.mesh.hasList) return;
+      if (listReaders().length === 0 || !parts.mesh.hasVmList) return;
       clearInterval(timer);
       const survey = new CacheSurvey({
         vmId: this.#settings.vm.id,
         clock: parts.clock,
         codec: parts.codec,
-        prompts: parts.prefixIndex,
+        prefixIndex: parts.prefixIndex,
         connections: parts.connections,
         events: parts.log,
-        listReaders,
-        listLiveVms: () => parts.mesh.listDutyVms(),
+        listPrefillEngines: listReaders,
+        listParticipants: () => parts.mesh.listCoordinators(),
       });
-      void survey.run(() => parts.mesh.hasDuty);
+      void survey.run(() => parts.mesh.isCoordinator);
     }, SWEEP_INTERVAL_MS);
   }
 
@@ -314,22 +314,22 @@
     } = this.#parts;
     listGuard.recordTick();
     metrics.promptsWaiting.set(readQueue.size);
-    reading.share(mesh.hasToRead(), mesh.hasDuty);
-    mesh.tend();
-    metrics.listAge.set(reading.getKnownAgeMs() / 1000);
+    reading.setActive(mesh.mustReadStore(), mesh.isCoordinator);
+    mesh.tick();
+    metrics.listAge.set(reading.getEffectiveListAgeMs() / 1000);
     metrics.configAge.set(configs.getAgeMs(clock.readMonotonicMs()) / 1000);
     this.#sweepQuarantine();
-    reading.forgetDropped("otherIncarnation");
+    reading.purgeDroppedTargets("otherIncarnation");
     const gone = directory.dropExpired(this.#clock.readMonotonicMs());
     metrics.targets.set(directory.size);
-    reading.forgetDropped("grace");
+    reading.purgeDroppedTargets("grace");
     for (const id of gone) {
       this.#log.write("info", "targetGone", {
         target: id,
         reason: "not listed again after an outage of the store",
       });
     }
-    this.#noteChanging(roles.listChanging());
+    this.#noteChanging(roles.listChangingRole());
   }
 
   #sweepQuarantine(): void {
--- a/packages/heatherarch-forward/tasks/cache_survey.ts
+++ b/packages/heatherarch-forward/tasks/cache_survey.ts
@@ -9,20 +9,23 @@
  * @module
  */
 import { type Clock, pickRendezvous, sleep } from "heatherarch-core";
-import { askEngine, type InquiryMeans } from "./engine_inquiry.ts";
+import {
+  type EngineRequestContext,
+  sendEngineRequest,
+} from "./engine_request.ts";
 import type { Target } from "../model.ts";
 import type { CallCodec } from "../ports.ts";
 import type { PrefixIndex } from "../state/prefix_index.ts";
 
 /** Options of {@linkcode CacheSurvey}. */
-export interface CacheSurveyOptions extends InquiryMeans {
+export interface CacheSurveyOptions extends EngineRequestContext {
   readonly vmId: string;
   readonly clock: Clock;
   readonly codec: CallCodec;
-  readonly prompts: PrefixIndex;
-  readonly listReaders: () => readonly Target[];
+  readonly prefixIndex: PrefixIndex;
+  readonly listPrefillEngines: () => readonly Target[];
   /** Ids of the live VMs that take part in surveys, this one included. */
-  readonly listLiveVms: () => readonly string[];
+  readonly listParticipants: () => readonly string[];
 }
 
 /** Time for the first links to peers, which may know already, milliseconds. */
@@ -41,33 +44,39 @@
   }
 
   /** Asks the engines that no VM has surveyed, when this VM's turn comes, if it takes part. */
-  async run(hasDuty: () => boolean = () => true): Promise<void> {
+  async run(isCoordinator: () => boolean = () => true): Promise<void> {
     await sleep(SETTLE_MS);
-    if (!hasDuty()) return;
+    if (!isCoordinator()) return;
     await Promise.all(
-      this.#options.listReaders().map((engine) => this.#askInTurn(engine)),
+      this.#options.listPrefillEngines().map((engine) =>
+        this.#askInTurn(engine)
+      ),
     );
   }
 
   async #askInTurn(engine: Target): Promise<void> {
-    const { listLiveVms, vmId, prompts } = this.#options;
-    const order = pickRendezvous(engine.id, listLiveVms(), MAX_TURNS);
+    const {
+      listParticipants,
+      vmId,
+      prefixIndex,
+    } = this.#options;
+    const order = pickRendezvous(engine.id, listParticipants(), MAX_TURNS);
     const turn = order.indexOf(vmId);
     await sleep((turn < 0 ? MAX_TURNS : turn) * TURN_MS);
-    if (prompts.isSurveyed(engine.id)) return;
+    if (prefixIndex.isSurveyed(engine.id)) return;
     await this.#ask(engine);
   }
 
   async #ask(engine: Target): Promise<void> {
-    const { codec, prompts, events, clock } = this.#options;
+    const { codec, prefixIndex, events, clock } = this.#options;
     const request = codec.encodeCacheListRequest(engine);
-    const answer = await askEngine(this.#options, engine, request);
+    const answer = await sendEngineRequest(this.#options, engine, request);
     if (answer?.status !== HTTP_OK) return;
     const ids = codec.decodeCacheList(answer.body);
-    prompts.markSurveyed(engine.id);
+    prefixIndex.markSurveyed(engine.id);
     const nowMs = clock.readMonotonicMs();
     for (const id of ids ?? []) {
-      prompts.recordHolder(id, engine.id, "read", nowMs);
+      prefixIndex.recordHolder(id, engine.id, "read", nowMs);
     }
     events.write("info", "cacheSurveyed", {
       target: engine.id,
--- a/packages/heatherarch-forward/tasks/engine_inquiry.ts
+++ b/packages/heatherarch-forward/tasks/engine_request.ts
@@ -10,13 +10,13 @@
 import { ExchangeError } from "../calls/target_exchange.ts";
 
 /** What an inquiry needs. */
-export interface InquiryMeans {
+export interface EngineRequestContext {
   readonly connections: TargetConnections;
   readonly events: EventLog;
 }
 
 /** An engine's whole answer. */
-export interface EngineAnswer {
+export interface EngineResponse {
   readonly status: number;
   readonly body: Buffer;
 }
@@ -26,11 +26,11 @@
 const MAX_BODY_BYTES = 1024 * 1024;
 
 /** Asks an engine; undefined where there was no answer. */
-export async function askEngine(
-  means: InquiryMeans,
+export async function sendEngineRequest(
+  means: EngineRequestContext,
   target: Target,
   request: EncodedRequest,
-): Promise<EngineAnswer | undefined> {
+): Promise<EngineResponse | undefined> {
   const exchange = means.connections.send(target, request);
   const timer = setTimeout(
     () => exchange.abort("no answer of the engine"),
--- a/packages/heatherarch-forward/tasks/quarantine_keeper.ts
+++ b/packages/heatherarch-forward/tasks/quarantine_persistence.ts
@@ -13,8 +13,8 @@
 import type { EventLog } from "../event_log.ts";
 import type { QuarantineRecord, WritableTopicPort } from "../ports.ts";
 
-/** Options of {@linkcode QuarantineKeeper}. */
-export interface QuarantineKeeperOptions {
+/** Options of {@linkcode QuarantinePersistence}. */
+export interface QuarantinePersistenceOptions {
   readonly topic: WritableTopicPort<QuarantineRecord>;
   readonly quarantine: RequestQuarantine;
   readonly clock: Clock;
@@ -30,12 +30,12 @@
 const MAX_WRITES = 5;
 
 /** The task that loads and stores quarantined requests. */
-export class QuarantineKeeper {
-  readonly #options: QuarantineKeeperOptions;
+export class QuarantinePersistence {
+  readonly #options: QuarantinePersistenceOptions;
   #undoListener: (() => void) | undefined;
   #isStopped = false;
 
-  constructor(options: QuarantineKeeperOptions) {
+  constructor(options: QuarantinePersistenceOptions) {
     this.#options = options;
   }
 
--- a/packages/heatherarch-forward/tasks/role_keeper.ts
+++ b/packages/heatherarch-forward/tasks/role_controller.ts
@@ -20,7 +20,7 @@
 } from "heatherarch-lease";
 import { judgeSlice, type LogPort } from "heatherarch-log";
 import type { ActiveConfig } from "../state/active_config.ts";
-import { askEngine } from "./engine_inquiry.ts";
+import { sendEngineRequest } from "./engine_request.ts";
 import type { EventLog } from "../event_log.ts";
 import type { ForwardMetrics } from "../metrics.ts";
 import type { EngineReport, Target, TargetRole } from "../model.ts";
@@ -30,14 +30,14 @@
 import type { TargetDirectory } from "../state/target_directory.ts";
 import type { TargetHealth } from "../state/target_health.ts";
 
-/** Options of {@linkcode RoleKeeper}. */
-export interface RoleKeeperOptions {
+/** Options of {@linkcode RoleController}. */
+export interface RoleControllerOptions {
   readonly vmId: string;
   readonly incarnation: string;
   readonly log: LogPort;
   readonly leaseMs: number;
   readonly clock: Clock;
-  readonly configs: ActiveConfig;
+  readonly activeConfig: ActiveConfig;
   readonly directory: TargetDirectory;
   readonly connections: TargetConnections;
   readonly health: TargetHealth;
@@ -45,11 +45,11 @@
   readonly events: EventLog;
   readonly metrics: ForwardMetrics;
   /** Ids of the live VMs that could give orders, this one included. */
-  readonly listOrderers: () => readonly string[];
+  readonly listOrderCandidates: () => readonly string[];
   /** Whether the platform's list is being read without fault. */
   readonly isListCurrent: () => boolean;
   /** Whether this VM is one of those that usually give orders. */
-  readonly hasDuty?: () => boolean;
+  readonly isCoordinator?: () => boolean;
 }
 
 const CONTROL_STREAM = "control.roles";
@@ -87,8 +87,8 @@
 }
 
 /** The task that gives orders to engines. */
-export class RoleKeeper {
-  readonly #options: RoleKeeperOptions;
+export class RoleController {
+  readonly #options: RoleControllerOptions;
   /** Engines whose change has been ordered, with the role and the end of the wait for it. */
   readonly #pending = new Map<string, { role: TargetRole; untilMs: number }>();
   #state = EMPTY_CONTROL_STATE;
@@ -101,7 +101,7 @@
   /** Wall minus monotonic time when the campaign began. */
   #clockPartMs = 0;
 
-  constructor(options: RoleKeeperOptions) {
+  constructor(options: RoleControllerOptions) {
     this.#options = options;
   }
 
@@ -119,7 +119,7 @@
    * Engines that are changing their role by an order of this VM. A change ends in its time also
    * while the list can't be read: until it ends no VM gives them work.
    */
-  listChanging(): string[] {
+  listChangingRole(): string[] {
     const nowMs = this.#nowMs;
     return [...this.#pending]
       .filter(([, { untilMs }]) => nowMs <= untilMs)
@@ -133,8 +133,10 @@
       } catch (error) {
         this.#noteFault(error);
       }
-      const { hasDuty = () => true } = this.#options;
-      await sleep(hasDuty() ? LOOK_MS : IDLE_LOOK_MS);
+      const {
+        isCoordinator = () => true,
+      } = this.#options;
+      await sleep(isCoordinator() ? LOOK_MS : IDLE_LOOK_MS);
     }
   }
 
@@ -159,8 +161,13 @@
   }
 
   #plan(nowMs: number): RoleChange[] {
-    const { configs, directory, health, isListCurrent } = this.#options;
-    const { table } = configs;
+    const {
+      activeConfig,
+      directory,
+      health,
+      isListCurrent,
+    } = this.#options;
+    const { table } = activeConfig;
     if (table === undefined || !isListCurrent()) return [];
     const changes: RoleChange[] = [];
     let count = 0;
@@ -202,12 +209,13 @@
 
   /** Time to wait for the VMs whose turn comes first. */
   #computeTurnMs(): number {
-    const { vmId, listOrderers, hasDuty = () => true } = this.#options;
+    const { vmId, listOrderCandidates, isCoordinator = () => true } =
+      this.#options;
     const ownWeight = computeRendezvousWeight(CONTROL_STREAM, vmId);
-    const before = listOrderers().filter((id) =>
+    const before = listOrderCandidates().filter((id) =>
       computeRendezvousWeight(CONTROL_STREAM, id) > ownWeight
     );
-    return before.length * TURN_MS + (hasDuty() ? 0 : SPARE_TURN_MS);
+    return before.length * TURN_MS + (isCoordinator() ? 0 : SPARE_TURN_MS);
   }
 
   #begin(): Campaign {
@@ -269,7 +277,7 @@
   /** Gives one order; false where no further one may be given now. */
   async #order(campaign: Campaign, change: RoleChange): Promise<boolean> {
     const { target, role } = change;
-    const { codec, vmId, configs } = this.#options;
+    const { codec, vmId, activeConfig } = this.#options;
     const report = await this.#readReport(target);
     if (report === undefined || report.isChangingRole) return true;
     // The list is older than the engine's start: its count of orders is not this life's.
@@ -279,11 +287,11 @@
     const { fencing } = campaign.machine;
     const { ordersTaken } = report;
     const order = { target, role, holder: vmId, fencing, ordersTaken };
-    const traits = configs.table?.findService(target.service)?.engine;
+    const traits = activeConfig.table?.findService(target.service)?.engine;
     const untilMs = this.#nowMs + (traits?.roleChangeMs ?? 0) + REPORT_MS;
     this.#pending.set(target.id, { role, untilMs });
     const request = codec.encodeRoleOrder(order);
-    const answer = await askEngine(this.#options, target, request);
+    const answer = await sendEngineRequest(this.#options, target, request);
     // Without an answer it may have been accepted: the expected count makes a repetition harmless.
     this.#noteOrder(order, answer?.status ?? "unanswered");
     if (answer?.status !== HTTP_FENCED) return true;
@@ -295,7 +303,7 @@
 
   async #readReport(target: Target): Promise<EngineReport | undefined> {
     const { codec } = this.#options;
-    const answer = await askEngine(
+    const answer = await sendEngineRequest(
       this.#options,
       target,
       codec.encodeReportRequest(target),
--- a/packages/heatherarch-forward/tasks/store_reading.ts
+++ b/packages/heatherarch-forward/tasks/store_reader.ts
@@ -21,41 +21,41 @@
 import type { CrashDetector } from "heatherarch-quarantine";
 import { TopicFollower } from "./topic_follower.ts";
 
-/** Options of {@linkcode StoreReading}. */
-export interface StoreReadingOptions {
+/** Options of {@linkcode StoreReader}. */
+export interface StoreReaderOptions {
   readonly configTopic: KeyedTopicPort<RoutingConfig>;
   readonly targetTopic: KeyedTopicPort<Target>;
-  readonly configReads: ConfigReadTiming;
+  readonly configReadTiming: ConfigReadTiming;
   /** Pause between reads of the list of targets, milliseconds. */
   readonly targetPollMs: number;
   /** Monotonic time for which a hub's word on the list held; -Infinity without one. */
-  readonly getToldAtMs: () => number;
+  readonly getFeedValidAtMs: () => number;
   /** Whether the process has stood still since a monotonic time. */
   readonly hasStoodStillSince: (atMs: number) => boolean;
   readonly clock: Clock;
   readonly log: EventLog;
   readonly metrics: ForwardMetrics;
-  readonly configs: ActiveConfig;
+  readonly activeConfig: ActiveConfig;
   readonly directory: TargetDirectory;
   readonly connections: TargetConnections;
-  readonly losses: CrashDetector;
-  readonly prompts: PrefixIndex;
+  readonly crashDetector: CrashDetector;
+  readonly prefixIndex: PrefixIndex;
   readonly health: TargetHealth;
-  readonly rests: TargetBackoffs;
-  readonly readModel: PrefillTimeModel;
-  readonly spread: EngineJitter;
+  readonly backoffs: TargetBackoffs;
+  readonly prefillTimeModel: PrefillTimeModel;
+  readonly engineJitter: EngineJitter;
 }
 
 /** Who said, or what showed, that a target leaves. */
 export type LeavingSource = "store" | "hub" | "otherIncarnation" | "grace";
 
 /** Follows the two topics of the store. */
-export class StoreReading {
-  readonly #options: StoreReadingOptions;
+export class StoreReader {
+  readonly #options: StoreReaderOptions;
   readonly #configs: TopicFollower<RoutingConfig>;
   readonly #targets: TopicFollower<Target>;
 
-  constructor(options: StoreReadingOptions) {
+  constructor(options: StoreReaderOptions) {
     this.#options = options;
     this.#configs = this.#buildConfigFollower();
     this.#targets = this.#buildTargetFollower();
@@ -82,9 +82,10 @@
   }
 
   /** Age of what this VM knows of the list, by its own reading or a hub's, milliseconds. */
-  getKnownAgeMs(): number {
+  getEffectiveListAgeMs(): number {
     const nowMs = this.#options.clock.readMonotonicMs();
-    return nowMs - Math.max(this.listReadAtMs, this.#options.getToldAtMs());
+    return nowMs -
+      Math.max(this.listReadAtMs, this.#options.getFeedValidAtMs());
   }
 
   /** Age of what this VM itself has read of the list of targets, milliseconds. */
@@ -92,13 +93,13 @@
     return this.#targets.getAgeMs(this.#options.clock.readMonotonicMs());
   }
 
-  /** Reads or rests; {@linkcode TopicFollower.setDuty} says what a VM without duty does. */
-  share(isActive: boolean, hasDuty: boolean): void {
+  /** Reads or rests; {@linkcode TopicFollower.setCoordinator} says what a VM without duty does. */
+  setActive(isActive: boolean, hasDuty: boolean): void {
     if (isActive !== this.#targets.isActive) {
       this.#options.log.write("info", "storeReading", { isActive });
     }
     for (const follower of [this.#configs, this.#targets]) {
-      follower.setDuty(hasDuty);
+      follower.setCoordinator(hasDuty);
       follower.setActive(isActive);
     }
   }
@@ -118,16 +119,16 @@
 
   /** Takes in what a hub tells of the list of targets. */
   applyTargets(entries: readonly KeyedEntry<Target>[], isFull: boolean): void {
-    const { directory, getToldAtMs } = this.#options;
-    directory.applyFeed(entries, isFull, getToldAtMs());
+    const { directory, getFeedValidAtMs } = this.#options;
+    directory.applyFeed(entries, isFull, getFeedValidAtMs());
     this.#noteTargets(entries, "hub");
   }
 
   /** A hub that this VM relied on can't read the store, which says nothing of the store. */
-  noteHubLost(hub: string): void {
+  logStaleHub(hub: string): void {
     this.#options.log.write("info", "hubListLost", {
       hub,
-      ageMs: Math.round(this.getKnownAgeMs()),
+      ageMs: Math.round(this.getEffectiveListAgeMs()),
     });
   }
 
@@ -156,12 +157,13 @@
     const { directory, log, hasStoodStillSince } = this.#options;
     if (hasStoodStillSince(askedAtMs) || !directory.recordReadFailure()) return;
     log.write("warn", "listNotRead", {
-      ageMs: Math.round(this.getKnownAgeMs()),
+      ageMs: Math.round(this.getEffectiveListAgeMs()),
     });
   }
 
   #buildConfigFollower(): TopicFollower<RoutingConfig> {
-    const { configTopic, configReads, clock, log, metrics } = this.#options;
+    const { configTopic, configReadTiming, clock, log, metrics } =
+      this.#options;
     const apply = (
       entries: readonly KeyedEntry<RoutingConfig>[],
       askedAtMs: number,
@@ -172,7 +174,7 @@
       port: configTopic,
       log,
       pollMs: 0,
-      ...configReads,
+      ...configReadTiming,
       onList: apply,
       onChanges: apply,
       onUnreadable: () => metrics.entriesUnreadable.inc(),
@@ -199,15 +201,17 @@
     entries: readonly KeyedEntry<RoutingConfig>[],
     askedAtMs: number,
   ): void {
-    const { configs } = this.#options;
+    const {
+      activeConfig,
+    } = this.#options;
     for (const { value } of entries) {
-      if (value !== undefined) configs.applyConfig(value, "store");
+      if (value !== undefined) activeConfig.applyConfig(value, "store");
     }
-    configs.recordStoreRead(askedAtMs);
+    activeConfig.recordStoreRead(askedAtMs);
   }
 
   /** Drops what was learned of targets that are gone, with a line for each. */
-  forgetDropped(source: LeavingSource): void {
+  purgeDroppedTargets(source: LeavingSource): void {
     const { directory, connections } = this.#options;
     const dropped = directory.takeDropped();
     if (dropped.length === 0) return;
@@ -221,12 +225,18 @@
   }
 
   #forget(target: string): void {
-    const { prompts, health, rests, readModel, spread } = this.#options;
-    rests.forget(target);
-    prompts.forgetTarget(target);
+    const {
+      prefixIndex,
+      health,
+      backoffs,
+      prefillTimeModel,
+      engineJitter,
+    } = this.#options;
+    backoffs.forget(target);
+    prefixIndex.forgetTarget(target);
     health.forget(target);
-    readModel.forget(target);
-    spread.forget(target);
+    prefillTimeModel.forget(target);
+    engineJitter.forget(target);
   }
 
   /** A line for each target that leaves, or that is used although it is listed no more. */
@@ -234,9 +244,9 @@
     entries: readonly KeyedEntry<Target>[],
     source: LeavingSource,
   ): void {
-    const { directory, losses, metrics } = this.#options;
+    const { directory, crashDetector: crashes, metrics } = this.#options;
     for (const { key, value } of entries) {
-      if (value !== undefined) losses.recordListing(value.id, value.address);
+      if (value !== undefined) crashes.recordListing(value.id, value.address);
       if (value?.leaving) this.#logLeaving("targetLeaving", value.id, source);
       if (value === undefined && directory.isMissing(key)) {
         metrics.targetsKept.inc();
@@ -244,7 +254,7 @@
       }
     }
     metrics.targets.set(directory.size);
-    this.forgetDropped(source);
+    this.purgeDroppedTargets(source);
   }
 
   #logLeaving(
@@ -256,7 +266,7 @@
       target,
       source,
       // Of what was known before this word.
-      ageMs: Math.round(this.getKnownAgeMs()),
+      ageMs: Math.round(this.getEffectiveListAgeMs()),
     });
   }
 }
--- a/packages/heatherarch-forward/tasks/topic_follower.ts
+++ b/packages/heatherarch-forward/tasks/topic_follower.ts
@@ -123,7 +123,7 @@
   }
 
   /** A VM without duty is patient after a failed read, as many of them try at once. */
-  setDuty(hasDuty: boolean): void {
+  setCoordinator(hasDuty: boolean): void {
     this.#hasDuty = hasDuty;
   }
 
--- a/packages/heatherarch-forward/tests/unit/cache_survey_test.ts
+++ b/packages/heatherarch-forward/tests/unit/cache_survey_test.ts
@@ -48,11 +48,11 @@
     vmId: "vm-a",
     clock: new RuntimeClock(),
     codec,
-    prompts,
+    prefixIndex: prompts,
     connections,
     events: new MemoryEventLog(),
-    listReaders: () => [buildEngine("e1", { address })],
-    listLiveVms: () => ["vm-a"],
+    listPrefillEngines: () => [buildEngine("e1", { address })],
+    listParticipants: () => ["vm-a"],
   });
 }
 
--- a/packages/heatherarch-forward/tests/unit/config_exchange_test.ts
+++ b/packages/heatherarch-forward/tests/unit/config_exchange_test.ts
@@ -51,11 +51,11 @@
   };
   const exchange = new ConfigExchange({
     node: { call, registerCall: () => () => undefined },
-    configs,
+    activeConfig: configs,
     log: new MemoryEventLog(),
-    hasToRead: () => hasToRead,
+    mustReadStore: () => hasToRead,
     loadConfig: () => Promise.reject(new Error("status 503")),
-    configReads: READS,
+    configReadTiming: READS,
   });
   return { exchange, configs, asked };
 }
@@ -67,8 +67,8 @@
 // A peer that fell silent kept a VM from asking the others that had the change as well.
 test("a change comes from another peer where the first one is silent", async () => {
   const { exchange, configs, asked } = createExchange({ a: "silent", b: 2 });
-  exchange.noteVersion("a", 2);
-  exchange.noteVersion("b", 2);
+  exchange.handlePeerVersion("a", 2);
+  exchange.handlePeerVersion("b", 2);
   await sleepMs(BOUND_MS);
   assert.equal(configs.version, 2);
   assert.deepEqual(asked.map(({ peer }) => peer), ["a", "b"]);
@@ -76,7 +76,7 @@
 
 test("a VM that reads the store asks a peer only after the store had time", async () => {
   const { exchange, configs, asked } = createExchange({ a: 2 }, true);
-  exchange.noteVersion("a", 2);
+  exchange.handlePeerVersion("a", 2);
   configs.applyConfig(buildConfig({ version: 2 }), "store");
   await sleepMs(BOUND_MS);
   assert.deepEqual(asked, []);
@@ -84,7 +84,7 @@
 
 test("a large configuration comes from a peer where the store has not given it", async () => {
   const { exchange, configs, asked } = createExchange({ a: "large" });
-  exchange.noteVersion("a", 2);
+  exchange.handlePeerVersion("a", 2);
   await sleepMs(BOUND_MS);
   assert.equal(configs.version, 2);
   assert.deepEqual(asked.map(({ isOnlyWay }) => isOnlyWay), [false, true]);
@@ -93,7 +93,7 @@
 test("a peer that told a newer version and gives an older one changes nothing", async () => {
   const { exchange, configs } = createExchange({ a: 3 });
   configs.applyConfig(buildConfig({ version: 5 }), "store");
-  exchange.noteVersion("a", 7);
+  exchange.handlePeerVersion("a", 7);
   await sleepMs(BOUND_MS);
   assert.equal(configs.version, 5);
 });
@@ -101,8 +101,8 @@
 // A peer of another release may answer in a form that this one does not know.
 test("what is no configuration is not taken from a peer", async () => {
   const { exchange, configs } = createExchange({ a: "unreadable", b: 2 });
-  exchange.noteVersion("a", 2);
-  exchange.noteVersion("b", 2);
+  exchange.handlePeerVersion("a", 2);
+  exchange.handlePeerVersion("b", 2);
   await sleepMs(BOUND_MS);
   assert.equal(configs.version, 2);
 });
--- a/packages/heatherarch-forward/tests/unit/feed_source_test.ts
+++ b/packages/heatherarch-forward/tests/unit/feed_source_test.ts
@@ -12,9 +12,9 @@
   const directory = new TargetDirectory();
   const source = new FeedSource({ id: "hub", sinceMs: 0 });
   const hear = (feed: TargetFeed, nowMs: number): void => {
-    const news = source.take(feed, nowMs, directory.validAtMs);
+    const news = source.handleFeed(feed, nowMs, directory.validAtMs);
     if (news === undefined) return;
-    directory.applyFeed(news.entries, news.isFull, news.atMs);
+    directory.applyFeed(news.entries, news.isFull, news.validAtMs);
   };
   const whole = { isFull: true, entries: [PRESENT], cursor: 0 };
   hear(encodeFeed(0, whole), 500);
--- a/packages/heatherarch-forward/tests/unit/hub_exchange_test.ts
+++ b/packages/heatherarch-forward/tests/unit/hub_exchange_test.ts
@@ -10,7 +10,7 @@
 } from "heatherarch-mesh";
 import {
   HubExchange,
-  type HubParts,
+  type HubFields,
   PrefixIndex,
   TargetDirectory,
   WorkTracker,
@@ -27,8 +27,8 @@
 interface TestVm {
   readonly identity: LinkIdentity;
   readonly membership: Membership;
-  readonly ledger: WorkTracker;
-  readonly prompts: PrefixIndex;
+  readonly workTracker: WorkTracker;
+  readonly prefixIndex: PrefixIndex;
   readonly directory: TargetDirectory;
   readonly exchange: HubExchange;
   /** Marks engines that are changing, as a VM does on hearing of them. */
@@ -88,12 +88,15 @@
     for (const peer of this.#listLinked(vm)) {
       // A link that carries nothing else answers to its pings.
       peer.membership.noteHeard(vm.identity, this.nowMs);
-      const parts = vm.exchange.build(this.#link(vm, peer), peer.identity);
+      const parts = vm.exchange.buildFields(
+        this.#link(vm, peer),
+        peer.identity,
+      );
       if (parts === undefined) continue;
       const heartbeat = buildHeartbeat(parts);
       deliveries.push(() => {
         peer.membership.noteProgress(vm.identity.id, heartbeat);
-        peer.exchange.take(heartbeat, vm.identity);
+        peer.exchange.handle(heartbeat, vm.identity);
         peer.mark(heartbeat.changing?.[1] ?? []);
       });
     }
@@ -126,8 +129,8 @@
     });
     membership.noteListed(all);
     const parts = {
-      ledger: new WorkTracker(),
-      prompts: new PrefixIndex(),
+      workTracker: new WorkTracker(),
+      prefixIndex: new PrefixIndex(),
       directory: new TargetDirectory(),
     };
     const vm: TestVm = {
@@ -147,20 +150,20 @@
         membership,
         ...parts,
         clock,
-        listChanging: () => vm.ordered,
+        listChangingRole: () => vm.ordered,
         getListAgeMs: () => vm.listAgeMs,
         maxListAgeMs: 1500,
         applyTargets: (entries, isFull) =>
           parts.directory.applyFeed(entries, isFull, this.nowMs),
-        onListLost: () => undefined,
-        onSource: () => undefined,
+        onListStale: () => undefined,
+        onSourceChange: () => undefined,
       }),
     };
     return vm;
   }
 }
 
-function buildHeartbeat(parts: HubParts): Heartbeat {
+function buildHeartbeat(parts: HubFields): Heartbeat {
   const heartbeat = parseMeshMessage({
     kind: "heartbeat",
     configOffset: 1,
@@ -176,9 +179,9 @@
 test("every VM sees the work of all others, and its own once", () => {
   const fleet = new TestFleet(["a", "b", "c"], 6);
   fleet.run(WARM_UP_ROUNDS);
-  for (const vm of fleet.vms.values()) vm.ledger.beginRun("e1", 100);
+  for (const vm of fleet.vms.values()) vm.workTracker.beginRun("e1", 100);
   fleet.run(6);
-  for (const { identity, ledger } of fleet.vms.values()) {
+  for (const { identity, workTracker: ledger } of fleet.vms.values()) {
     assert.deepEqual(
       ledger.getRunLoad("e1", fleet.nowMs),
       { runs: 18, kvTokens: 1800 },
@@ -190,12 +193,15 @@
 test("work that ended is forgotten everywhere", () => {
   const fleet = new TestFleet(["a", "b"], 6);
   fleet.run(WARM_UP_ROUNDS);
-  const end = fleet.get("a-5").ledger.beginRun("e1", 100);
+  const end = fleet.get("a-5").workTracker.beginRun("e1", 100);
   fleet.run(6);
-  assert.equal(fleet.get("b-5").ledger.getRunLoad("e1", fleet.nowMs).runs, 1);
+  assert.equal(
+    fleet.get("b-5").workTracker.getRunLoad("e1", fleet.nowMs).runs,
+    1,
+  );
   end();
   fleet.run(6);
-  for (const { ledger } of fleet.vms.values()) {
+  for (const { workTracker: ledger } of fleet.vms.values()) {
     assert.equal(ledger.getRunLoad("e1", fleet.nowMs).runs, 0);
   }
 });
@@ -211,9 +217,9 @@
 test("a note of a prompt reaches every VM once it was made by one", () => {
   const fleet = new TestFleet(["a", "b", "c"], 6);
   fleet.run(WARM_UP_ROUNDS);
-  fleet.get("a-5").prompts.recordHolder("k1", "e1", "read", fleet.nowMs);
+  fleet.get("a-5").prefixIndex.recordHolder("k1", "e1", "read", fleet.nowMs);
   fleet.run(4);
-  for (const { prompts, identity } of fleet.vms.values()) {
+  for (const { prefixIndex: prompts, identity } of fleet.vms.values()) {
     const [holder] = prompts.listHolders("k1");
     assert.equal(holder?.target, "e1", identity.id);
   }
@@ -232,7 +238,7 @@
   }
   fleet.run(WARM_UP_ROUNDS);
   const member = fleet.get("a-5");
-  assert.equal(member.exchange.isFed(fleet.nowMs), true);
+  assert.equal(member.exchange.hasFreshFeed(fleet.nowMs), true);
   assert.deepEqual(member.directory.findTarget("e1"), buildEngine("e1"));
   for (const i of [0, 1]) {
     fleet.get(`a-${i}`).directory.applyChanges([
@@ -250,13 +256,13 @@
   const fleet = new TestFleet(["a"], 6);
   fleet.run(WARM_UP_ROUNDS);
   const member = fleet.get("a-5");
-  assert.equal(member.exchange.isFed(fleet.nowMs), true);
+  assert.equal(member.exchange.hasFreshFeed(fleet.nowMs), true);
   for (const i of [0, 1]) fleet.get(`a-${i}`).listAgeMs = Infinity;
   fleet.run(20);
-  assert.equal(member.exchange.isFed(fleet.nowMs), false);
+  assert.equal(member.exchange.hasFreshFeed(fleet.nowMs), false);
   for (const i of [0, 1]) fleet.get(`a-${i}`).listAgeMs = 50;
   fleet.run(3);
-  assert.equal(member.exchange.isFed(fleet.nowMs), true);
+  assert.equal(member.exchange.hasFreshFeed(fleet.nowMs), true);
 });
 
 /** Two zones, all hubs of which list the same two targets. */
@@ -295,7 +301,7 @@
     for (let i = 0; i < 30; i++) {
       fleet.run(1);
       for (const { exchange, membership, identity } of fleet.vms.values()) {
-        const isTold = membership.isHub || exchange.isFed(fleet.nowMs);
+        const isTold = membership.isHub || exchange.hasFreshFeed(fleet.nowMs);
         assert.equal(isTold, true, `${identity.id} after ${lost}`);
       }
     }
@@ -324,25 +330,31 @@
   }
   fleet.run(30);
   for (const { exchange } of fleet.vms.values()) {
-    assert.equal(exchange.isFed(fleet.nowMs), false);
+    assert.equal(exchange.hasFreshFeed(fleet.nowMs), false);
   }
 });
 
 test("when hubs die the other ones take over, and the sums are whole again", () => {
   const fleet = new TestFleet(["a", "b"], 8);
   fleet.run(WARM_UP_ROUNDS);
-  for (const vm of fleet.vms.values()) vm.ledger.beginRun("e1", 1);
+  for (const vm of fleet.vms.values()) vm.workTracker.beginRun("e1", 1);
   fleet.kill("a-0");
   fleet.run(8);
-  assert.equal(fleet.get("a-5").exchange.isFed(fleet.nowMs), true);
+  assert.equal(fleet.get("a-5").exchange.hasFreshFeed(fleet.nowMs), true);
   fleet.kill("a-1");
   fleet.run(40);
-  for (const { identity, ledger, exchange } of fleet.vms.values()) {
+  for (
+    const { identity, workTracker: ledger, exchange } of fleet.vms.values()
+  ) {
     if (identity.id === "a-0" || identity.id === "a-1") continue;
     const { runs } = ledger.getRunLoad("e1", fleet.nowMs);
     assert.equal(runs, 14, identity.id);
     const isHub = fleet.get(identity.id).membership.isHub;
-    assert.equal(isHub || exchange.isFed(fleet.nowMs), true, identity.id);
+    assert.equal(
+      isHub || exchange.hasFreshFeed(fleet.nowMs),
+      true,
+      identity.id,
+    );
   }
 });
 
@@ -380,16 +392,16 @@
     for (const id of ["a-0", "a-1"]) fleet.kill(id);
     fleet.nowMs += 2500;
     for (const id of ["a-0", "a-1"]) {
-      exchange.take(buildWord(50), fleet.get(id).identity, waitedMs);
+      exchange.handle(buildWord(50), fleet.get(id).identity, waitedMs);
     }
-    assert.equal(exchange.isFed(fleet.nowMs), waitedMs === 0);
+    assert.equal(exchange.hasFreshFeed(fleet.nowMs), waitedMs === 0);
   }
 });
 
 test("time that the clock did not count makes a hub's word older", () => {
   const fleet = createListed();
   const { exchange } = fleet.get("a-5");
-  assert.equal(exchange.isFed(fleet.nowMs), true);
-  exchange.noteUncounted(2500);
-  assert.equal(exchange.isFed(fleet.nowMs), false);
+  assert.equal(exchange.hasFreshFeed(fleet.nowMs), true);
+  exchange.addUncountedMs(2500);
+  assert.equal(exchange.hasFreshFeed(fleet.nowMs), false);
 });
--- a/packages/heatherarch-forward/tests/unit/quarantine_keeper_test.ts
+++ b/packages/heatherarch-forward/tests/unit/quarantine_persistence_test.ts
@@ -2,7 +2,7 @@
 import { mock, test } from "node:test";
 import { ManualClock } from "heatherarch-core";
 import { RequestQuarantine } from "heatherarch-quarantine";
-import { QuarantineKeeper } from "../../mod.ts";
+import { QuarantinePersistence } from "../../mod.ts";
 
 /** Reads that fail before the store is back. */
 const FAILED_READS = 8;
@@ -21,7 +21,7 @@
     },
   );
   let reads = 0;
-  const keeper = new QuarantineKeeper({
+  const keeper = new QuarantinePersistence({
     topic: {
       load: () =>
         reads++ < FAILED_READS
--- a/packages/heatherarch-forward/tests/unit/role_keeper_test.ts
+++ b/packages/heatherarch-forward/tests/unit/role_controller_test.ts
@@ -9,7 +9,7 @@
   type EncodedRequest,
   ForwardMetrics,
   MemoryEventLog,
-  RoleKeeper,
+  RoleController,
   TargetConnections,
   TargetDirectory,
   TargetHealth,
@@ -18,7 +18,7 @@
 
 let server: Server | undefined;
 let connections: TargetConnections | undefined;
-let keeper: RoleKeeper | undefined;
+let keeper: RoleController | undefined;
 
 afterEach(async () => {
   await keeper?.stop();
@@ -120,7 +120,7 @@
     codec: CallCodec;
     isListCurrent?: () => boolean;
   },
-): { keeper: RoleKeeper; events: MemoryEventLog } {
+): { keeper: RoleController; events: MemoryEventLog } {
   const directory = new TargetDirectory();
   directory.applyList(
     ["e1", "e2", "e3", "e4"].map((id) => ({
@@ -138,20 +138,20 @@
   );
   connections = new TargetConnections();
   const events = new MemoryEventLog();
-  const created = new RoleKeeper({
+  const created = new RoleController({
     vmId: "vm-a",
     incarnation: "vm-a-1",
     log: buildLog(),
     leaseMs: 600,
     clock,
-    configs,
+    activeConfig: configs,
     directory,
     connections,
     health: new TargetHealth(),
     codec,
     events,
     metrics: new ForwardMetrics(),
-    listOrderers: () => ["vm-a"],
+    listOrderCandidates: () => ["vm-a"],
     isListCurrent,
   });
   return { keeper: created, events };
@@ -231,7 +231,7 @@
     await new Promise((resolve) => setTimeout(resolve, 20));
   }
   isReadable = false;
-  assert.equal(keeper.listChanging().length, 2);
+  assert.equal(keeper.listChangingRole().length, 2);
   clock.skip(TRAITS.roleChangeMs + MAX_LISTED_AFTER_MS);
-  assert.deepEqual(keeper.listChanging(), []);
+  assert.deepEqual(keeper.listChangingRole(), []);
 });
--- a/packages/heatherarch-forward/tests/unit/store_reading_test.ts
+++ b/packages/heatherarch-forward/tests/unit/store_reader_test.ts
@@ -6,8 +6,8 @@
   ForwardMetrics,
   type KeyedTopicPort,
   planConfigReads,
-  StoreReading,
-  type StoreReadingOptions,
+  StoreReader,
+  type StoreReaderOptions,
   TargetDirectory,
 } from "../../mod.ts";
 
@@ -23,21 +23,21 @@
 }
 
 /** A VM whose reads all fail at once; only what such a VM uses is built. */
-function createRefused(): StoreReading {
-  const options: Partial<StoreReadingOptions> = {
+function createRefused(): StoreReader {
+  const options: Partial<StoreReaderOptions> = {
     configTopic: refuseReads(),
     targetTopic: refuseReads(),
-    configReads: READS,
+    configReadTiming: READS,
     targetPollMs: 700,
-    getToldAtMs: () => -Infinity,
+    getFeedValidAtMs: () => -Infinity,
     hasStoodStillSince: () => true,
     clock: new ManualClock(),
     log: { write: () => undefined },
     metrics: new ForwardMetrics(),
-    configs: new ActiveConfig(),
+    activeConfig: new ActiveConfig(),
     directory: new TargetDirectory(),
   };
-  return new StoreReading(options as StoreReadingOptions);
+  return new StoreReader(options as StoreReaderOptions);
 }
 
 // A VM that became a hub went on with the long pauses of one that need not read.
@@ -50,8 +50,8 @@
   );
   try {
     const reading = createRefused();
-    reading.share(true, false);
-    reading.share(true, true);
+    reading.setActive(true, false);
+    reading.setActive(true, true);
     reading.start();
     await new Promise((resolve) => setImmediate(resolve));
     assert.deepEqual(pauses, [READS.retryMs, READS.retryMs]);
--- a/packages/heatherarch-forward/tests/unit/vm_list_follower_test.ts
+++ b/packages/heatherarch-forward/tests/unit/vm_list_follower_test.ts
@@ -22,7 +22,7 @@
   const follower = new VmListFollower({
     self: SELF,
     clock,
-    isFed: () => false,
+    hasFreshFeed: () => false,
     vms: {
       put: () => {
         const nowMs = clock.readMonotonicMs();
@@ -42,7 +42,7 @@
   while (clock.readMonotonicMs() - startMs < OUTAGE_MS + LISTED_MS) {
     await new Promise((resolve) => setImmediate(resolve));
     clock.advance(TICK_MS);
-    follower.tend();
+    follower.tick();
   }
   await new Promise((resolve) => setImmediate(resolve));
   follower.stop();
--- a/packages/heatherarch-forward/vm_tasks.ts
+++ b/packages/heatherarch-forward/vm_tasks.ts
@@ -9,10 +9,10 @@
 import type { CallCodec, DirectoryPorts } from "./ports.ts";
 import type { CallDependencies } from "./call_dependencies.ts";
 import type { Ingress } from "./tasks/ingress.ts";
-import type { QuarantineKeeper } from "./tasks/quarantine_keeper.ts";
-import { RoleKeeper } from "./tasks/role_keeper.ts";
+import type { QuarantinePersistence } from "./tasks/quarantine_persistence.ts";
+import { RoleController } from "./tasks/role_controller.ts";
 import type { StatusServer } from "./tasks/status_server.ts";
-import { StoreReading } from "./tasks/store_reading.ts";
+import { StoreReader } from "./tasks/store_reader.ts";
 import { planConfigReads } from "./scheduling/config_reads.ts";
 import { computeMaxListAgeMs } from "./vm_dependencies.ts";
 
@@ -28,11 +28,11 @@
 /** All parts of a VM: what calls share, and its tasks. */
 export interface VmComponents extends CallDependencies {
   readonly mesh: FleetMesh;
-  readonly roleController: RoleKeeper;
+  readonly roleController: RoleController;
   readonly ingress: Ingress;
   readonly statusServer: StatusServer;
-  readonly storeReader: StoreReading;
-  readonly quarantinePersistence: QuarantineKeeper;
+  readonly storeReader: StoreReader;
+  readonly quarantinePersistence: QuarantinePersistence;
 }
 
 /** What the tasks are built from. */
@@ -65,75 +65,75 @@
     vms: ports.directory.vms,
     clock: parts.clock,
     log: parts.log,
-    ledger: parts.workTracker,
-    prompts: parts.prefixIndex,
+    workTracker: parts.workTracker,
+    prefixIndex: parts.prefixIndex,
     quarantine: parts.quarantine,
-    configs: parts.activeConfig,
+    activeConfig: parts.activeConfig,
     directory: parts.directory,
     getListAgeMs: () => parts.storeReader.getListAgeMs(),
     maxListAgeMs: computeMaxListAgeMs(settings.store),
     applyTargets: (entries, isFull) =>
       parts.storeReader.applyTargets(entries, isFull),
-    onListLost: (source) => parts.storeReader.noteHubLost(source),
+    onListStale: (source) => parts.storeReader.logStaleHub(source),
     getListReadAtMs: () => parts.storeReader.listReadAtMs,
-    onListRead: (atMs) => parts.directory.recordPeerRead(atMs),
-    configReads: planConfigReads(settings.store),
+    onPeerListRead: (atMs) => parts.directory.recordPeerRead(atMs),
+    configReadTiming: planConfigReads(settings.store),
     loadConfig: () => parts.storeReader.loadConfig(),
     onLiveVms: wiring.onLiveVms,
-    onChanging: wiring.onChanging,
-    listChanging: () => getParts().roleController.listChanging(),
-    onLate: (lateMs) => parts.metrics.loopLate.observe(lateMs / 1000),
+    onChangingRole: wiring.onChanging,
+    listChangingRole: () => getParts().roleController.listChangingRole(),
+    onLoopStall: (lateMs) => parts.metrics.loopLate.observe(lateMs / 1000),
     mayOrder: () =>
-      getParts().storeReader.isListCurrent && getParts().mesh.hasDuty,
+      getParts().storeReader.isListCurrent && getParts().mesh.isCoordinator,
   });
 }
 
 /** Builds the task that gives orders to engines. */
-export function buildRoleController(wiring: VmTaskOptions): RoleKeeper {
+export function buildRoleController(wiring: VmTaskOptions): RoleController {
   const { settings, ports, incarnation, getComponents: getParts } = wiring;
   const parts = getParts();
-  return new RoleKeeper({
+  return new RoleController({
     vmId: settings.vm.id,
     incarnation,
     log: ports.log,
     leaseMs: settings.lease.durationMs,
     clock: parts.clock,
-    configs: parts.activeConfig,
+    activeConfig: parts.activeConfig,
     directory: parts.directory,
     health: parts.health,
     connections: parts.connections,
     codec: parts.codec,
     events: parts.log,
     metrics: parts.metrics,
-    listOrderers: () => getParts().mesh.listOrderers(),
+    listOrderCandidates: () => getParts().mesh.listOrderCandidates(),
     isListCurrent: () => getParts().storeReader.isListCurrent,
-    hasDuty: () => getParts().mesh.hasDuty,
+    isCoordinator: () => getParts().mesh.isCoordinator,
   });
 }
 
 /** Builds the task that reads the store. */
-export function buildStoreReader(wiring: VmTaskOptions): StoreReading {
+export function buildStoreReader(wiring: VmTaskOptions): StoreReader {
   const { settings: { store }, ports: { directory }, getComponents: getParts } =
     wiring;
   const parts = getParts();
-  return new StoreReading({
+  return new StoreReader({
     configTopic: directory.configs,
     targetTopic: directory.targets,
-    configReads: planConfigReads(store),
+    configReadTiming: planConfigReads(store),
     targetPollMs: store.targetPollMs,
-    getToldAtMs: () => getParts().mesh.listAtMs,
+    getFeedValidAtMs: () => getParts().mesh.feedValidAtMs,
     hasStoodStillSince: (atMs) => parts.targetListGuard.hasStalledSince(atMs),
     clock: parts.clock,
     log: parts.log,
     metrics: parts.metrics,
-    configs: parts.activeConfig,
+    activeConfig: parts.activeConfig,
     directory: parts.directory,
     connections: parts.connections,
-    losses: parts.crashDetector,
-    prompts: parts.prefixIndex,
+    crashDetector: parts.crashDetector,
+    prefixIndex: parts.prefixIndex,
     health: parts.health,
-    rests: parts.backoffs,
-    readModel: parts.prefillTimeModel,
-    spread: parts.engineJitter,
+    backoffs: parts.backoffs,
+    prefillTimeModel: parts.prefillTimeModel,
+    engineJitter: parts.engineJitter,
   });
 }
