--- a/packages/heatherarch-daemon/claim_service.ts
+++ b/packages/heatherarch-daemon/claim_service.ts
@@ -22,10 +22,10 @@
   type KeyState,
 } from "heatherarch-claims";
 import type {
-  ClaimAnswer,
   ClaimClient,
+  ClaimResult,
   HeldClaim,
-  KeptAnswer,
+  StoredResponse,
 } from "heatherarch-gateway";
 import type { LogPort } from "heatherarch-log";
 import type { Membership, MeshNode } from "heatherarch-mesh";
@@ -105,7 +105,7 @@
 
   async claim(
     request: { key: string; madeAtMs: number; fingerprint: string },
-  ): Promise<ClaimAnswer> {
+  ): Promise<ClaimResult> {
     const { vmId, incarnation } = this.#options;
     const claimId = createId("claim");
     return await this.#claimWithId({
@@ -116,7 +116,7 @@
   }
 
   /** Claims under an id that may have been used before: the fold grants it again. */
-  async #claimWithId(call: ClaimCall): Promise<ClaimAnswer> {
+  async #claimWithId(call: ClaimCall): Promise<ClaimResult> {
     const { clock, settings } = this.#options;
     const sentAtMs = clock.readMonotonicMs();
     const owner = this.#findOwner(call.key);
@@ -149,7 +149,7 @@
     verdict: ClaimVerdict,
     call: ClaimCall,
     isValid: () => boolean,
-  ): ClaimAnswer {
+  ): ClaimResult {
     switch (verdict.kind) {
       case "granted":
         return { kind: "granted", claim: this.#buildHeldClaim(call, isValid) };
@@ -167,7 +167,7 @@
     }
   }
 
-  #buildTakenAnswer(holder: KeyState): ClaimAnswer {
+  #buildTakenAnswer(holder: KeyState): ClaimResult {
     if (holder.outcome !== undefined) {
       return { kind: "answered", answer: holder.outcome };
     }
@@ -188,7 +188,7 @@
     const { claimId, key } = call;
     return {
       isValid,
-      conclude: (answer: KeptAnswer) =>
+      conclude: (answer: StoredResponse) =>
         void this.#concludeWithRetries({ claimId, key, answer }),
       renew: () => this.#claimWithId(call),
       release: () => void this.#concludeWithRetries({ claimId, key }),
@@ -296,6 +296,6 @@
   }
 }
 
-function buildRefusal(error: ServeError): ClaimAnswer {
+function buildRefusal(error: ServeError): ClaimResult {
   return { kind: "refused", error };
 }
--- a/packages/heatherarch-daemon/components.ts
+++ b/packages/heatherarch-daemon/components.ts
@@ -147,11 +147,15 @@
     isInService: (life) => table.isInService(getTargetId(life)),
     onLoss: (loss, probe) => logger.info("exchange lost", { ...loss, probe }),
     onCrash: (life, evidence, requests) => {
-      watch.noteEnded(life);
+      watch.endIncarnation(life);
       logger.warn("target ended", { target: life, evidence, requests });
     },
   });
-  const watch = new QuarantineWatch({ quarantine, losses, clock });
+  const watch = new QuarantineWatch({
+    quarantine,
+    crashDetector: losses,
+    clock,
+  });
   quarantine.registerChangeListener(({ kind, request, isOwn }) =>
     logger.warn(`request ${kind === "held" ? "quarantined" : "cleared"}`, {
       request,
--- a/packages/heatherarch-daemon/entry_vm.ts
+++ b/packages/heatherarch-daemon/entry_vm.ts
@@ -374,7 +374,7 @@
     const traffic = mesh.readTraffic();
     metrics.meshBytes.set({ direction: "sent" }, traffic.bytesSent);
     metrics.meshBytes.set({ direction: "received" }, traffic.bytesReceived);
-    gateway.sweep();
+    gateway.removeIdleAccounts();
   }
 
   /** A part that ends with an error takes the process down; the platform starts a new one. */
--- a/packages/heatherarch-daemon/gateway_builder.ts
+++ b/packages/heatherarch-daemon/gateway_builder.ts
@@ -41,15 +41,15 @@
     limits: settings.requests,
     claimLimits: settings.claims,
     targets: parts.table,
-    tracker: parts.tracker,
+    loadTracker: parts.tracker,
     model,
     demand: parts.demand,
     retries: new RetryBudget({ share: settings.requests.retryShare }),
-    lookups: new LookupReserve({
+    lookupReserve: new LookupReserve({
       share: settings.requests.lookupReserveShare,
     }),
     claims: parts.claims,
-    requests: parts.quarantineWatch,
+    requestWatch: parts.quarantineWatch,
     events: metrics,
     readRefusal,
     readFleet: () => parts.config.state.fleet,
--- a/packages/heatherarch-daemon/metrics.ts
+++ b/packages/heatherarch-daemon/metrics.ts
@@ -11,7 +11,7 @@
   Registry,
 } from "prom-client";
 import { registerViolationListener } from "heatherarch-core";
-import type { GatewayEvents, RequestEnd } from "heatherarch-gateway";
+import type { GatewayEvents, RequestResult } from "heatherarch-gateway";
 
 const LATENCY_BUCKETS_SECONDS = [
   0.005,
@@ -160,7 +160,7 @@
     );
   }
 
-  noteEnd(end: RequestEnd): void {
+  recordResult(end: RequestResult): void {
     const { service, profile, outcome } = end;
     this.requests.inc({ service, profile, outcome });
     this.duration.observe({ service }, end.durationMs / 1000);
@@ -170,20 +170,20 @@
     if (end.gapMs !== undefined) {
       this.tokenGap.observe({ profile }, end.gapMs / 1000);
     }
-    if (!end.inTime) return;
+    if (!end.isWithinDeadline) return;
     this.goodput.inc({ service, profile });
     this.goodputTokens.inc({ service }, end.outputTokens ?? 0);
   }
 
-  noteRetry(reason: string): void {
+  recordRetry(reason: string): void {
     this.retries.inc({ reason });
   }
 
-  noteContinuation(reason: string): void {
+  recordContinuation(reason: string): void {
     this.continuations.inc({ reason });
   }
 
-  noteHedge(): void {
+  recordHedge(): void {
     this.hedges.inc();
   }
 
--- a/packages/heatherarch-daemon/order_executor.ts
+++ b/packages/heatherarch-daemon/order_executor.ts
@@ -299,7 +299,7 @@
       control.hasAuthority() && control.machine.fencing === claimOffset;
     // The lease may have lapsed and been claimed again while the engine was read.
     if (!isUnderOwnClaim()) return LEASE_LAPSED;
-    const answer = await engine.giveOrder(intent.order, {
+    const answer = await engine.sendOrder(intent.order, {
       fencing: claimOffset,
       guard: isUnderOwnClaim,
       timeoutMs: ORDER_TIMEOUT_MS,
--- a/packages/heatherarch-daemon/target_table.ts
+++ b/packages/heatherarch-daemon/target_table.ts
@@ -4,7 +4,7 @@
  * @module
  */
 import { type Clock, ENGINE_ROLES, type EngineRole } from "heatherarch-core";
-import type { TargetReader } from "heatherarch-gateway";
+import type { TargetProvider } from "heatherarch-gateway";
 import type { ConfigState } from "heatherarch-log";
 import { LeavingSet, type ReportRow } from "heatherarch-mesh";
 import type { Candidate, LoadReport, LoadTracker } from "heatherarch-policy";
@@ -75,7 +75,7 @@
 }
 
 /** The targets of one process. */
-export class TargetTable implements TargetReader {
+export class TargetTable implements TargetProvider {
   readonly leaving = new LeavingSet();
   readonly #options: TargetTableOptions;
   readonly #engines = new Map<string, EnginePort>();
@@ -189,7 +189,7 @@
     return service;
   }
 
-  noteFailure(id: string): void {
+  recordFailure(id: string): void {
     const failures = (this.#ejections.get(id)?.failures ?? 0) + 1;
     const ms = Math.min(
       MAX_EJECTION_MS,
@@ -201,7 +201,7 @@
     });
   }
 
-  noteSuccess(id: string): void {
+  recordSuccess(id: string): void {
     this.#ejections.delete(id);
   }
 
--- a/packages/heatherarch-daemon/tests/unit/order_executor_test.ts
+++ b/packages/heatherarch-daemon/tests/unit/order_executor_test.ts
@@ -12,7 +12,7 @@
   EMPTY_CONTROL_STATE,
 } from "heatherarch-lease";
 import type { Fleet, ProcessSettings, Target } from "heatherarch-settings";
-import type { OrderAnswer } from "heatherarch-targets";
+import type { OrderResponse } from "heatherarch-targets";
 import { createLogger } from "../../logger.ts";
 import {
   OrderExecutor,
@@ -75,10 +75,10 @@
     return Promise.resolve(STATE);
   }
 
-  giveOrder(
+  sendOrder(
     _: unknown,
     { fencing, guard }: { fencing: number; guard: () => boolean },
-  ): Promise<OrderAnswer> {
+  ): Promise<OrderResponse> {
     if (!guard()) return Promise.resolve({ kind: "withheld" });
     this.orders.push(fencing);
     return Promise.resolve({ kind: "accepted" });
--- a/packages/heatherarch-gateway/account_directory.ts
+++ b/packages/heatherarch-gateway/account_directory.ts
@@ -25,12 +25,12 @@
 
 /** The accounts of the fleet configuration. */
 export class AccountDirectory {
-  #accountsOf: Fleet | null = null;
+  #indexedFleet: Fleet | null = null;
   #accountByToken = new Map<string, Account>();
 
   /** Finds the account. Throws {@linkcode ServeError} where none may be used. */
   find({ token, name }: Credentials, fleet: Fleet): Account {
-    this.#index(fleet);
+    this.#indexAccounts(fleet);
     if (token !== undefined) {
       const digest = createHash("sha256").update(token).digest("hex");
       const account = this.#accountByToken.get(digest);
@@ -48,9 +48,9 @@
     );
   }
 
-  #index(fleet: Fleet): void {
-    if (this.#accountsOf === fleet) return;
-    this.#accountsOf = fleet;
+  #indexAccounts(fleet: Fleet): void {
+    if (this.#indexedFleet === fleet) return;
+    this.#indexedFleet = fleet;
     this.#accountByToken = new Map();
     for (const account of fleet.accounts) {
       const { tokenSha256 } = account;
--- a/packages/heatherarch-gateway/client_error.ts
+++ b/packages/heatherarch-gateway/client_error.ts
@@ -7,7 +7,7 @@
 import { buildErrorBody, createId, ServeError } from "heatherarch-core";
 
 /** Answers what never became a request: broken or oversized heads, and slow ones. */
-export function answerClientError(
+export function handleClientError(
   error: Error & { code?: string },
   socket: Socket,
 ): void {
--- a/packages/heatherarch-gateway/gateway.ts
+++ b/packages/heatherarch-gateway/gateway.ts
@@ -26,23 +26,23 @@
   type Profile,
 } from "heatherarch-settings";
 import { AccountDirectory } from "./account_directory.ts";
-import { answerClientError } from "./client_error.ts";
+import { handleClientError } from "./client_error.ts";
 import type { GatewayHost } from "./gateway_host.ts";
 import { GenerationStore } from "./generation_store.ts";
 import { parseChatRequest, parseTextRequest } from "./openai_format.ts";
 import { callPlainService } from "./plain_call.ts";
 import { parseJsonBody, readRequestBody } from "./request_body.ts";
 import {
-  checkTokens,
+  computeMaxTokens,
   copyRequestHeaders,
   findModelService,
   isResumable,
   readCredentials,
   requireMethod,
   unwrap,
-} from "./request_facts.ts";
-import type { WatchedRequest } from "./request_watch.ts";
-import { answerGeneration, answerResume } from "./stream_answer.ts";
+} from "./request_params.ts";
+import type { AdmittedRequest } from "./request_watch.ts";
+import { handleGeneration, handleResume } from "./generation_response.ts";
 
 /** Certificate of the callers' port, in PEM. */
 export interface GatewayTls {
@@ -61,14 +61,14 @@
   readonly #store = new GenerationStore();
   readonly #server: Server;
   #inFlight = 0;
-  #idleWaiters = new Set<() => void>();
+  #drainCallbacks = new Set<() => void>();
 
   constructor(host: GatewayHost, options: { tls?: GatewayTls } = {}) {
     this.#host = host;
     this.#limits = new AccountLimits({ maxInFlight: host.limits.maxInFlight });
     const app = new Koa();
     app.silent = true;
-    app.use((ctx) => this.#handle(ctx));
+    app.use((ctx) => this.#handleRequest(ctx));
     const serverOptions = {
       maxHeaderSize: host.limits.maxHeaderBytes,
       headersTimeout: host.limits.headerTimeoutMs,
@@ -81,7 +81,7 @@
       : createTlsServer({ ...serverOptions, ...options.tls }, app.callback());
     this.#server.on(
       "clientError",
-      (error, socket) => answerClientError(error, socket as Socket),
+      (error, socket) => handleClientError(error, socket as Socket),
     );
   }
 
@@ -109,7 +109,7 @@
     if (this.#inFlight === 0) return true;
     return await new Promise((resolve) => {
       const timer = setTimeout(() => resolve(false), timeoutMs);
-      this.#idleWaiters.add(() => {
+      this.#drainCallbacks.add(() => {
         clearTimeout(timer);
         resolve(true);
       });
@@ -123,33 +123,33 @@
   }
 
   /** Forgets idle accounts. */
-  sweep(): void {
+  removeIdleAccounts(): void {
     this.#limits.removeIdleAccounts(this.#host.clock.readMonotonicMs());
   }
 
-  async #handle(ctx: Koa.Context): Promise<void> {
+  async #handleRequest(ctx: Koa.Context): Promise<void> {
     const given = ctx.get("x-request-id");
     // A stream is found again by its id, so that id is always one of ours.
     const mayName = REQUEST_ID.test(given) && !isResumable(ctx);
     const requestId = mayName ? given : createId(this.#host.vmId);
     ctx.set("x-request-id", requestId);
     this.#inFlight++;
-    ctx.res.once("close", () => this.#noteRequestOver());
+    ctx.res.once("close", () => this.#recordRequestEnd());
     try {
       await this.#route(ctx, requestId);
     } catch (thrown) {
-      this.#answerError(ctx, toServeError(thrown), requestId);
+      this.#sendError(ctx, toServeError(thrown), requestId);
     }
   }
 
-  #noteRequestOver(): void {
+  #recordRequestEnd(): void {
     this.#inFlight--;
     if (this.#inFlight > 0) return;
-    for (const wake of this.#idleWaiters) wake();
-    this.#idleWaiters.clear();
+    for (const wake of this.#drainCallbacks) wake();
+    this.#drainCallbacks.clear();
   }
 
-  #answerError(ctx: Koa.Context, error: ServeError, requestId: string): void {
+  #sendError(ctx: Koa.Context, error: ServeError, requestId: string): void {
     if (ctx.res.headersSent) return;
     const { retryAfterMs } = error;
     if (retryAfterMs > 0) {
@@ -180,7 +180,7 @@
     const resumed = RESUME_PATH.exec(path)?.[1];
     if (resumed !== undefined) {
       requireMethod(ctx, "GET");
-      return await answerResume(ctx, this.#host, this.#store, resumed);
+      return await handleResume(ctx, this.#host, this.#store, resumed);
     }
     const service = SERVICE_PATH.exec(path);
     if (service !== null) {
@@ -226,12 +226,12 @@
     );
     const service = findModelService(fleet, request.model);
     const promptTokens = estimateTokens(request.prompt);
-    const maxTokens = checkTokens(request, promptTokens, profile);
+    const maxTokens = computeMaxTokens(request, promptTokens, profile);
     const deadlineAtMs = startedAtMs + this.#readDeadlineMs(ctx, profile);
     this.#host.demand.recordRequest(promptTokens, maxTokens, startedAtMs);
-    const release = this.#acquire(account, startedAtMs);
+    const release = this.#acquireSlot(account, startedAtMs);
     const watched = this.#admit(ctx, account, bytes, requestId, release);
-    await answerGeneration(ctx, {
+    await handleGeneration(ctx, {
       host: this.#host,
       store: this.#store,
       request,
@@ -242,7 +242,7 @@
       maxTokens,
       deadlineAtMs,
       resumable: isResumable(ctx),
-      watched,
+      admitted: watched,
       release,
     });
   }
@@ -269,8 +269,11 @@
     );
     const deadlineAtMs = startedAtMs + this.#readDeadlineMs(ctx, profile);
     const body = await readRequestBody(ctx.req, this.#host.limits);
-    const key = this.#readKey(ctx, account, service, { path: call.path, body });
-    const release = this.#acquire(account, startedAtMs);
+    const key = this.#readIdempotencyKey(ctx, account, service, {
+      path: call.path,
+      body,
+    });
+    const release = this.#acquireSlot(account, startedAtMs);
     const watched = this.#admit(ctx, account, body, requestId, release);
     let outcome: "ok" | ServeError = "ok";
     try {
@@ -283,7 +286,7 @@
         body: body.length > 0 ? body : undefined,
         deadlineAtMs,
         key,
-        watched,
+        admitted: watched,
       });
       for (const [name, value] of Object.entries(answer.headers)) {
         ctx.set(name, value);
@@ -298,11 +301,11 @@
       watched.end(outcome === "ok");
       release();
       const nowMs = this.#host.clock.readMonotonicMs();
-      this.#host.events.noteEnd({
+      this.#host.events.recordResult({
         service: service.name,
         profile: profile.name,
         outcome: outcome === "ok" ? "ok" : outcome.kind,
-        inTime: outcome === "ok" && nowMs <= deadlineAtMs,
+        isWithinDeadline: outcome === "ok" && nowMs <= deadlineAtMs,
         durationMs: nowMs - startedAtMs,
       });
     }
@@ -315,18 +318,18 @@
     body: Buffer,
     requestId: string,
     release: () => void,
-  ): WatchedRequest {
+  ): AdmittedRequest {
     const { method, url } = ctx;
     const content = { method, host: account.name, path: url, body };
     try {
-      return this.#host.requests.admit(content, requestId);
+      return this.#host.requestWatch.admit(content, requestId);
     } catch (thrown) {
       release();
       throw thrown;
     }
   }
 
-  #readKey(
+  #readIdempotencyKey(
     ctx: Koa.Context,
     account: Account,
     service: PlainService,
@@ -346,7 +349,7 @@
     return { ...key, fingerprint };
   }
 
-  #acquire(account: Account, nowMs: number): () => void {
+  #acquireSlot(account: Account, nowMs: number): () => void {
     const acquired = this.#limits.acquire(
       account,
       this.#host.countVms(),
--- a/packages/heatherarch-gateway/gateway_host.ts
+++ b/packages/heatherarch-gateway/gateway_host.ts
@@ -27,19 +27,19 @@
 export type RequestLimits = ProcessSettings["requests"];
 
 /** Targets as this VM sees them now. */
-export interface TargetReader {
+export interface TargetProvider {
   /** Targets of a service that may get new work. */
   listCandidates(service: string): Candidate[];
   findTarget(id: string): Target | undefined;
   getEngine(target: Target): EnginePort;
   getService(target: Target): ServicePort;
   /** A try on the target failed: others are preferred for a short time. */
-  noteFailure(id: string): void;
-  noteSuccess(id: string): void;
+  recordFailure(id: string): void;
+  recordSuccess(id: string): void;
 }
 
 /** Answer of a finished call, as it is kept for repeats. */
-export interface KeptAnswer {
+export interface StoredResponse {
   readonly status: number;
   readonly headers: Readonly<Record<string, string>>;
   /** Base64; absent where the answer was too large to keep. */
@@ -51,31 +51,31 @@
   /** Whether the permission still holds. To be asked in the turn that writes the call. */
   isValid(): boolean;
   /** Records the answer. Returns at once; the record is retried in the background. */
-  conclude(answer: KeptAnswer): void;
+  conclude(answer: StoredResponse): void;
   /**
    * Asks again for the permission of a claim that lapsed unused, under the same claim id.
    * To be called only where the call was certainly not handed over.
    */
-  renew(): Promise<ClaimAnswer>;
+  renew(): Promise<ClaimResult>;
   /** Gives the key back: the call was certainly not handed over. */
   release(): void;
 }
 
 /** Verdict on a claim. */
-export type ClaimAnswer =
+export type ClaimResult =
   | { readonly kind: "granted"; readonly claim: HeldClaim }
-  | { readonly kind: "answered"; readonly answer: KeptAnswer }
+  | { readonly kind: "answered"; readonly answer: StoredResponse }
   | { readonly kind: "refused"; readonly error: ServeError };
 
 /** Claims idempotency keys. */
 export interface ClaimClient {
   claim(
     request: { key: string; madeAtMs: number; fingerprint: string },
-  ): Promise<ClaimAnswer>;
+  ): Promise<ClaimResult>;
 }
 
 /** Part of a stream that another VM serves. */
-export interface RemoteSlice {
+export interface StreamSlice {
   readonly texts: readonly string[];
   readonly state: "running" | "ended" | "failed" | "unknown";
   readonly kind?: ErrorKind;
@@ -83,12 +83,12 @@
 }
 
 /** How a request ended, for metrics. */
-export interface RequestEnd {
+export interface RequestResult {
   readonly service: string;
   readonly profile: string;
   readonly outcome: "ok" | ErrorKind;
   /** The answer was whole and within its deadline. */
-  readonly inTime: boolean;
+  readonly isWithinDeadline: boolean;
   readonly durationMs: number;
   readonly firstTokenMs?: number;
   readonly gapMs?: number;
@@ -97,10 +97,10 @@
 
 /** Told of what happens to requests. */
 export interface GatewayEvents {
-  noteEnd(end: RequestEnd): void;
-  noteRetry(reason: string): void;
-  noteContinuation(reason: string): void;
-  noteHedge(): void;
+  recordResult(end: RequestResult): void;
+  recordRetry(reason: string): void;
+  recordContinuation(reason: string): void;
+  recordHedge(): void;
 }
 
 /** The process around the gateway. */
@@ -109,14 +109,14 @@
   readonly clock: Clock;
   readonly limits: RequestLimits;
   readonly claimLimits: ProcessSettings["claims"];
-  readonly targets: TargetReader;
-  readonly tracker: LoadTracker;
+  readonly targets: TargetProvider;
+  readonly loadTracker: LoadTracker;
   readonly model: EngineModel;
   readonly demand: DemandMeter;
   readonly retries: RetryBudget;
-  readonly lookups: LookupReserve;
+  readonly lookupReserve: LookupReserve;
   readonly claims: ClaimClient;
-  readonly requests: RequestWatch;
+  readonly requestWatch: RequestWatch;
   readonly events: GatewayEvents;
   /** Why no new request is taken; undefined where all is well. */
   readRefusal(): ServeError | undefined;
@@ -130,5 +130,5 @@
     vmId: string,
     requestId: string,
     from: number,
-  ): Promise<RemoteSlice>;
+  ): Promise<StreamSlice>;
 }
--- a/packages/heatherarch-gateway/generation.ts
+++ b/packages/heatherarch-gateway/generation.ts
@@ -22,13 +22,13 @@
 } from "heatherarch-policy";
 import type { Profile } from "heatherarch-settings";
 import type {
+  EngineAttempt,
   EngineCall,
-  EngineEnd,
   EngineFailure,
-  EngineTry,
+  EngineResult,
   KvHandle,
 } from "heatherarch-targets";
-import type { WatchedRequest } from "./request_watch.ts";
+import type { AdmittedRequest } from "./request_watch.ts";
 import type { GatewayHost } from "./gateway_host.ts";
 import type { Usage } from "./openai_format.ts";
 
@@ -60,7 +60,7 @@
   /** Monotonic time by which the answer must be whole. */
   readonly deadlineAtMs: number;
   readonly sink: GenerationSink;
-  readonly watched: WatchedRequest;
+  readonly admitted: AdmittedRequest;
   readonly disabledGuards?: ReadonlySet<GenerationGuard>;
 }
 
@@ -72,8 +72,8 @@
   readonly predictedFirstTokenMs: number;
   readonly role: Candidate["role"];
   /** The leg only prefills; another engine generates. */
-  readonly handsOver: boolean;
-  attempt: EngineTry | undefined;
+  readonly isPrefillOnly: boolean;
+  attempt: EngineAttempt | undefined;
   received: number;
   lastAtMs: number;
   resumed: boolean;
@@ -82,7 +82,7 @@
 /** Engine priorities of the profiles' classes. */
 const PRIORITY_NUMBERS = { lookup: 0, interactive: 1, batch: 2 } as const;
 /** Wait before the next look for a target where a half-delivered answer has none. */
-const NO_TARGET_WAIT_MS = 100;
+const NO_TARGET_RETRY_DELAY_MS = 100;
 
 /** One generation. */
 export class Generation {
@@ -91,24 +91,24 @@
   readonly #prefixKey: string;
   readonly #startedAtMs: number;
   readonly #failedTargets = new Set<string>();
-  readonly #off: ReadonlySet<GenerationGuard>;
+  readonly #disabledGuards: ReadonlySet<GenerationGuard>;
   #delivered: string[] = [];
   #leg: Leg | undefined;
-  #handover: { target: Candidate; work: TrackedWork } | undefined;
+  #plannedDecode: { target: Candidate; work: TrackedWork } | undefined;
   #tries = 0;
-  #sentAny = false;
-  #finished = false;
+  #hasSentRequest = false;
+  #isFinished = false;
   #promptTokens = 0;
   #cachedTokens = 0;
   #firstTokenAtMs: number | undefined;
   #lastTokenAtMs = 0;
   #deadlineTimer: NodeJS.Timeout | undefined;
-  #waitTimer: NodeJS.Timeout | undefined;
+  #retryTimer: NodeJS.Timeout | undefined;
 
   constructor(options: GenerationOptions) {
     this.#options = options;
     this.#host = options.host;
-    this.#off = options.disabledGuards ?? new Set();
+    this.#disabledGuards = options.disabledGuards ?? new Set();
     this.#prefixKey = computePrefixKey(options.prompt);
     this.#startedAtMs = this.#host.clock.readMonotonicMs();
   }
@@ -134,11 +134,11 @@
 
   /** Plans and starts the first leg, or says why the request is refused. */
   start(): Result<void, ServeError> {
-    const planned = this.#planFirst();
+    const planned = this.#planFirstLeg();
     if (!planned.ok) return Err(planned.val as ServeError);
     const remainingMs = this.#options.deadlineAtMs - this.#startedAtMs;
-    this.#deadlineTimer = setTimeout(() => this.#expire(), remainingMs);
-    this.#beginPlan(planned.val as RoutePlan);
+    this.#deadlineTimer = setTimeout(() => this.#handleDeadline(), remainingMs);
+    this.#startPlan(planned.val as RoutePlan);
     return Ok(undefined);
   }
 
@@ -147,7 +147,7 @@
     this.#close();
   }
 
-  #planFirst(): Result<RoutePlan, ServeError> {
+  #planFirstLeg(): Result<RoutePlan, ServeError> {
     const plan = this.#planRoute();
     if (plan === undefined) {
       const any =
@@ -176,7 +176,7 @@
     const router = this.#host.getRouter(profile.routing);
     const nowMs = this.#host.clock.readMonotonicMs();
     const lookup = profile.priority === "lookup";
-    if (lookup) this.#host.lookups.recordLookup(service, nowMs);
+    if (lookup) this.#host.lookupReserve.recordLookup(service, nowMs);
     return router.planRoute({
       promptTokens: promptTokens + this.#delivered.length,
       outputTokens: maxTokens - this.#delivered.length,
@@ -185,25 +185,27 @@
       remainingMs: this.#options.deadlineAtMs - nowMs,
       tokenGapMs: profile.tokenGapMs,
       tieBreakKey: this.#options.requestId,
-      reserveShare: lookup ? 0 : this.#host.lookups.readShare(service, nowMs),
+      reserveShare: lookup
+        ? 0
+        : this.#host.lookupReserve.readShare(service, nowMs),
     }, fresh.length > 0 ? fresh : all);
   }
 
-  #beginPlan(plan: RoutePlan): void {
+  #startPlan(plan: RoutePlan): void {
     const nowMs = this.#host.clock.readMonotonicMs();
     const { decode } = plan;
     if (decode !== undefined) {
-      this.#handover?.work.end(nowMs);
-      const work = this.#host.tracker.begin(decode.id, 0, nowMs);
-      this.#handover = { target: decode, work };
+      this.#plannedDecode?.work.end(nowMs);
+      const work = this.#host.loadTracker.begin(decode.id, 0, nowMs);
+      this.#plannedDecode = { target: decode, work };
     }
-    this.#beginLeg(plan.primary, {
+    this.#startLeg(plan.primary, {
       firstTokenMs: plan.firstTokenMs,
       handsOver: decode !== undefined,
     });
   }
 
-  #beginLeg(
+  #startLeg(
     candidate: Candidate,
     options: {
       firstTokenMs: number;
@@ -233,11 +235,11 @@
     const leg: Leg = {
       target: target.id,
       call,
-      work: this.#host.tracker.begin(target.id, pending, nowMs),
+      work: this.#host.loadTracker.begin(target.id, pending, nowMs),
       startedAtMs: nowMs,
       predictedFirstTokenMs: options.firstTokenMs,
       role: candidate.role,
-      handsOver,
+      isPrefillOnly: handsOver,
       attempt: undefined,
       received: 0,
       lastAtMs: 0,
@@ -246,16 +248,16 @@
     this.#leg = leg;
     this.#tries++;
     leg.attempt = this.#host.targets.getEngine(target).generate(call, {
-      onTokens: (texts) => this.#takeTokens(leg, texts),
-      onEnd: (end) => this.#takeEnd(leg, end),
-      onFailure: (failure) => this.#takeFailure(leg, failure),
+      onTokens: (texts) => this.#handleTokens(leg, texts),
+      onEnd: (end) => this.#handleEnd(leg, end),
+      onFailure: (failure) => this.#handleFailure(leg, failure),
     });
   }
 
-  #takeTokens(leg: Leg, texts: readonly string[]): void {
+  #handleTokens(leg: Leg, texts: readonly string[]): void {
     if (this.#isAbandoned(leg)) return;
     const nowMs = this.#host.clock.readMonotonicMs();
-    if (leg.received === 0) this.#noteFirstOfLeg(leg, nowMs);
+    if (leg.received === 0) this.#recordFirstToken(leg, nowMs);
     else leg.work.recordTokenGap((nowMs - leg.lastAtMs) / texts.length, nowMs);
     leg.received += texts.length;
     leg.lastAtMs = nowMs;
@@ -271,11 +273,11 @@
   }
 
   #isAbandoned(leg: Leg): boolean {
-    if (this.#finished) return true;
-    return leg !== this.#leg && !this.#off.has("ignoreAbandonedLeg");
+    if (this.#isFinished) return true;
+    return leg !== this.#leg && !this.#disabledGuards.has("ignoreAbandonedLeg");
   }
 
-  #noteFirstOfLeg(leg: Leg, nowMs: number): void {
+  #recordFirstToken(leg: Leg, nowMs: number): void {
     leg.work.recordFirstToken(nowMs);
     if (leg.call.kvImport !== undefined || leg.resumed) return;
     const observedMs = nowMs - leg.startedAtMs;
@@ -286,27 +288,27 @@
     );
   }
 
-  #takeEnd(leg: Leg, end: EngineEnd): void {
+  #handleEnd(leg: Leg, end: EngineResult): void {
     if (this.#isAbandoned(leg)) return;
     const nowMs = this.#host.clock.readMonotonicMs();
     this.#closeLeg(leg, nowMs);
-    this.#host.targets.noteSuccess(leg.target);
-    this.#noteLegEnd(end);
+    this.#host.targets.recordSuccess(leg.target);
+    this.#recordUsage(end);
     const missing = this.#options.maxTokens - this.#delivered.length;
     if (
-      leg.handsOver && leg.received === 1 && missing > 0 &&
+      leg.isPrefillOnly && leg.received === 1 && missing > 0 &&
       end.reason !== "stop"
     ) {
-      return this.#handOver(leg, end);
+      return this.#startDecodeLeg(leg, end);
     }
     const short = end.reason === "length" && missing > 0;
-    if (short && !this.#off.has("missingTokens")) {
+    if (short && !this.#disabledGuards.has("missingTokens")) {
       return this.#retry("broken", leg.target);
     }
     this.#finish(missing === 0 ? "length" : "stop");
   }
 
-  #noteLegEnd(end: EngineEnd): void {
+  #recordUsage(end: EngineResult): void {
     if (this.#promptTokens === 0) {
       this.#promptTokens = end.promptTokens;
       this.#cachedTokens = end.cachedTokens;
@@ -318,9 +320,9 @@
   }
 
   /** The prompt is prefilled: the planned decoder takes the KV cache over. */
-  #handOver(leg: Leg, end: EngineEnd): void {
-    const handover = this.#handover;
-    this.#handover = undefined;
+  #startDecodeLeg(leg: Leg, end: EngineResult): void {
+    const handover = this.#plannedDecode;
+    this.#plannedDecode = undefined;
     const nowMs = this.#host.clock.readMonotonicMs();
     handover?.work.end(nowMs);
     const source = this.#host.targets.findTarget(leg.target);
@@ -329,7 +331,7 @@
     if (usable === undefined || source === undefined) {
       return this.#retry("refused", "");
     }
-    this.#beginLeg(usable, {
+    this.#startLeg(usable, {
       firstTokenMs: 0,
       handsOver: false,
       ...(end.kvHandle === undefined
@@ -338,21 +340,21 @@
     });
   }
 
-  #takeFailure(leg: Leg, failure: EngineFailure): void {
+  #handleFailure(leg: Leg, failure: EngineFailure): void {
     if (this.#isAbandoned(leg)) return;
     if (leg.attempt === undefined) {
       // The adapter failed before it returned: handle it in a turn of its own.
-      setImmediate(() => this.#takeFailure(leg, failure));
+      setImmediate(() => this.#handleFailure(leg, failure));
       return;
     }
-    if (leg.attempt.isSent) this.#sentAny = true;
+    if (leg.attempt.isSent) this.#hasSentRequest = true;
     const nowMs = this.#host.clock.readMonotonicMs();
-    if (failure === "broken") this.#noteLost(leg);
+    if (failure === "broken") this.#recordLoss(leg);
     if (
       (failure === "broken" || failure === "silent") && this.#tryResume(leg)
     ) return;
     this.#closeLeg(leg, nowMs);
-    if (failure !== "kvGone") this.#host.targets.noteFailure(leg.target);
+    if (failure !== "kvGone") this.#host.targets.recordFailure(leg.target);
     // Only the engine's own end is missing.
     if (this.#delivered.length === this.#options.maxTokens) {
       return this.#finish("length");
@@ -365,10 +367,10 @@
     this.#retry(failure, failure === "kvGone" ? "" : leg.target);
   }
 
-  #noteLost({ target: id, attempt }: Leg): void {
+  #recordLoss({ target: id, attempt }: Leg): void {
     const target = this.#host.targets.findTarget(id);
     if (target === undefined || attempt?.isSent !== true) return;
-    this.#options.watched.noteLost(target, "the answer broke off");
+    this.#options.admitted.recordLoss(target, "the answer broke off");
   }
 
   /** Asks the same engine for the rest of its answer, once a leg. */
@@ -378,12 +380,12 @@
     const engine = this.#host.targets.getEngine(target);
     if (engine.resume === undefined) return false;
     leg.resumed = true;
-    this.#host.events.noteContinuation("resume");
+    this.#host.events.recordContinuation("resume");
     leg.attempt = engine.resume(leg.call, leg.received, {
-      onTokens: (texts) => this.#takeTokens(leg, texts),
-      onEnd: (end) => this.#takeEnd(leg, end),
+      onTokens: (texts) => this.#handleTokens(leg, texts),
+      onEnd: (end) => this.#handleEnd(leg, end),
       onFailure: (failure) => {
-        this.#takeFailure(leg, failure === "invalid" ? "broken" : failure);
+        this.#handleFailure(leg, failure === "invalid" ? "broken" : failure);
       },
     });
     return true;
@@ -393,22 +395,22 @@
   #retry(reason: EngineFailure, target: string): void {
     if (target !== "") this.#failedTargets.add(target);
     const fresh = this.#delivered.length === 0;
-    if (!this.#options.watched.mayRepeat()) return this.#giveUp(reason);
+    if (!this.#options.admitted.mayRetry()) return this.#giveUp(reason);
     if (this.#tries >= this.#host.limits.maxTries) return this.#giveUp(reason);
     if (fresh && !this.#host.retries.spendRetry()) return this.#giveUp(reason);
-    if (fresh) this.#host.events.noteRetry(reason);
-    else this.#host.events.noteContinuation(reason);
+    if (fresh) this.#host.events.recordRetry(reason);
+    else this.#host.events.recordContinuation(reason);
     this.#continue(reason);
   }
 
   #continue(reason: EngineFailure): void {
-    if (this.#finished) return;
+    if (this.#isFinished) return;
     const plan = this.#planRoute();
-    if (plan !== undefined) return this.#beginPlan(plan);
+    if (plan !== undefined) return this.#startPlan(plan);
     if (this.#delivered.length === 0) return this.#giveUp(reason);
-    this.#waitTimer = setTimeout(
+    this.#retryTimer = setTimeout(
       () => this.#continue(reason),
-      NO_TARGET_WAIT_MS,
+      NO_TARGET_RETRY_DELAY_MS,
     );
   }
 
@@ -418,7 +420,7 @@
         `the answer broke off after ${this.#delivered.length} tokens (${reason})`;
       return this.#fail(new ServeError("answerIncomplete", message));
     }
-    const run = this.#sentAny ? "unknown" : "no";
+    const run = this.#hasSentRequest ? "unknown" : "no";
     if (reason === "refused" || reason === "notSent") {
       return this.#fail(
         new ServeError("noTarget", "no target took the request", { run }),
@@ -429,8 +431,8 @@
     );
   }
 
-  #expire(): void {
-    const sent = this.#sentAny || (this.#leg?.attempt?.isSent ?? false);
+  #handleDeadline(): void {
+    const sent = this.#hasSentRequest || (this.#leg?.attempt?.isSent ?? false);
     const run = sent ? "unknown" : "no";
     this.#fail(
       new ServeError("deadlineExceeded", "the deadline has passed", { run }),
@@ -438,10 +440,10 @@
   }
 
   #finish(reason: string): void {
-    if (this.#finished) return;
+    if (this.#isFinished) return;
     const { maxTokens, requestId } = this.#options;
     const whole = reason === "stop" || this.#delivered.length === maxTokens ||
-      this.#off.has("missingTokens");
+      this.#disabledGuards.has("missingTokens");
     assertInvariant(whole, "whole-answer", requestId);
     this.#close();
     this.#options.sink.onEnd(reason, {
@@ -452,7 +454,7 @@
   }
 
   #fail(error: ServeError): void {
-    if (this.#finished) return;
+    if (this.#isFinished) return;
     this.#close();
     this.#options.sink.onError(error);
   }
@@ -463,12 +465,12 @@
   }
 
   #close(): void {
-    this.#finished = true;
+    this.#isFinished = true;
     clearTimeout(this.#deadlineTimer);
-    clearTimeout(this.#waitTimer);
+    clearTimeout(this.#retryTimer);
     const nowMs = this.#host.clock.readMonotonicMs();
-    this.#handover?.work.end(nowMs);
-    this.#handover = undefined;
+    this.#plannedDecode?.work.end(nowMs);
+    this.#plannedDecode = undefined;
     const leg = this.#leg;
     if (leg === undefined) return;
     this.#closeLeg(leg, nowMs);
--- a/packages/heatherarch-gateway/stream_answer.ts
+++ b/packages/heatherarch-gateway/generation_response.ts
@@ -7,20 +7,20 @@
 import type Koa from "koa";
 import { buildErrorBody, ServeError } from "heatherarch-core";
 import type { Profile } from "heatherarch-settings";
-import type { GatewayHost, RemoteSlice } from "./gateway_host.ts";
+import type { GatewayHost, StreamSlice } from "./gateway_host.ts";
 import { Generation } from "./generation.ts";
 import type { GenerationStore } from "./generation_store.ts";
-import type { WatchedRequest } from "./request_watch.ts";
+import type { AdmittedRequest } from "./request_watch.ts";
 import {
-  buildEvent,
-  buildWholeAnswer,
-  ChunkWriter,
+  buildCompletion,
+  buildSseEvent,
+  ChunkBuilder,
   type GenerationRequest,
   type Usage,
 } from "./openai_format.ts";
 
-/** Options of {@linkcode answerGeneration}. */
-export interface AnswerOptions {
+/** Options of {@linkcode handleGeneration}. */
+export interface GenerationResponseOptions {
   readonly host: GatewayHost;
   readonly store: GenerationStore;
   readonly request: GenerationRequest;
@@ -32,7 +32,7 @@
   readonly deadlineAtMs: number;
   /** The answer goes on without its caller, who may come back for the rest. */
   readonly resumable: boolean;
-  readonly watched: WatchedRequest;
+  readonly admitted: AdmittedRequest;
   /** Gives the account's place back. */
   readonly release: () => void;
 }
@@ -42,29 +42,29 @@
 const RESUME_WAIT_MS = 1000;
 
 /** Where the tokens of an answer go. */
-interface AnswerWriter {
+interface ResponseWriter {
   writeTokens(texts: readonly string[]): void;
   writeEnd(reason: string, usage: Usage): void;
   writeError(error: ServeError): void;
 }
 
 /** Runs a generation and writes its answer. Throws {@linkcode ServeError} before any byte. */
-export function answerGeneration(
+export function handleGeneration(
   ctx: Koa.Context,
-  options: AnswerOptions,
+  options: GenerationResponseOptions,
 ): Promise<void> {
   return new Promise((resolve, reject) => {
     const { host, store, request, requestId, resumable } = options;
     const stored = resumable ? store.open(requestId, request.model) : undefined;
     const startedAtMs = host.clock.readMonotonicMs();
     const writer = request.stream
-      ? new StreamWriter(ctx, options, reject)
-      : new WholeWriter(ctx, options, reject);
+      ? new StreamResponseWriter(ctx, options, reject)
+      : new BufferedResponseWriter(ctx, options, reject);
     const conclude = (error: ServeError | undefined): void => {
-      options.watched.end(error === undefined);
+      options.admitted.end(error === undefined);
       options.release();
-      store.conclude(requestId, error, host.limits.resumeWindowMs);
-      noteEnd(options, generation, startedAtMs, error);
+      store.complete(requestId, error, host.limits.resumeWindowMs);
+      recordResult(options, generation, startedAtMs, error);
       resolve();
     };
     const generation = new Generation({
@@ -75,7 +75,7 @@
         onTokens: (texts) => {
           if (stored !== undefined) {
             stored.texts.push(...texts);
-            for (const wake of [...stored.readers]) wake();
+            for (const wake of [...stored.listeners]) wake();
           }
           writer.writeTokens(texts);
         },
@@ -99,25 +99,25 @@
     ctx.res.once("close", () => {
       if (ctx.res.writableFinished) return;
       generation.cancel();
-      options.watched.end(false);
+      options.admitted.end(false);
       options.release();
       resolve();
     });
   });
 }
 
-function noteEnd(
-  options: AnswerOptions,
+function recordResult(
+  options: GenerationResponseOptions,
   generation: Generation,
   startedAtMs: number,
   error: ServeError | undefined,
 ): void {
   const nowMs = options.host.clock.readMonotonicMs();
-  options.host.events.noteEnd({
+  options.host.events.recordResult({
     service: options.service,
     profile: options.profile.name,
     outcome: error === undefined ? "ok" : error.kind,
-    inTime: error === undefined && nowMs <= options.deadlineAtMs,
+    isWithinDeadline: error === undefined && nowMs <= options.deadlineAtMs,
     durationMs: nowMs - startedAtMs,
     firstTokenMs: generation.firstTokenMs,
     gapMs: generation.meanGapMs,
@@ -126,23 +126,23 @@
 }
 
 /** Writes server-sent events as tokens come. */
-class StreamWriter implements AnswerWriter {
+class StreamResponseWriter implements ResponseWriter {
   readonly #ctx: Koa.Context;
-  readonly #chunks: ChunkWriter;
+  readonly #chunks: ChunkBuilder;
   readonly #requestId: string;
   readonly #reject: (error: ServeError) => void;
-  #started = false;
+  #isStarted = false;
 
   constructor(
     ctx: Koa.Context,
-    options: AnswerOptions,
+    options: GenerationResponseOptions,
     reject: (error: ServeError) => void,
   ) {
     this.#ctx = ctx;
     this.#requestId = options.requestId;
     this.#reject = reject;
     const createdMs = options.host.clock.readWallMs();
-    this.#chunks = new ChunkWriter(
+    this.#chunks = new ChunkBuilder(
       options.request,
       options.requestId,
       createdMs,
@@ -150,38 +150,38 @@
   }
 
   writeTokens(texts: readonly string[]): void {
-    const start = this.#start();
-    writeToCaller(this.#ctx.res, start + this.#chunks.buildTokens(texts));
+    const start = this.#startStream();
+    writeToClient(this.#ctx.res, start + this.#chunks.buildTokenChunks(texts));
   }
 
   writeEnd(reason: string, usage: Usage): void {
-    const start = this.#start();
-    this.#ctx.res.end(start + this.#chunks.buildEnd(reason, usage));
+    const start = this.#startStream();
+    this.#ctx.res.end(start + this.#chunks.buildFinalChunks(reason, usage));
   }
 
   writeError(error: ServeError): void {
-    if (!this.#started) return this.#reject(error);
-    this.#ctx.res.end(buildEvent(buildErrorBody(error, this.#requestId)));
+    if (!this.#isStarted) return this.#reject(error);
+    this.#ctx.res.end(buildSseEvent(buildErrorBody(error, this.#requestId)));
   }
 
-  #start(): string {
-    if (this.#started) return "";
-    this.#started = true;
-    beginEventStream(this.#ctx);
-    return this.#chunks.buildStart();
+  #startStream(): string {
+    if (this.#isStarted) return "";
+    this.#isStarted = true;
+    startEventStream(this.#ctx);
+    return this.#chunks.buildFirstChunk();
   }
 }
 
 /** Gathers the tokens and writes one JSON answer. */
-class WholeWriter implements AnswerWriter {
+class BufferedResponseWriter implements ResponseWriter {
   readonly #ctx: Koa.Context;
-  readonly #options: AnswerOptions;
+  readonly #options: GenerationResponseOptions;
   readonly #reject: (error: ServeError) => void;
   readonly #texts: string[] = [];
 
   constructor(
     ctx: Koa.Context,
-    options: AnswerOptions,
+    options: GenerationResponseOptions,
     reject: (error: ServeError) => void,
   ) {
     this.#ctx = ctx;
@@ -195,7 +195,7 @@
 
   writeEnd(reason: string, usage: Usage): void {
     const { request, requestId, host } = this.#options;
-    this.#ctx.body = buildWholeAnswer(request, {
+    this.#ctx.body = buildCompletion(request, {
       requestId,
       createdMs: host.clock.readWallMs(),
       text: this.#texts.join(""),
@@ -210,7 +210,7 @@
 }
 
 /** Answers `GET /v1/streams/ID?from=N`, also for a stream that another VM serves. */
-export async function answerResume(
+export async function handleResume(
   ctx: Koa.Context,
   host: GatewayHost,
   store: GenerationStore,
@@ -220,8 +220,8 @@
   if (!Number.isInteger(from) || from < 0) {
     throw new ServeError("badRequest", "from must be a whole number of tokens");
   }
-  const owner = ctx.get("x-heatherarch-vm") || readOwner(requestId);
-  const read = (at: number): Promise<RemoteSlice> =>
+  const owner = ctx.get("x-heatherarch-vm") || parseOwner(requestId);
+  const read = (at: number): Promise<StreamSlice> =>
     owner === host.vmId || owner === undefined
       ? store.readNext(requestId, at, RESUME_WAIT_MS)
       : host.readRemoteStream(owner, requestId, at);
@@ -229,7 +229,7 @@
   if (slice.state === "unknown") {
     throw new ServeError("streamGone", `no stream is kept under ${requestId}`);
   }
-  beginEventStream(ctx);
+  startEventStream(ctx);
   const request: GenerationRequest = {
     kind: "chat",
     model: slice.model,
@@ -239,9 +239,9 @@
     includeUsage: false,
     profile: undefined,
   };
-  const chunks = new ChunkWriter(request, requestId, host.clock.readWallMs());
+  const chunks = new ChunkBuilder(request, requestId, host.clock.readWallMs());
   while (true) {
-    writeToCaller(ctx.res, chunks.buildTokens(slice.texts));
+    writeToClient(ctx.res, chunks.buildTokenChunks(slice.texts));
     from += slice.texts.length;
     if (slice.state !== "running" || ctx.res.destroyed) break;
     slice = await read(from).catch(() => ({
@@ -252,23 +252,23 @@
   }
   if (slice.state === "ended") {
     const usage = { promptTokens: 0, outputTokens: from, cachedTokens: 0 };
-    ctx.res.end(chunks.buildEnd("length", usage));
+    ctx.res.end(chunks.buildFinalChunks("length", usage));
     return;
   }
   const kind = slice.state === "failed"
     ? slice.kind ?? "answerIncomplete"
     : "streamGone";
   const error = new ServeError(kind, "the stream can't be read to its end");
-  ctx.res.end(buildEvent(buildErrorBody(error, requestId)));
+  ctx.res.end(buildSseEvent(buildErrorBody(error, requestId)));
 }
 
 /** The VM that issued a request id of ours. */
-function readOwner(requestId: string): string | undefined {
+function parseOwner(requestId: string): string | undefined {
   const match = /^(.+)-[A-Za-z0-9_-]{12}$/.exec(requestId);
   return match?.[1];
 }
 
-function beginEventStream(ctx: Koa.Context): void {
+function startEventStream(ctx: Koa.Context): void {
   ctx.respond = false;
   ctx.res.writeHead(200, {
     "content-type": "text/event-stream",
@@ -277,7 +277,7 @@
   });
 }
 
-function writeToCaller(res: ServerResponse, text: string): void {
+function writeToClient(res: ServerResponse, text: string): void {
   if (text === "" || res.destroyed) return;
   res.write(text);
   if (res.writableLength > MAX_UNSENT_BYTES) res.destroy();
--- a/packages/heatherarch-gateway/generation_store.ts
+++ b/packages/heatherarch-gateway/generation_store.ts
@@ -4,7 +4,7 @@
  * @module
  */
 import type { ServeError } from "heatherarch-core";
-import type { RemoteSlice } from "./gateway_host.ts";
+import type { StreamSlice } from "./gateway_host.ts";
 
 /** One resumable answer. */
 export interface StoredGeneration {
@@ -13,7 +13,7 @@
   state: "running" | "ended" | "failed";
   error: ServeError | undefined;
   /** Called whenever there is more to read. */
-  readonly readers: Set<() => void>;
+  readonly listeners: Set<() => void>;
 }
 
 /** Keeps answers until some time after their end. */
@@ -27,14 +27,14 @@
       texts: [],
       state: "running",
       error: undefined,
-      readers: new Set(),
+      listeners: new Set(),
     };
     this.#entries.set(requestId, entry);
     return entry;
   }
 
   /** Marks an answer as over, and forgets it after `keepMs`. */
-  conclude(
+  complete(
     requestId: string,
     error: ServeError | undefined,
     keepMs: number,
@@ -43,12 +43,12 @@
     if (entry === undefined) return;
     entry.state = error === undefined ? "ended" : "failed";
     entry.error = error;
-    for (const wake of [...entry.readers]) wake();
+    for (const wake of [...entry.listeners]) wake();
     setTimeout(() => this.#entries.delete(requestId), keepMs).unref();
   }
 
   /** Tokens of an answer from index `from` on. */
-  read(requestId: string, from: number): RemoteSlice {
+  read(requestId: string, from: number): StreamSlice {
     const entry = this.#entries.get(requestId);
     if (entry === undefined) return { texts: [], state: "unknown", model: "" };
     return {
@@ -64,7 +64,7 @@
     requestId: string,
     from: number,
     waitMs: number,
-  ): Promise<RemoteSlice> {
+  ): Promise<StreamSlice> {
     const entry = this.#entries.get(requestId);
     if (
       entry !== undefined && entry.state === "running" &&
@@ -73,11 +73,11 @@
       await new Promise<void>((resolve) => {
         const wake = (): void => {
           clearTimeout(timer);
-          entry.readers.delete(wake);
+          entry.listeners.delete(wake);
           resolve();
         };
         const timer = setTimeout(wake, waitMs);
-        entry.readers.add(wake);
+        entry.listeners.add(wake);
       });
     }
     return this.read(requestId, from);
--- a/packages/heatherarch-gateway/openai_format.ts
+++ b/packages/heatherarch-gateway/openai_format.ts
@@ -9,7 +9,7 @@
 
 const MAX_TOKENS = z.int().min(1).max(1_000_000);
 
-const COMMON = {
+const COMMON_FIELDS = {
   model: z.string().min(1).max(200),
   stream: z.boolean().nullish(),
   max_tokens: MAX_TOKENS.nullish(),
@@ -18,22 +18,22 @@
   profile: z.string().max(63).nullish(),
 };
 
-const CONTENT = z.union([
+const MESSAGE_CONTENT = z.union([
   z.string(),
   z.array(z.object({ type: z.literal("text"), text: z.string() })),
 ]);
 
 const CHAT_REQUEST = z.object({
-  ...COMMON,
+  ...COMMON_FIELDS,
   max_completion_tokens: MAX_TOKENS.nullish(),
   messages: z.array(z.object({
     role: z.enum(["system", "developer", "user", "assistant", "tool"]),
-    content: CONTENT.nullish(),
+    content: MESSAGE_CONTENT.nullish(),
   })).min(1).max(10_000),
 });
 
 const TEXT_REQUEST = z.object({
-  ...COMMON,
+  ...COMMON_FIELDS,
   prompt: z.union([z.string().min(1), z.array(z.string().min(1)).length(1)]),
 });
 
@@ -63,7 +63,7 @@
   body: unknown,
 ): Result<GenerationRequest, ServeError> {
   const parsed = CHAT_REQUEST.safeParse(body);
-  if (!parsed.success) return Err(buildShapeError(parsed.error));
+  if (!parsed.success) return Err(buildValidationError(parsed.error));
   const { data } = parsed;
   return Ok({
     kind: "chat",
@@ -81,7 +81,7 @@
   body: unknown,
 ): Result<GenerationRequest, ServeError> {
   const parsed = TEXT_REQUEST.safeParse(body);
-  if (!parsed.success) return Err(buildShapeError(parsed.error));
+  if (!parsed.success) return Err(buildValidationError(parsed.error));
   const { data } = parsed;
   return Ok({
     kind: "text",
@@ -96,7 +96,7 @@
 
 interface ChatMessage {
   readonly role: string;
-  readonly content?: z.infer<typeof CONTENT> | null;
+  readonly content?: z.infer<typeof MESSAGE_CONTENT> | null;
 }
 
 /** Renders chat messages as one prompt. */
@@ -111,11 +111,11 @@
 }
 
 /** Builds the text of streamed chunks for one answer. */
-export class ChunkWriter {
-  readonly #before: string;
-  readonly #after: string;
+export class ChunkBuilder {
+  readonly #chunkPrefix: string;
+  readonly #chunkSuffix: string;
   readonly #request: GenerationRequest;
-  readonly #head: {
+  readonly #commonFields: {
     id: string;
     object: string;
     created: number;
@@ -129,47 +129,47 @@
   ) {
     this.#request = request;
     const chat = request.kind === "chat";
-    this.#head = {
+    this.#commonFields = {
       id: requestId,
       object: chat ? "chat.completion.chunk" : "text_completion",
       created: Math.floor(createdMs / 1000),
       model: request.model,
     };
-    const head = JSON.stringify(this.#head).slice(0, -1);
+    const head = JSON.stringify(this.#commonFields).slice(0, -1);
     const content = chat ? `"delta":{"content":` : `"text":`;
-    this.#before = `data: ${head},"choices":[{"index":0,${content}`;
-    this.#after = `${chat ? "}" : ""},"finish_reason":null}]}\n\n`;
+    this.#chunkPrefix = `data: ${head},"choices":[{"index":0,${content}`;
+    this.#chunkSuffix = `${chat ? "}" : ""},"finish_reason":null}]}\n\n`;
   }
 
   /** The first chunk of a chat answer; empty for text. */
-  buildStart(): string {
+  buildFirstChunk(): string {
     if (this.#request.kind !== "chat") return "";
     const choice = {
       index: 0,
       delta: { role: "assistant", content: "" },
       finish_reason: null,
     };
-    return buildEvent({ ...this.#head, choices: [choice] });
+    return buildSseEvent({ ...this.#commonFields, choices: [choice] });
   }
 
   /** Chunks for tokens that arrived together, one a token. */
-  buildTokens(texts: readonly string[]): string {
+  buildTokenChunks(texts: readonly string[]): string {
     let out = "";
     for (const text of texts) {
-      out += this.#before + JSON.stringify(text) + this.#after;
+      out += this.#chunkPrefix + JSON.stringify(text) + this.#chunkSuffix;
     }
     return out;
   }
 
   /** The last chunks of a whole answer. */
-  buildEnd(reason: string, usage: Usage): string {
+  buildFinalChunks(reason: string, usage: Usage): string {
     const choice = this.#request.kind === "chat"
       ? { index: 0, delta: {}, finish_reason: reason }
       : { index: 0, text: "", finish_reason: reason };
-    let out = buildEvent({ ...this.#head, choices: [choice] });
+    let out = buildSseEvent({ ...this.#commonFields, choices: [choice] });
     if (this.#request.includeUsage) {
-      out += buildEvent({
-        ...this.#head,
+      out += buildSseEvent({
+        ...this.#commonFields,
         choices: [],
         usage: buildUsage(usage),
       });
@@ -179,12 +179,12 @@
 }
 
 /** One server-sent event. */
-export function buildEvent(value: unknown): string {
+export function buildSseEvent(value: unknown): string {
   return `data: ${JSON.stringify(value)}\n\n`;
 }
 
 /** Builds a whole answer. */
-export function buildWholeAnswer(
+export function buildCompletion(
   request: GenerationRequest,
   answer: {
     requestId: string;
@@ -226,6 +226,6 @@
   };
 }
 
-function buildShapeError(error: z.ZodError): ServeError {
+function buildValidationError(error: z.ZodError): ServeError {
   return new ServeError("badRequest", formatFaults(buildFaults(error)));
 }
--- a/packages/heatherarch-gateway/plain_call.ts
+++ b/packages/heatherarch-gateway/plain_call.ts
@@ -7,14 +7,14 @@
 import { createId, ServeError, sleep } from "heatherarch-core";
 import type { Candidate } from "heatherarch-policy";
 import type { PlainService, Profile } from "heatherarch-settings";
-import type { WholeAnswer } from "heatherarch-targets";
+import type { BufferedResponse } from "heatherarch-targets";
 import type {
-  ClaimAnswer,
+  ClaimResult,
   GatewayHost,
   HeldClaim,
-  KeptAnswer,
+  StoredResponse,
 } from "./gateway_host.ts";
-import type { WatchedRequest } from "./request_watch.ts";
+import type { AdmittedRequest } from "./request_watch.ts";
 
 /** A call as the caller made it. */
 export interface PlainRequest {
@@ -28,7 +28,7 @@
   readonly body: Buffer | undefined;
   /** Monotonic time by which the answer must be there. */
   readonly deadlineAtMs: number;
-  readonly watched: WatchedRequest;
+  readonly admitted: AdmittedRequest;
   /** Idempotency key with its account and service, where the caller sent one. */
   readonly key:
     | { text: string; madeAtMs: number; fingerprint: string }
@@ -36,7 +36,7 @@
 }
 
 /** An answer to pass to the caller. */
-export interface PlainAnswer {
+export interface PlainResponse {
   readonly status: number;
   readonly headers: Record<string, string>;
   readonly body: Buffer;
@@ -48,9 +48,9 @@
  * Pauses between claims of a key whose first call is in progress, milliseconds: a booking takes
  * some 60 ms, and each claim is an entry in the log.
  */
-const FIRST_CLAIM_PAUSE_MS = 100;
-const MAX_CLAIM_PAUSE_MS = 800;
-const MAX_KEPT_BYTES = 64 * 1024;
+const INITIAL_CLAIM_DELAY_MS = 100;
+const MAX_CLAIM_DELAY_MS = 800;
+const MAX_STORED_BODY_BYTES = 64 * 1024;
 const DROPPED_HEADERS = new Set([
   "connection",
   "keep-alive",
@@ -61,8 +61,8 @@
 ]);
 
 /** One answer of one target, judged. */
-type Attempt =
-  | { readonly kind: "answer"; readonly answer: PlainAnswer }
+type AttemptResult =
+  | { readonly kind: "answer"; readonly answer: PlainResponse }
   /** No byte that could start the work was handed over. */
   | { readonly kind: "notRun"; readonly withheld: boolean }
   | { readonly kind: "unknown"; readonly error: ServeError };
@@ -71,7 +71,7 @@
 export async function callPlainService(
   host: GatewayHost,
   request: PlainRequest,
-): Promise<PlainAnswer> {
+): Promise<PlainResponse> {
   const { service, method, key } = request;
   if (service.idempotentMethods.includes(method)) {
     return await callIdempotent(host, request);
@@ -84,17 +84,17 @@
     }
     return await callOnce(host, request, undefined);
   }
-  const claimed = await claimInTime(host, request, key);
-  return await callClaimed(host, request, claimed);
+  const claimed = await claimBeforeDeadline(host, request, key);
+  return await callWithClaimResult(host, request, claimed);
 }
 
 /** Claims the key; while another call with it is in progress, waits for that one's answer. */
-async function claimInTime(
+async function claimBeforeDeadline(
   host: GatewayHost,
   request: PlainRequest,
   key: NonNullable<PlainRequest["key"]>,
-): Promise<ClaimAnswer> {
-  let pauseMs = FIRST_CLAIM_PAUSE_MS;
+): Promise<ClaimResult> {
+  let pauseMs = INITIAL_CLAIM_DELAY_MS;
   while (true) {
     const claimed = await host.claims.claim({
       key: key.text,
@@ -106,20 +106,20 @@
     const leftMs = request.deadlineAtMs - host.clock.readMonotonicMs();
     if (!isInProgress || leftMs <= pauseMs) return claimed;
     await sleep(pauseMs);
-    pauseMs = Math.min(MAX_CLAIM_PAUSE_MS, pauseMs * 2);
+    pauseMs = Math.min(MAX_CLAIM_DELAY_MS, pauseMs * 2);
   }
 }
 
-async function callClaimed(
+async function callWithClaimResult(
   host: GatewayHost,
   request: PlainRequest,
-  claimed: ClaimAnswer,
-): Promise<PlainAnswer> {
+  claimed: ClaimResult,
+): Promise<PlainResponse> {
   switch (claimed.kind) {
     case "granted":
       return await callOnce(host, request, claimed.claim);
     case "answered":
-      return restoreAnswer(claimed.answer);
+      return restoreResponse(claimed.answer);
     case "refused": {
       const passable = claimed.error.kind === "platformUnavailable" &&
         request.service.honoursKey;
@@ -134,7 +134,7 @@
   host: GatewayHost,
   request: PlainRequest,
   granted: HeldClaim | undefined,
-): Promise<PlainAnswer> {
+): Promise<PlainResponse> {
   const failed = new Set<string>();
   let claim = granted;
   let renewed = false;
@@ -148,9 +148,9 @@
     }
     const held = claim;
     const guard = held && (() => held.isValid());
-    const attempt = await sendTo(host, request, candidate, guard);
+    const attempt = await sendAttempt(host, request, candidate, guard);
     if (attempt.kind === "answer") {
-      claim?.conclude(buildKeptAnswer(attempt.answer));
+      claim?.conclude(buildStoredResponse(attempt.answer));
       return attempt.answer;
     }
     if (attempt.kind === "unknown") throw attempt.error;
@@ -159,7 +159,7 @@
       renewed = true;
       const again = await claim.renew();
       if (again.kind === "refused") throw again.error;
-      if (again.kind === "answered") return restoreAnswer(again.answer);
+      if (again.kind === "answered") return restoreResponse(again.answer);
       claim = again.claim;
       continue;
     }
@@ -170,7 +170,7 @@
       throw new ServeError("platformUnavailable", message, { run: "no" });
     }
     failed.add(candidate.id);
-    host.events.noteRetry("notSent");
+    host.events.recordRetry("notSent");
   }
 }
 
@@ -178,7 +178,7 @@
 async function callIdempotent(
   host: GatewayHost,
   request: PlainRequest,
-): Promise<PlainAnswer> {
+): Promise<PlainResponse> {
   const failed = new Set<string>();
   let last: ServeError | undefined;
   for (let tries = 0; tries < host.limits.maxTries; tries++) {
@@ -187,13 +187,13 @@
     if (candidate === undefined) break;
     if (tries > 0) {
       if (!host.retries.spendRetry()) break;
-      host.events.noteRetry(last?.kind ?? "notSent");
+      host.events.recordRetry(last?.kind ?? "notSent");
     }
     const attempt = await sendHedged(host, request, candidate, failed);
     if (attempt.kind === "answer") return attempt.answer;
     failed.add(candidate.id);
     if (attempt.kind === "unknown") last = attempt.error;
-    if (!request.watched.mayRepeat()) break;
+    if (!request.admitted.mayRetry()) break;
     if (host.clock.readMonotonicMs() >= request.deadlineAtMs) break;
   }
   throw last ??
@@ -205,16 +205,16 @@
   request: PlainRequest,
   candidate: Candidate,
   failed: ReadonlySet<string>,
-): Promise<Attempt> {
-  const first = sendTo(host, request, candidate);
+): Promise<AttemptResult> {
+  const first = sendAttempt(host, request, candidate);
   const { hedgeAfterMs } = request.profile;
   if (hedgeAfterMs === 0) return await first;
   const early = await Promise.race([first, sleep(hedgeAfterMs)]);
   if (early !== undefined) return early;
   const other = pickTarget(host, request, new Set([...failed, candidate.id]));
   if (other === undefined || !host.retries.spendRetry()) return await first;
-  host.events.noteHedge();
-  const second = sendTo(host, request, other);
+  host.events.recordHedge();
+  const second = sendAttempt(host, request, other);
   const winner = await Promise.race([first, second]);
   if (winner.kind === "answer") return winner;
   const results = await Promise.all([first, second]);
@@ -236,12 +236,12 @@
   );
 }
 
-async function sendTo(
+async function sendAttempt(
   host: GatewayHost,
   request: PlainRequest,
   candidate: Candidate,
   guard?: () => boolean,
-): Promise<Attempt> {
+): Promise<AttemptResult> {
   const target = host.targets.findTarget(candidate.id);
   const nowMs = host.clock.readMonotonicMs();
   const timeoutMs = Math.ceil(request.deadlineAtMs - nowMs);
@@ -249,7 +249,7 @@
     return { kind: "notRun", withheld: false };
   }
   const tryId = createId("try");
-  const work = host.tracker.begin(target.id, 0, nowMs);
+  const work = host.loadTracker.begin(target.id, 0, nowMs);
   const answer = await host.targets.getService(target).send({
     tryId,
     method: request.method,
@@ -262,19 +262,19 @@
       (guard?.() ?? true),
   });
   work.end(host.clock.readMonotonicMs());
-  if (answer.kind === "answer") host.targets.noteSuccess(target.id);
-  else if (answer.kind !== "withheld") host.targets.noteFailure(target.id);
+  if (answer.kind === "answer") host.targets.recordSuccess(target.id);
+  else if (answer.kind !== "withheld") host.targets.recordFailure(target.id);
   if (answer.kind === "broken") {
-    request.watched.noteLost(target, answer.detail);
+    request.admitted.recordLoss(target, answer.detail);
   }
-  return judgeAnswer(answer, tryId, request.service);
+  return classifyResponse(answer, tryId, request.service);
 }
 
-function judgeAnswer(
-  answer: WholeAnswer,
+function classifyResponse(
+  answer: BufferedResponse,
   tryId: string,
   service: PlainService,
-): Attempt {
+): AttemptResult {
   switch (answer.kind) {
     case "notSent":
       return { kind: "notRun", withheld: false };
@@ -318,13 +318,13 @@
   return headers;
 }
 
-function buildKeptAnswer(answer: PlainAnswer): KeptAnswer {
+function buildStoredResponse(answer: PlainResponse): StoredResponse {
   const { status, headers, body } = answer;
-  if (body.length > MAX_KEPT_BYTES) return { status, headers };
+  if (body.length > MAX_STORED_BODY_BYTES) return { status, headers };
   return { status, headers, body: body.toString("base64") };
 }
 
-function restoreAnswer(kept: KeptAnswer): PlainAnswer {
+function restoreResponse(kept: StoredResponse): PlainResponse {
   if (kept.body === undefined) {
     const message =
       "the call ran and was answered; its answer was too large to keep";
--- a/packages/heatherarch-gateway/request_facts.ts
+++ b/packages/heatherarch-gateway/request_params.ts
@@ -11,7 +11,7 @@
 import type { GenerationRequest } from "./openai_format.ts";
 
 /** Headers that end at this hop. */
-const HOP_HEADERS = new Set([
+const HOP_BY_HOP_HEADERS = new Set([
   "connection",
   "keep-alive",
   "proxy-authorization",
@@ -62,7 +62,7 @@
 }
 
 /** The most tokens of an answer, within the bounds of the profile. */
-export function checkTokens(
+export function computeMaxTokens(
   request: GenerationRequest,
   promptTokens: number,
   profile: Profile,
@@ -87,7 +87,7 @@
 ): Record<string, string> {
   const headers: Record<string, string> = {};
   for (const [name, value] of Object.entries(req.headers)) {
-    if (value === undefined || HOP_HEADERS.has(name)) continue;
+    if (value === undefined || HOP_BY_HOP_HEADERS.has(name)) continue;
     headers[name] = Array.isArray(value) ? value.join(", ") : value;
   }
   return headers;
--- a/packages/heatherarch-gateway/request_watch.ts
+++ b/packages/heatherarch-gateway/request_watch.ts
@@ -13,11 +13,11 @@
 import type { Target } from "heatherarch-settings";
 
 /** A request in progress. */
-export interface WatchedRequest {
+export interface AdmittedRequest {
   /** A try that was sent got no answer. */
-  noteLost(target: Target, reason: string): void;
+  recordLoss(target: Target, reason: string): void;
   /** Whether the system may retry the request. */
-  mayRepeat(): boolean;
+  mayRetry(): boolean;
   /** The request has ended; `isWhole` after a whole answer. To be called once. */
   end(isWhole: boolean): void;
 }
@@ -25,13 +25,13 @@
 /** Admits requests. */
 export interface RequestWatch {
   /** Throws a {@linkcode ServeError} if the request may not be sent. */
-  admit(content: RequestContent, requestId: string): WatchedRequest;
+  admit(content: RequestContent, requestId: string): AdmittedRequest;
 }
 
 /** Options of {@linkcode QuarantineWatch}. */
 export interface QuarantineWatchOptions {
   readonly quarantine: RequestQuarantine;
-  readonly losses: CrashDetector;
+  readonly crashDetector: CrashDetector;
   readonly clock: Clock;
 }
 
@@ -41,15 +41,15 @@
 export class QuarantineWatch implements RequestWatch {
   readonly #options: QuarantineWatchOptions;
   /** Current incarnation of each target, as named by this VM. */
-  readonly #lives = new Map<string, string>();
+  readonly #incarnations = new Map<string, string>();
 
   constructor(options: QuarantineWatchOptions) {
     this.#options = options;
   }
 
-  admit(content: RequestContent, requestId: string): WatchedRequest {
+  admit(content: RequestContent, requestId: string): AdmittedRequest {
     const request = hashRequest(content);
-    const { quarantine, losses, clock } = this.#options;
+    const { quarantine, crashDetector: losses, clock } = this.#options;
     const nowMs = clock.readMonotonicMs();
     const admission = quarantine.admit(request, nowMs);
     if (admission.kind === "quarantined") {
@@ -67,18 +67,18 @@
     }
     let hasLost = false;
     return {
-      noteLost: (target, reason) => {
+      recordLoss: (target, reason) => {
         hasLost = true;
         void losses.investigateLoss({
           call: requestId,
           request,
           account: content.host,
-          target: this.#nameLife(target.id),
+          target: this.#getIncarnation(target.id),
           address: target.address,
           reason,
         });
       },
-      mayRepeat: () => !hasLost || !quarantine.isLastTrial(request),
+      mayRetry: () => !hasLost || !quarantine.isLastTrial(request),
       end: (isWhole) => {
         if (admission.kind === "trial") admission.end();
         if (isWhole) quarantine.markSuccess(request, clock.readMonotonicMs());
@@ -87,24 +87,24 @@
   }
 
   /** A target crashed; later losses there belong to its next incarnation. */
-  noteEnded(life: string): void {
-    this.#lives.delete(getTargetId(life));
+  endIncarnation(life: string): void {
+    this.#incarnations.delete(getTargetId(life));
   }
 
-  #nameLife(id: string): string {
-    let life = this.#lives.get(id);
+  #getIncarnation(id: string): string {
+    let life = this.#incarnations.get(id);
     if (life === undefined) {
       // Targets do not report their incarnation, so VMs may name one differently.
-      life = createId(`${id}${LIFE_MARK}`);
-      this.#lives.set(id, life);
+      life = createId(`${id}${INCARNATION_SEPARATOR}`);
+      this.#incarnations.set(id, life);
     }
     return life;
   }
 }
 
-const LIFE_MARK = "#";
+const INCARNATION_SEPARATOR = "#";
 
 /** Id of the target of an incarnation. */
 export function getTargetId(life: string): string {
-  return life.slice(0, life.lastIndexOf(LIFE_MARK));
+  return life.slice(0, life.lastIndexOf(INCARNATION_SEPARATOR));
 }
--- a/packages/heatherarch-lab/bench/order_window.ts
+++ b/packages/heatherarch-lab/bench/order_window.ts
@@ -44,7 +44,7 @@
   };
   subscribe(BODY_SENT, onSent);
   for (let i = 0; i < ORDERS; i++) {
-    await engine.giveOrder({ kind: "setRole", role: "decode" }, {
+    await engine.sendOrder({ kind: "setRole", role: "decode" }, {
       fencing: i,
       guard: () => {
         checkedAtMs = performance.now();
--- a/packages/heatherarch-lab/proofs/fake_host.ts
+++ b/packages/heatherarch-lab/proofs/fake_host.ts
@@ -5,11 +5,11 @@
  */
 import { type Clock, RuntimeClock, ServeError } from "heatherarch-core";
 import type {
-  ClaimAnswer,
+  AdmittedRequest,
+  ClaimResult,
   GatewayHost,
   GenerationOptions,
-  RequestEnd,
-  WatchedRequest,
+  RequestResult,
 } from "heatherarch-gateway";
 import {
   type Candidate,
@@ -27,11 +27,11 @@
   type Target,
 } from "heatherarch-settings";
 import type {
+  BufferedResponse,
   EngineCall,
   EnginePort,
   EngineSink,
   ServiceCall,
-  WholeAnswer,
 } from "heatherarch-targets";
 
 /** One try that a fake engine was given. */
@@ -50,8 +50,8 @@
   readonly answerService?: (
     target: string,
     call: ServiceCall,
-  ) => Promise<WholeAnswer>;
-  readonly answerClaim?: () => Promise<ClaimAnswer>;
+  ) => Promise<BufferedResponse>;
+  readonly answerClaim?: () => Promise<ClaimResult>;
   readonly withResume?: boolean;
 }
 
@@ -59,15 +59,15 @@
 export interface FakeHost {
   readonly host: GatewayHost;
   readonly tries: FakeTry[];
-  readonly ends: RequestEnd[];
+  readonly ends: RequestResult[];
   /** Targets that get no new work. */
   readonly unusable: Set<string>;
 }
 
 /** A request that nothing is known of. */
-export const UNWATCHED: WatchedRequest = {
-  noteLost: () => undefined,
-  mayRepeat: () => true,
+export const UNWATCHED: AdmittedRequest = {
+  recordLoss: () => undefined,
+  mayRetry: () => true,
   end: () => undefined,
 };
 
@@ -80,7 +80,7 @@
   maxTokens: number,
 ): Omit<GenerationOptions, "host" | "sink"> {
   return {
-    watched: UNWATCHED,
+    admitted: UNWATCHED,
     requestId: "r",
     service: "reader",
     model: "m",
@@ -109,7 +109,7 @@
 /** Creates a host whose engines do nothing by themselves. */
 export function createFakeHost(options: FakeHostOptions): FakeHost {
   const tries: FakeTry[] = [];
-  const ends: RequestEnd[] = [];
+  const ends: RequestResult[] = [];
   const unusable = new Set<string>();
   const clock = options.clock ?? new RuntimeClock();
   const model = new EngineModel();
@@ -135,14 +135,16 @@
             Promise.resolve({ kind: "notSent", detail: "" }),
         close: () => Promise.resolve(),
       }),
-      noteFailure: () => undefined,
-      noteSuccess: () => undefined,
+      recordFailure: () => undefined,
+      recordSuccess: () => undefined,
     },
-    tracker: new LoadTracker({ reportLagMs: 0 }),
+    loadTracker: new LoadTracker({ reportLagMs: 0 }),
     model,
     demand: new DemandMeter(1000),
     retries: new RetryBudget({ share: 1, capacity: 100 }),
-    lookups: new LookupReserve({ share: settings.requests.lookupReserveShare }),
+    lookupReserve: new LookupReserve({
+      share: settings.requests.lookupReserveShare,
+    }),
     claims: {
       claim: options.answerClaim ??
         (() =>
@@ -151,12 +153,12 @@
             error: new ServeError("internal", "no claims"),
           })),
     },
-    requests: { admit: () => UNWATCHED },
+    requestWatch: { admit: () => UNWATCHED },
     events: {
-      noteEnd: (end) => ends.push(end),
-      noteRetry: () => undefined,
-      noteContinuation: () => undefined,
-      noteHedge: () => undefined,
+      recordResult: (end) => ends.push(end),
+      recordRetry: () => undefined,
+      recordContinuation: () => undefined,
+      recordHedge: () => undefined,
     },
     readRefusal: () => undefined,
     readFleet: () => null,
@@ -212,7 +214,7 @@
     readState: () => Promise.reject(new Error("not used")),
     generate: start,
     ...(withResume ? { resume: (call, _from, sink) => start(call, sink) } : {}),
-    giveOrder: () => Promise.resolve({ kind: "accepted" }),
+    sendOrder: () => Promise.resolve({ kind: "accepted" }),
     close: () => Promise.resolve(),
   };
 }
--- a/packages/heatherarch-lab/proofs/order_write_proof.ts
+++ b/packages/heatherarch-lab/proofs/order_write_proof.ts
@@ -41,7 +41,7 @@
   const hasAuthority = (): boolean => checksLeft-- > 0;
   try {
     if (!hasAuthority()) return;
-    await engine.giveOrder({ kind: "setRole", role: "decode" }, {
+    await engine.sendOrder({ kind: "setRole", role: "decode" }, {
       fencing: 1,
       guard: off === CHECK_BEFORE_WRITE ? () => true : hasAuthority,
       timeoutMs: 1000,
--- a/packages/heatherarch-lab/proofs/parser_proof.ts
+++ b/packages/heatherarch-lab/proofs/parser_proof.ts
@@ -6,7 +6,7 @@
  */
 import fc from "fast-check";
 import {
-  createLineParser,
+  createNdjsonParser,
   createSseParser,
   type EngineCall,
   PARSER_GUARDS,
@@ -74,7 +74,7 @@
   let failed = 0;
   const create = schedule.dialect === "sse"
     ? createSseParser
-    : createLineParser;
+    : createNdjsonParser;
   const parser = create(CALL, {
     onTokens: (texts) => {
       if (ended + failed === 0) text += texts.join("");
--- a/packages/heatherarch-lab/tests/unit/plain_call_test.ts
+++ b/packages/heatherarch-lab/tests/unit/plain_call_test.ts
@@ -3,12 +3,12 @@
 import { ServeError } from "heatherarch-core";
 import {
   callPlainService,
-  type ClaimAnswer,
+  type ClaimResult,
   type HeldClaim,
   type PlainRequest,
 } from "heatherarch-gateway";
 import { DEFAULT_PROFILE, type PlainService } from "heatherarch-settings";
-import type { WholeAnswer } from "heatherarch-targets";
+import type { BufferedResponse } from "heatherarch-targets";
 import {
   createFakeHost,
   type FakeHostOptions,
@@ -24,7 +24,7 @@
   echoesTryId: false,
 };
 const KEY = { text: "k", madeAtMs: 0, fingerprint: "f" };
-const ANSWER: WholeAnswer = {
+const ANSWER: BufferedResponse = {
   kind: "answer",
   status: 200,
   headers: {},
@@ -39,10 +39,10 @@
 
 /** A host with two targets that answer as told, and a claim that may be used or not. */
 function createScene(
-  answers: WholeAnswer[],
+  answers: BufferedResponse[],
   valid = true,
   host: Partial<FakeHostOptions> = {},
-  renewal?: ClaimAnswer,
+  renewal?: ClaimResult,
 ): Scene {
   const sent: string[] = [];
   const ended: string[] = [];
@@ -77,7 +77,7 @@
       body: undefined,
       deadlineAtMs: fake.host.clock.readMonotonicMs() + 1000,
       key: undefined,
-      watched: UNWATCHED,
+      admitted: UNWATCHED,
       ...fields,
     });
   return { sent, ended, call };
--- a/packages/heatherarch-targets/dispatch.ts
+++ b/packages/heatherarch-targets/dispatch.ts
@@ -34,7 +34,7 @@
 }
 
 /** A request in progress. */
-export interface Dispatched {
+export interface InFlightRequest {
   readonly isSent: boolean;
   /** Destroys the connection; no callback follows. */
   abort(): void;
@@ -47,7 +47,7 @@
   dispatcher: Dispatcher,
   options: DispatchOptions,
   sink: DispatchSink,
-): Dispatched {
+): InFlightRequest {
   const handler = new DispatchHandler(options, sink);
   try {
     dispatcher.dispatch(
@@ -67,13 +67,13 @@
   return handler;
 }
 
-class DispatchHandler implements Dispatcher.DispatchHandler, Dispatched {
+class DispatchHandler implements Dispatcher.DispatchHandler, InFlightRequest {
   readonly #options: DispatchOptions;
   readonly #sink: DispatchSink;
   #controller: Dispatcher.DispatchController | undefined;
-  #sent = false;
-  #withheld = false;
-  #finished = false;
+  #isSent = false;
+  #isWithheld = false;
+  #isFinished = false;
 
   constructor(options: DispatchOptions, sink: DispatchSink) {
     this.#options = options;
@@ -81,26 +81,26 @@
   }
 
   get isSent(): boolean {
-    return this.#sent;
+    return this.#isSent;
   }
 
   abort(): void {
-    this.#finished = true;
+    this.#isFinished = true;
     this.#controller?.abort(new AbortedError("abandoned"));
   }
 
   onRequestStart(controller: Dispatcher.DispatchController): void {
     this.#controller = controller;
-    if (this.#finished) {
+    if (this.#isFinished) {
       controller.abort(new AbortedError("abandoned"));
       return;
     }
     if (this.#options.guard !== undefined && !this.#options.guard()) {
-      this.#withheld = true;
+      this.#isWithheld = true;
       controller.abort(new AbortedError("withheld"));
       return;
     }
-    this.#sent = true;
+    this.#isSent = true;
   }
 
   onResponseStart(
@@ -108,7 +108,7 @@
     status: number,
     headers: Record<string, string | string[] | undefined>,
   ): void {
-    if (this.#finished || status < 200) return;
+    if (this.#isFinished || status < 200) return;
     this.#sink.onHead(status, headers);
   }
 
@@ -116,12 +116,12 @@
     _controller: Dispatcher.DispatchController,
     bytes: Buffer,
   ): void {
-    if (!this.#finished) this.#sink.onData(bytes);
+    if (!this.#isFinished) this.#sink.onData(bytes);
   }
 
   onResponseEnd(): void {
-    if (this.#finished) return;
-    this.#finished = true;
+    if (this.#isFinished) return;
+    this.#isFinished = true;
     this.#sink.onDone();
   }
 
@@ -129,8 +129,8 @@
     _controller: Dispatcher.DispatchController,
     error: Error,
   ): void {
-    if (this.#withheld) return this.fail("withheld", "the guard said no");
-    if (!this.#sent) return this.fail("notSent", error.message);
+    if (this.#isWithheld) return this.fail("withheld", "the guard said no");
+    if (!this.#isSent) return this.fail("notSent", error.message);
     const code = (error as { code?: string }).code ?? "";
     const silent = code === "UND_ERR_HEADERS_TIMEOUT" ||
       code === "UND_ERR_BODY_TIMEOUT";
@@ -138,14 +138,14 @@
   }
 
   fail(failure: DispatchFailure, detail: string): void {
-    if (this.#finished) return;
-    this.#finished = true;
+    if (this.#isFinished) return;
+    this.#isFinished = true;
     this.#sink.onFailure(failure, detail);
   }
 }
 
-/** A whole answer, as {@linkcode dispatchWhole} returns it. */
-export type WholeAnswer =
+/** A whole answer, as {@linkcode dispatchBuffered} returns it. */
+export type BufferedResponse =
   | {
     readonly kind: "answer";
     readonly status: number;
@@ -155,16 +155,16 @@
   | { readonly kind: DispatchFailure; readonly detail: string };
 
 /** Sends one request and gathers the whole answer. */
-export function dispatchWhole(
+export function dispatchBuffered(
   dispatcher: Dispatcher,
-  options: DispatchOptions & { maxAnswerBytes?: number },
-): Promise<WholeAnswer> {
+  options: DispatchOptions & { maxResponseBytes?: number },
+): Promise<BufferedResponse> {
   return new Promise((resolve) => {
     const parts: Buffer[] = [];
     let size = 0;
     let status = 0;
     let headers: Record<string, string | string[] | undefined> = {};
-    const limit = options.maxAnswerBytes ?? Infinity;
+    const limit = options.maxResponseBytes ?? Infinity;
     const sent = dispatch(dispatcher, options, {
       onHead: (code, fields) => {
         status = code;
--- a/packages/heatherarch-targets/engine_client.ts
+++ b/packages/heatherarch-targets/engine_client.ts
@@ -6,21 +6,25 @@
  */
 import { Client, Pool } from "undici";
 import type { EngineState } from "heatherarch-core";
-import type { AnswerParser, ParserFactory } from "./answer_parser.ts";
-import { dispatch, dispatchWhole, type WholeAnswer } from "./dispatch.ts";
+import type { ParserFactory, ResponseParser } from "./response_parser.ts";
+import {
+  type BufferedResponse,
+  dispatch,
+  dispatchBuffered,
+} from "./dispatch.ts";
 import type {
+  AttemptTimeouts,
+  EngineAttempt,
   EngineCall,
   EngineFailure,
   EngineSink,
-  EngineTry,
-  OrderAnswer,
-  TryTimeouts,
+  OrderResponse,
 } from "./engine_port.ts";
 
 const STATUS_CONFLICT = 409;
 const STATUS_FAILED_DEPENDENCY = 424;
 const STATUS_UNAVAILABLE = 503;
-const STATUS_TOO_MANY = 429;
+const STATUS_TOO_MANY_REQUESTS = 429;
 
 /** Options of an engine adapter. */
 export interface EngineOptions {
@@ -28,7 +32,7 @@
   readonly address: string;
   /** Most connections open at once. */
   readonly maxConnections: number;
-  readonly timeouts: TryTimeouts;
+  readonly timeouts: AttemptTimeouts;
 }
 
 /** Connections to one engine. */
@@ -52,9 +56,9 @@
     path: string,
     options: { timeoutMs: number; fresh?: boolean },
   ): Promise<unknown> {
-    const client = options.fresh ? this.#openFresh() : undefined;
+    const client = options.fresh ? this.#openConnection() : undefined;
     try {
-      const answer = await dispatchWhole(client ?? this.#pool, {
+      const answer = await dispatchBuffered(client ?? this.#pool, {
         path,
         method: "GET",
         firstByteMs: options.timeoutMs,
@@ -77,10 +81,10 @@
     path: string,
     body: unknown,
     options: { guard: () => boolean; timeoutMs: number },
-  ): Promise<OrderAnswer> {
-    const client = this.#openFresh();
+  ): Promise<OrderResponse> {
+    const client = this.#openConnection();
     try {
-      const answer = await dispatchWhole(client, {
+      const answer = await dispatchBuffered(client, {
         path,
         method: "POST",
         headers: { "content-type": "application/json" },
@@ -89,26 +93,26 @@
         gapMs: options.timeoutMs,
         guard: options.guard,
       });
-      return buildOrderAnswer(answer);
+      return buildOrderResponse(answer);
     } finally {
       void client.destroy();
     }
   }
 
   /** Starts a streamed try. */
-  startTry(
+  startAttempt(
     request: { path: string; method: string; body?: string },
     call: EngineCall,
     sink: EngineSink,
     createParser: ParserFactory,
-  ): EngineTry {
+  ): EngineAttempt {
     const { firstByteMs, gapMs } = this.#options.timeouts;
-    const silence = new SilenceTimer({ firstByteMs, gapMs }, () => {
+    const silence = new IdleTimer({ firstByteMs, gapMs }, () => {
       guarded.onFailure("silent", "no byte came for too long");
     });
-    let parser: AnswerParser | undefined;
+    let parser: ResponseParser | undefined;
     let refusal: number | undefined;
-    const guarded = closeAfterEnd(sink, {
+    const guarded = createClosingSink(sink, {
       stopTimer: () => silence.stop(),
       abort: () => sent?.abort(),
     });
@@ -128,12 +132,12 @@
         else refusal = status;
       },
       onData: (bytes) => {
-        silence.noteBytes();
+        silence.recordBytes();
         parser?.push(bytes);
       },
       onDone: () => {
         if (refusal !== undefined) {
-          guarded.onFailure(judgeStatus(refusal), `status ${refusal}`);
+          guarded.onFailure(classifyStatus(refusal), `status ${refusal}`);
         } else parser?.finish();
       },
       onFailure: (failure, detail) => {
@@ -155,7 +159,7 @@
     await this.#pool.destroy();
   }
 
-  #openFresh(): Client {
+  #openConnection(): Client {
     return new Client(`http://${this.#options.address}`, {
       connect: { timeout: this.#options.timeouts.connectMs },
     });
@@ -167,7 +171,7 @@
   close(): void;
 }
 
-function closeAfterEnd(
+function createClosingSink(
   sink: EngineSink,
   hooks: { stopTimer: () => void; abort: () => void },
 ): ClosingSink {
@@ -197,29 +201,29 @@
 }
 
 /** Judges an answer silent: by one limit up to its first byte, by another after it. */
-class SilenceTimer {
+class IdleTimer {
   readonly #gapMs: number;
-  readonly #onSilent: () => void;
+  readonly #onTimeout: () => void;
   #timer: NodeJS.Timeout;
-  #heard = false;
+  #hasReceived = false;
 
   constructor(
     limits: { firstByteMs: number; gapMs: number },
     onSilent: () => void,
   ) {
     this.#gapMs = limits.gapMs;
-    this.#onSilent = onSilent;
+    this.#onTimeout = onSilent;
     this.#timer = setTimeout(onSilent, limits.firstByteMs);
   }
 
-  noteBytes(): void {
-    if (this.#heard) {
+  recordBytes(): void {
+    if (this.#hasReceived) {
       this.#timer.refresh();
       return;
     }
-    this.#heard = true;
+    this.#hasReceived = true;
     clearTimeout(this.#timer);
-    this.#timer = setTimeout(this.#onSilent, this.#gapMs);
+    this.#timer = setTimeout(this.#onTimeout, this.#gapMs);
   }
 
   stop(): void {
@@ -228,15 +232,15 @@
 }
 
 /** What a status other than 200 means for a try. */
-function judgeStatus(status: number): EngineFailure {
-  if (status === STATUS_UNAVAILABLE || status === STATUS_TOO_MANY) {
+function classifyStatus(status: number): EngineFailure {
+  if (status === STATUS_UNAVAILABLE || status === STATUS_TOO_MANY_REQUESTS) {
     return "refused";
   }
   if (status === STATUS_FAILED_DEPENDENCY) return "kvGone";
   return status >= 500 ? "broken" : "invalid";
 }
 
-function buildOrderAnswer(answer: WholeAnswer): OrderAnswer {
+function buildOrderResponse(answer: BufferedResponse): OrderResponse {
   switch (answer.kind) {
     case "answer":
       if (answer.status === 200) return { kind: "accepted" };
--- a/packages/heatherarch-targets/engine_port.ts
+++ b/packages/heatherarch-targets/engine_port.ts
@@ -26,7 +26,7 @@
 }
 
 /** How a try ended on the engine's own word. */
-export interface EngineEnd {
+export interface EngineResult {
   readonly reason: "length" | "stop";
   readonly promptTokens: number;
   readonly cachedTokens: number;
@@ -54,12 +54,12 @@
 export interface EngineSink {
   /** Tokens that arrived together, in order. */
   onTokens(texts: readonly string[]): void;
-  onEnd(end: EngineEnd): void;
+  onEnd(end: EngineResult): void;
   onFailure(failure: EngineFailure, detail: string): void;
 }
 
 /** A try in progress. */
-export interface EngineTry {
+export interface EngineAttempt {
   /** Abandons the try: its connection is destroyed and nothing more is delivered. */
   abort(): void;
   /** Whether any byte of the request was handed to the engine. */
@@ -67,7 +67,7 @@
 }
 
 /** Answer to an order. */
-export type OrderAnswer =
+export type OrderResponse =
   | { readonly kind: "accepted" }
   /** The engine has obeyed a higher fencing number. */
   | { readonly kind: "fenced" }
@@ -77,7 +77,7 @@
   | { readonly kind: "unknown"; readonly detail: string };
 
 /** Time limits of a try, milliseconds. */
-export interface TryTimeouts {
+export interface AttemptTimeouts {
   readonly connectMs: number;
   readonly firstByteMs: number;
   readonly gapMs: number;
@@ -90,16 +90,16 @@
     options: { timeoutMs: number; fresh?: boolean },
   ): Promise<EngineState>;
   /** Starts a try. */
-  generate(call: EngineCall, sink: EngineSink): EngineTry;
+  generate(call: EngineCall, sink: EngineSink): EngineAttempt;
   /** Fetches the rest of a broken answer, from token `from` on; undefined where unsupported. */
-  resume?(call: EngineCall, from: number, sink: EngineSink): EngineTry;
+  resume?(call: EngineCall, from: number, sink: EngineSink): EngineAttempt;
   /**
    * Gives an order over a fresh connection. `guard` is asked in the synchronous turn that
    * writes the order.
    */
-  giveOrder(
+  sendOrder(
     order: EngineOrder,
     options: { fencing: number; guard: () => boolean; timeoutMs: number },
-  ): Promise<OrderAnswer>;
+  ): Promise<OrderResponse>;
   close(): Promise<void>;
 }
--- a/packages/heatherarch-targets/mod.ts
+++ b/packages/heatherarch-targets/mod.ts
@@ -4,7 +4,7 @@
  * @module
  */
 export * from "./dispatch.ts";
-export * from "./answer_parser.ts";
+export * from "./response_parser.ts";
 export type { EngineOptions } from "./engine_client.ts";
 export * from "./engine_port.ts";
 export * from "./engine_registry.ts";
--- a/packages/heatherarch-targets/ndjson_engine.ts
+++ b/packages/heatherarch-targets/ndjson_engine.ts
@@ -6,32 +6,32 @@
  */
 import { z } from "zod";
 import type { EngineOrder, EngineRole, EngineState } from "heatherarch-core";
-import { AnswerParser, type ParserOptions } from "./answer_parser.ts";
+import { type ParserOptions, ResponseParser } from "./response_parser.ts";
 import {
   checkEngineState,
   EngineClient,
   type EngineOptions,
 } from "./engine_client.ts";
 import type {
+  EngineAttempt,
   EngineCall,
   EnginePort,
   EngineSink,
-  EngineTry,
-  OrderAnswer,
+  OrderResponse,
 } from "./engine_port.ts";
 
-const MODES = {
+const ROLE_BY_MODE = {
   P: "prefill",
   D: "decode",
   PD: "mixed",
 } as const satisfies Record<string, EngineRole>;
-const MODE_OF_ROLE: Record<EngineRole, keyof typeof MODES> = {
+const MODE_BY_ROLE: Record<EngineRole, keyof typeof ROLE_BY_MODE> = {
   prefill: "P",
   decode: "D",
   mixed: "PD",
 };
 
-const STATE = z.object({
+const STATE_SCHEMA = z.object({
   mode: z.enum(["P", "D", "PD"]),
   weights: z.string(),
   reconfiguring: z.boolean(),
@@ -42,7 +42,7 @@
   cache_pct: z.number(),
 });
 
-interface Line {
+interface ResponseLine {
   tag?: string;
   s?: string;
   end?: string;
@@ -65,12 +65,12 @@
   async readState(
     options: { timeoutMs: number; fresh?: boolean },
   ): Promise<EngineState> {
-    const state = STATE.parse(
+    const state = STATE_SCHEMA.parse(
       await this.#client.readJson("/metrics.json", options),
     );
     const [model, version = ""] = state.weights.split("@");
     return checkEngineState({
-      role: MODES[state.mode],
+      role: ROLE_BY_MODE[state.mode],
       model,
       version,
       busyWithOrder: state.reconfiguring,
@@ -83,7 +83,7 @@
     });
   }
 
-  generate(call: EngineCall, sink: EngineSink): EngineTry {
+  generate(call: EngineCall, sink: EngineSink): EngineAttempt {
     const body = JSON.stringify({
       weights: call.model,
       input: call.prompt,
@@ -94,15 +94,15 @@
       import: call.kvImport,
     });
     const request = { path: "/generate", method: "POST", body };
-    return this.#client.startTry(request, call, sink, createLineParser);
+    return this.#client.startAttempt(request, call, sink, createNdjsonParser);
   }
 
-  giveOrder(
+  sendOrder(
     order: EngineOrder,
     options: { fencing: number; guard: () => boolean; timeoutMs: number },
-  ): Promise<OrderAnswer> {
+  ): Promise<OrderResponse> {
     const change = order.kind === "setRole"
-      ? { set: "mode", mode: MODE_OF_ROLE[order.role] }
+      ? { set: "mode", mode: MODE_BY_ROLE[order.role] }
       : { set: "weights", weights: `${order.model}@${order.version}` };
     // The engine ignores `ref`; it stands in the engine's own log for operators.
     const body = { ...change, ref: options.fencing };
@@ -115,25 +115,25 @@
 }
 
 /** Creates the parser of one answer. */
-export function createLineParser(
+export function createNdjsonParser(
   call: EngineCall,
   sink: EngineSink,
   options: ParserOptions = {},
-): AnswerParser {
-  return new LineAnswerParser(call, sink, options);
+): ResponseParser {
+  return new NdjsonResponseParser(call, sink, options);
 }
 
 /** Reads lines, checks that each carries the try's id, and passes on tokens. */
-class LineAnswerParser extends AnswerParser {
-  #pending: Buffer = Buffer.alloc(0);
+class NdjsonResponseParser extends ResponseParser {
+  #incompleteLine: Buffer = Buffer.alloc(0);
 
   override push(bytes: Buffer): void {
-    const data = this.#pending.length === 0
+    const data = this.#incompleteLine.length === 0
       ? bytes
-      : Buffer.concat([this.#pending, bytes]);
+      : Buffer.concat([this.#incompleteLine, bytes]);
     const texts: string[] = [];
     let at = 0;
-    let end: Line | undefined;
+    let end: ResponseLine | undefined;
     for (
       let cut = data.indexOf(NEWLINE);
       cut !== -1;
@@ -141,21 +141,21 @@
     ) {
       const line = parseLine(data.toString("utf8", at, cut));
       at = cut + 1;
-      if (line === undefined || !this.isOwn(line.tag)) {
-        return this.failMismatched();
+      if (line === undefined || !this.matchesAttempt(line.tag)) {
+        return this.reportMismatch();
       }
       if (line.s) texts.push(line.s);
       if (line.end) end = line;
     }
-    this.#pending = data.subarray(at);
-    if (this.#pending.length > MAX_LINE_BYTES) {
+    this.#incompleteLine = data.subarray(at);
+    if (this.#incompleteLine.length > MAX_LINE_BYTES) {
       return this.sink.onFailure("broken", "a line is too long");
     }
     if (texts.length > 0) this.sink.onTokens(texts);
-    if (end !== undefined) this.#end(end);
+    if (end !== undefined) this.#handleEnd(end);
   }
 
-  #end(line: Line): void {
+  #handleEnd(line: ResponseLine): void {
     this.sink.onEnd({
       reason: line.end === "stop" ? "stop" : "length",
       promptTokens: line.in ?? 0,
@@ -165,9 +165,9 @@
   }
 }
 
-function parseLine(text: string): Line | undefined {
+function parseLine(text: string): ResponseLine | undefined {
   try {
-    return JSON.parse(text) as Line;
+    return JSON.parse(text) as ResponseLine;
   } catch {
     return undefined;
   }
--- a/packages/heatherarch-targets/answer_parser.ts
+++ b/packages/heatherarch-targets/response_parser.ts
@@ -4,7 +4,7 @@
  *
  * @module
  */
-import type { EngineCall, EngineEnd, EngineSink } from "./engine_port.ts";
+import type { EngineCall, EngineResult, EngineSink } from "./engine_port.ts";
 
 /** Guards of the parsers; the proofs switch them off one at a time. */
 export const PARSER_GUARDS = ["tryIdMatch", "endMarker"] as const;
@@ -20,25 +20,25 @@
 export type ParserFactory = (
   call: EngineCall,
   sink: EngineSink,
-) => AnswerParser;
+) => ResponseParser;
 
 /** What an answer without its end marker would be taken for without the guard. */
-const UNMARKED_END: EngineEnd = {
+const UNMARKED_RESULT: EngineResult = {
   reason: "stop",
   promptTokens: 0,
   cachedTokens: 0,
 };
 
 /** The parser of one answer. */
-export abstract class AnswerParser {
+export abstract class ResponseParser {
   protected readonly sink: EngineSink;
   readonly #tryId: string;
-  readonly #off: ReadonlySet<ParserGuard>;
+  readonly #disabledGuards: ReadonlySet<ParserGuard>;
 
   constructor(call: EngineCall, sink: EngineSink, options: ParserOptions) {
     this.#tryId = call.tryId;
     this.sink = sink;
-    this.#off = options.disabledGuards ?? new Set();
+    this.#disabledGuards = options.disabledGuards ?? new Set();
   }
 
   /** Takes in bytes. */
@@ -46,16 +46,18 @@
 
   /** The connection ended; an answer without its end marker is broken. */
   finish(): void {
-    if (this.#off.has("endMarker")) return this.sink.onEnd(UNMARKED_END);
+    if (this.#disabledGuards.has("endMarker")) {
+      return this.sink.onEnd(UNMARKED_RESULT);
+    }
     this.sink.onFailure("broken", "the answer ended without its end marker");
   }
 
   /** Whether a part of an answer belongs to this try. */
-  protected isOwn(tryId: string | undefined): boolean {
-    return tryId === this.#tryId || this.#off.has("tryIdMatch");
+  protected matchesAttempt(tryId: string | undefined): boolean {
+    return tryId === this.#tryId || this.#disabledGuards.has("tryIdMatch");
   }
 
-  protected failMismatched(): void {
+  protected reportMismatch(): void {
     this.sink.onFailure(
       "mismatched",
       "a part of the answer does not carry the id of this try",
--- a/packages/heatherarch-targets/service_port.ts
+++ b/packages/heatherarch-targets/service_port.ts
@@ -6,7 +6,7 @@
 import { Pool } from "undici";
 import { z } from "zod";
 import type { ServiceState } from "heatherarch-core";
-import { dispatchWhole, type WholeAnswer } from "./dispatch.ts";
+import { type BufferedResponse, dispatchBuffered } from "./dispatch.ts";
 import type { EngineOptions } from "./engine_client.ts";
 
 /** One try at a call on a plain service. */
@@ -24,15 +24,15 @@
 /** One target of a plain service. */
 export interface ServicePort {
   readState(options: { timeoutMs: number }): Promise<ServiceState>;
-  send(call: ServiceCall): Promise<WholeAnswer>;
+  send(call: ServiceCall): Promise<BufferedResponse>;
   close(): Promise<void>;
 }
 
-const STATE = z.object({
+const STATE_SCHEMA = z.object({
   running: z.number().min(0),
   leaving: z.boolean().default(false),
 });
-const MAX_ANSWER_BYTES = 64 * 1024 * 1024;
+const MAX_RESPONSE_BYTES = 64 * 1024 * 1024;
 /** Path at which a service reports its load. */
 const LOAD_PATH = "/-/load";
 
@@ -49,7 +49,7 @@
   }
 
   async readState(options: { timeoutMs: number }): Promise<ServiceState> {
-    const answer = await dispatchWhole(this.#pool, {
+    const answer = await dispatchBuffered(this.#pool, {
       path: LOAD_PATH,
       method: "GET",
       firstByteMs: options.timeoutMs,
@@ -58,11 +58,11 @@
     if (answer.kind !== "answer") {
       throw new Error(`service load: ${answer.detail}`);
     }
-    return STATE.parse(JSON.parse(answer.body.toString("utf8")));
+    return STATE_SCHEMA.parse(JSON.parse(answer.body.toString("utf8")));
   }
 
-  send(call: ServiceCall): Promise<WholeAnswer> {
-    return dispatchWhole(this.#pool, {
+  send(call: ServiceCall): Promise<BufferedResponse> {
+    return dispatchBuffered(this.#pool, {
       path: call.path,
       method: call.method,
       headers: { ...call.headers, "x-try-id": call.tryId },
@@ -70,7 +70,7 @@
       firstByteMs: call.timeoutMs,
       gapMs: call.timeoutMs,
       guard: call.guard,
-      maxAnswerBytes: MAX_ANSWER_BYTES,
+      maxResponseBytes: MAX_RESPONSE_BYTES,
     });
   }
 
--- a/packages/heatherarch-targets/sse_engine.ts
+++ b/packages/heatherarch-targets/sse_engine.ts
@@ -7,21 +7,21 @@
 import { createParser, type EventSourceParser } from "eventsource-parser";
 import { z } from "zod";
 import type { EngineOrder, EngineState } from "heatherarch-core";
-import { AnswerParser, type ParserOptions } from "./answer_parser.ts";
+import { type ParserOptions, ResponseParser } from "./response_parser.ts";
 import {
   checkEngineState,
   EngineClient,
   type EngineOptions,
 } from "./engine_client.ts";
 import type {
+  EngineAttempt,
   EngineCall,
   EnginePort,
   EngineSink,
-  EngineTry,
-  OrderAnswer,
+  OrderResponse,
 } from "./engine_port.ts";
 
-const STATE = z.object({
+const STATE_SCHEMA = z.object({
   role: z.enum(["prefill", "decode", "mixed"]),
   model: z.string(),
   version: z.string(),
@@ -52,7 +52,9 @@
   async readState(
     options: { timeoutMs: number; fresh?: boolean },
   ): Promise<EngineState> {
-    const state = STATE.parse(await this.#client.readJson("/state", options));
+    const state = STATE_SCHEMA.parse(
+      await this.#client.readJson("/state", options),
+    );
     return checkEngineState({
       role: state.role,
       model: state.model,
@@ -67,7 +69,7 @@
     });
   }
 
-  generate(call: EngineCall, sink: EngineSink): EngineTry {
+  generate(call: EngineCall, sink: EngineSink): EngineAttempt {
     const body = JSON.stringify({
       model: call.model,
       prompt: call.prompt,
@@ -79,12 +81,12 @@
       kv_import: call.kvImport,
     });
     const request = { path: "/v1/completions", method: "POST", body };
-    return this.#client.startTry(request, call, sink, createSseParser);
+    return this.#client.startAttempt(request, call, sink, createSseParser);
   }
 
-  resume(call: EngineCall, from: number, sink: EngineSink): EngineTry {
+  resume(call: EngineCall, from: number, sink: EngineSink): EngineAttempt {
     const path = `/v1/streams/${call.tryId}?from=${from}`;
-    return this.#client.startTry(
+    return this.#client.startAttempt(
       { path, method: "GET" },
       call,
       sink,
@@ -92,10 +94,10 @@
     );
   }
 
-  giveOrder(
+  sendOrder(
     order: EngineOrder,
     options: { fencing: number; guard: () => boolean; timeoutMs: number },
-  ): Promise<OrderAnswer> {
+  ): Promise<OrderResponse> {
     return this.#client.sendOrder("/orders", {
       fencing: options.fencing,
       ...order,
@@ -112,55 +114,55 @@
   call: EngineCall,
   sink: EngineSink,
   options: ParserOptions = {},
-): AnswerParser {
-  return new SseAnswerParser(call, sink, options);
+): ResponseParser {
+  return new SseResponseParser(call, sink, options);
 }
 
 /** Reads events, checks that each carries the try's id, and passes on tokens. */
-class SseAnswerParser extends AnswerParser {
+class SseResponseParser extends ResponseParser {
   readonly #parser: EventSourceParser;
   readonly #decoder = new TextDecoder();
-  #texts: string[] = [];
-  #last: Chunk | undefined;
+  #pendingTexts: string[] = [];
+  #finalChunk: Chunk | undefined;
 
   constructor(call: EngineCall, sink: EngineSink, options: ParserOptions) {
     super(call, sink, options);
     this.#parser = createParser({
-      onEvent: (event) => this.#takeEvent(event.data),
+      onEvent: (event) => this.#handleEvent(event.data),
     });
   }
 
   override push(bytes: Buffer): void {
     this.#parser.feed(this.#decoder.decode(bytes, { stream: true }));
-    if (this.#texts.length === 0) return;
-    const texts = this.#texts;
-    this.#texts = [];
+    if (this.#pendingTexts.length === 0) return;
+    const texts = this.#pendingTexts;
+    this.#pendingTexts = [];
     this.sink.onTokens(texts);
   }
 
-  #takeEvent(data: string): void {
-    if (data === "[DONE]") return this.#end();
+  #handleEvent(data: string): void {
+    if (data === "[DONE]") return this.#handleEnd();
     const chunk = parseChunk(data);
-    if (chunk === undefined || !this.isOwn(chunk.id)) {
-      this.#texts = [];
-      return this.failMismatched();
+    if (chunk === undefined || !this.matchesAttempt(chunk.id)) {
+      this.#pendingTexts = [];
+      return this.reportMismatch();
     }
     const choice = chunk.choices?.[0];
-    if (choice?.text) this.#texts.push(choice.text);
-    if (choice?.finish_reason) this.#last = chunk;
+    if (choice?.text) this.#pendingTexts.push(choice.text);
+    if (choice?.finish_reason) this.#finalChunk = chunk;
   }
 
-  #end(): void {
-    const last = this.#last;
+  #handleEnd(): void {
+    const last = this.#finalChunk;
     if (last === undefined) {
       return this.sink.onFailure(
         "broken",
         "the end marker came without a finish reason",
       );
     }
-    if (this.#texts.length > 0) {
-      const texts = this.#texts;
-      this.#texts = [];
+    if (this.#pendingTexts.length > 0) {
+      const texts = this.#pendingTexts;
+      this.#pendingTexts = [];
       this.sink.onTokens(texts);
     }
     this.sink.onEnd({
--- a/packages/heatherarch-targets/tests/unit/dispatch_test.ts
+++ b/packages/heatherarch-targets/tests/unit/dispatch_test.ts
@@ -3,7 +3,7 @@
 import type { AddressInfo } from "node:net";
 import { after, before, test } from "node:test";
 import { Client } from "undici";
-import { dispatchWhole } from "../../mod.ts";
+import { dispatchBuffered } from "../../mod.ts";
 
 let server: Server;
 let url: string;
@@ -27,7 +27,7 @@
 
 function send(path: string, guard?: () => boolean, to = url) {
   const client = new Client(to, { connect: { timeout: 500 } });
-  const sent = dispatchWhole(client, {
+  const sent = dispatchBuffered(client, {
     path,
     method: "POST",
     body: "x",
