--- a/packages/heatherarch-targets/response_parser.ts
+++ b/packages/heatherarch-targets/response_parser.ts
@@ -23,7 +23,7 @@
 ) => ResponseParser;
 
 /** What an answer without its end marker would be taken for without the guard. */
-const UNMARKED_RESULT: EngineResult = {
+const UNMARKED: EngineResult = {
   reason: "stop",
   promptTokens: 0,
   cachedTokens: 0,
@@ -46,9 +46,7 @@
 
   /** The connection ended; an answer without its end marker is broken. */
   finish(): void {
-    if (this.#disabledGuards.has("endMarker")) {
-      return this.sink.onEnd(UNMARKED_RESULT);
-    }
+    if (this.#disabledGuards.has("endMarker")) return this.sink.onEnd(UNMARKED);
     this.sink.onFailure("broken", "the answer ended without its end marker");
   }
 
