--- a/packages/heatherarch-forward/forward_vm.ts
+++ b/packages/heatherarch-forward/forward_vm.ts
@@ -24,7 +24,7 @@
 import { type EventLog, formatAge, StdoutEventLog } from "./event_log.ts";
 import { Ingress } from "./tasks/ingress.ts";
 import type { Target } from "./model.ts";
-import { QuarantineKeeper } from "./tasks/quarantine_keeper.ts";
+import { QuarantinePersistence } from "./tasks/quarantine_persistence.ts";
 import { buildCallDependencies, SWEEP_INTERVAL_MS } from "./vm_dependencies.ts";
 import {
   buildMesh,
@@ -173,7 +173,7 @@
       clock: this.#clock,
       log: this.#log,
       countVms: () => this.#liveVms,
-      getListAgeMs: () => this.#components.storeReader.getKnownAgeMs(),
+      getListAgeMs: () => this.#components.storeReader.getEffectiveListAgeMs(),
       refreshTargetList: () => this.#components.storeReader.refreshList(),
     });
     for (const [name, part] of Object.entries(dependencies)) {
@@ -217,7 +217,7 @@
       ),
       storeReader: asValue(buildStoreReader(options)),
       quarantinePersistence: asValue(
-        new QuarantineKeeper({
+        new QuarantinePersistence({
           topic: ports.directory.quarantine,
           quarantine: components.quarantine,
           clock: components.clock,
@@ -270,25 +270,25 @@
   /** Surveys the KV caches of the engines once the engines and the VMs are listed. */
   #surveyCachesOnceListed(): void {
     const components = this.#components;
-    const listPrefillEngines = (): Target[] =>
+    const listEngines = (): Target[] =>
       components.directory.listAll().filter((target) =>
         target.role === "prefill"
       );
     const timer = setInterval(() => {
       if (this.#stopping) return clearInterval(timer);
-      if (listPrefillEngines().length === 0 || !components.mesh.hasList) return;
+      if (listEngines().length === 0 || !components.mesh.hasVmList) return;
       clearInterval(timer);
       const survey = new CacheSurvey({
         vmId: this.#settings.vm.id,
         clock: components.clock,
         codec: components.codec,
-        prompts: components.prefixIndex,
+        prefixIndex: components.prefixIndex,
         connections: components.connections,
         events: components.log,
-        listReaders: listPrefillEngines,
-        listLiveVms: () => components.mesh.listDutyVms(),
+        listPrefillEngines: listEngines,
+        listParticipants: () => components.mesh.listCoordinators(),
       });
-      void survey.run(() => components.mesh.hasDuty);
+      void survey.run(() => components.mesh.isCoordinator);
     }, SWEEP_INTERVAL_MS);
   }
 
@@ -323,24 +323,24 @@
     } = this.#components;
     targetListGuard.recordTick();
     metrics.promptsWaiting.set(prefillQueue.size);
-    storeReader.share(mesh.hasToRead(), mesh.hasDuty);
-    mesh.tend();
-    metrics.listAge.set(storeReader.getKnownAgeMs() / 1000);
+    storeReader.setActive(mesh.mustReadStore(), mesh.isCoordinator);
+    mesh.tick();
+    metrics.listAge.set(storeReader.getEffectiveListAgeMs() / 1000);
     metrics.configAge.set(
       activeConfig.getAgeMs(clock.readMonotonicMs()) / 1000,
     );
     this.#sweepQuarantine();
-    storeReader.forgetDropped("otherIncarnation");
+    storeReader.purgeDroppedTargets("otherIncarnation");
     const gone = directory.dropExpired(this.#clock.readMonotonicMs());
     metrics.targets.set(directory.size);
-    storeReader.forgetDropped("grace");
+    storeReader.purgeDroppedTargets("grace");
     for (const id of gone) {
       this.#log.write("info", "targetGone", {
         target: id,
         reason: "not listed again after an outage of the store",
       });
     }
-    this.#markChangingRole(roleController.listChanging());
+    this.#markChangingRole(roleController.listChangingRole());
   }
 
   #sweepQuarantine(): void {
--- a/packages/heatherarch-forward/vm_tasks.ts
+++ b/packages/heatherarch-forward/vm_tasks.ts
@@ -9,10 +9,10 @@
 import type { CallCodec, DirectoryPorts } from "./ports.ts";
 import type { CallDependencies } from "./call_dependencies.ts";
 import type { Ingress } from "./tasks/ingress.ts";
-import type { QuarantineKeeper } from "./tasks/quarantine_keeper.ts";
-import { RoleKeeper } from "./tasks/role_keeper.ts";
+import type { QuarantinePersistence } from "./tasks/quarantine_persistence.ts";
+import { RoleController } from "./tasks/role_controller.ts";
 import type { StatusServer } from "./tasks/status_server.ts";
-import { StoreReading } from "./tasks/store_reading.ts";
+import { StoreReader } from "./tasks/store_reader.ts";
 import { planConfigReads } from "./scheduling/config_reads.ts";
 import { computeMaxListAgeMs } from "./vm_dependencies.ts";
 
@@ -28,11 +28,11 @@
 /** All components of a VM: the dependencies of calls, and the tasks. */
 export interface VmComponents extends CallDependencies {
   readonly mesh: FleetMesh;
-  readonly roleController: RoleKeeper;
+  readonly roleController: RoleController;
   readonly ingress: Ingress;
   readonly statusServer: StatusServer;
-  readonly storeReader: StoreReading;
-  readonly quarantinePersistence: QuarantineKeeper;
+  readonly storeReader: StoreReader;
+  readonly quarantinePersistence: QuarantinePersistence;
 }
 
 /** Options of the functions that build tasks. */
@@ -65,75 +65,76 @@
     vms: ports.directory.vms,
     clock: components.clock,
     log: components.log,
-    ledger: components.workTracker,
-    prompts: components.prefixIndex,
+    workTracker: components.workTracker,
+    prefixIndex: components.prefixIndex,
     quarantine: components.quarantine,
-    configs: components.activeConfig,
+    activeConfig: components.activeConfig,
     directory: components.directory,
     getListAgeMs: () => components.storeReader.getListAgeMs(),
     maxListAgeMs: computeMaxListAgeMs(settings.store),
     applyTargets: (entries, isFull) =>
       components.storeReader.applyTargets(entries, isFull),
-    onListLost: (source) => components.storeReader.noteHubLost(source),
+    onListStale: (source) => components.storeReader.logStaleHub(source),
     getListReadAtMs: () => components.storeReader.listReadAtMs,
-    onListRead: (atMs) => components.directory.recordPeerRead(atMs),
-    configReads: planConfigReads(settings.store),
+    onPeerListRead: (atMs) => components.directory.recordPeerRead(atMs),
+    configReadTiming: planConfigReads(settings.store),
     loadConfig: () => components.storeReader.loadConfig(),
     onLiveVms: options.onLiveVms,
-    onChanging: options.onChanging,
-    listChanging: () => getComponents().roleController.listChanging(),
-    onLate: (lateMs) => components.metrics.loopLate.observe(lateMs / 1000),
+    onChangingRole: options.onChanging,
+    listChangingRole: () => getComponents().roleController.listChangingRole(),
+    onLoopStall: (lateMs) => components.metrics.loopLate.observe(lateMs / 1000),
     mayOrder: () =>
-      getComponents().storeReader.isListCurrent && getComponents().mesh.hasDuty,
+      getComponents().storeReader.isListCurrent &&
+      getComponents().mesh.isCoordinator,
   });
 }
 
 /** Builds the task that orders engines to change their role. */
-export function buildRoleController(options: VmTaskOptions): RoleKeeper {
+export function buildRoleController(options: VmTaskOptions): RoleController {
   const { settings, ports, incarnation, getComponents } = options;
   const components = getComponents();
-  return new RoleKeeper({
+  return new RoleController({
     vmId: settings.vm.id,
     incarnation,
     log: ports.log,
     leaseMs: settings.lease.durationMs,
     clock: components.clock,
-    configs: components.activeConfig,
+    activeConfig: components.activeConfig,
     directory: components.directory,
     health: components.health,
     connections: components.connections,
     codec: components.codec,
     events: components.log,
     metrics: components.metrics,
-    listOrderers: () => getComponents().mesh.listOrderers(),
+    listOrderCandidates: () => getComponents().mesh.listOrderCandidates(),
     isListCurrent: () => getComponents().storeReader.isListCurrent,
-    hasDuty: () => getComponents().mesh.hasDuty,
+    isCoordinator: () => getComponents().mesh.isCoordinator,
   });
 }
 
 /** Builds the task that reads the platform's store. */
-export function buildStoreReader(options: VmTaskOptions): StoreReading {
+export function buildStoreReader(options: VmTaskOptions): StoreReader {
   const { settings: { store }, ports: { directory }, getComponents } = options;
   const components = getComponents();
-  return new StoreReading({
+  return new StoreReader({
     configTopic: directory.configs,
     targetTopic: directory.targets,
-    configReads: planConfigReads(store),
+    configReadTiming: planConfigReads(store),
     targetPollMs: store.targetPollMs,
-    getToldAtMs: () => getComponents().mesh.listAtMs,
+    getFeedValidAtMs: () => getComponents().mesh.feedValidAtMs,
     hasStoodStillSince: (atMs) =>
       components.targetListGuard.hasStalledSince(atMs),
     clock: components.clock,
     log: components.log,
     metrics: components.metrics,
-    configs: components.activeConfig,
+    activeConfig: components.activeConfig,
     directory: components.directory,
     connections: components.connections,
-    losses: components.crashDetector,
-    prompts: components.prefixIndex,
+    crashDetector: components.crashDetector,
+    prefixIndex: components.prefixIndex,
     health: components.health,
-    rests: components.backoffs,
-    readModel: components.prefillTimeModel,
-    spread: components.engineJitter,
+    backoffs: components.backoffs,
+    prefillTimeModel: components.prefillTimeModel,
+    engineJitter: components.engineJitter,
   });
 }
