--- a/packages/heatherarch-daemon/components.ts
+++ b/packages/heatherarch-daemon/components.ts
@@ -148,13 +148,13 @@
     isInService: (incarnation) => table.isInService(getTargetId(incarnation)),
     onLoss: (loss, probe) => logger.info("exchange lost", { ...loss, probe }),
     onCrash: (incarnation, evidence, requests) => {
-      watch.noteEnded(incarnation);
+      watch.endIncarnation(incarnation);
       logger.warn("target ended", { target: incarnation, evidence, requests });
     },
   });
   const watch = new QuarantineWatch({
     quarantine,
-    losses: crashDetector,
+    crashDetector,
     clock,
   });
   quarantine.registerChangeListener(({ kind, request, isOwn }) =>
--- a/packages/heatherarch-daemon/entry_vm.ts
+++ b/packages/heatherarch-daemon/entry_vm.ts
@@ -375,7 +375,7 @@
     const traffic = mesh.readTraffic();
     metrics.meshBytes.set({ direction: "sent" }, traffic.bytesSent);
     metrics.meshBytes.set({ direction: "received" }, traffic.bytesReceived);
-    gateway.sweep();
+    gateway.removeIdleAccounts();
   }
 
   /** Shuts the process down if a component's task fails. The platform then starts a new process. */
--- a/packages/heatherarch-daemon/gateway_builder.ts
+++ b/packages/heatherarch-daemon/gateway_builder.ts
@@ -41,15 +41,15 @@
     limits: settings.requests,
     claimLimits: settings.claims,
     targets: components.table,
-    tracker: components.tracker,
+    loadTracker: components.tracker,
     model,
     demand: components.demand,
     retries: new RetryBudget({ share: settings.requests.retryShare }),
-    lookups: new LookupReserve({
+    lookupReserve: new LookupReserve({
       share: settings.requests.lookupReserveShare,
     }),
     claims: components.claims,
-    requests: components.quarantineWatch,
+    requestWatch: components.quarantineWatch,
     events: metrics,
     readRefusal,
     readFleet: () => components.config.state.fleet,
--- a/packages/heatherarch-daemon/order_executor.ts
+++ b/packages/heatherarch-daemon/order_executor.ts
@@ -311,7 +311,7 @@
       control.hasAuthority() && control.machine.fencing === claimOffset;
     // The lease may have lapsed and been claimed again during the read of the engine's state.
     if (!isUnderOwnClaim()) return LEASE_LAPSED;
-    const answer = await engine.giveOrder(intent.order, {
+    const answer = await engine.sendOrder(intent.order, {
       fencing: claimOffset,
       guard: isUnderOwnClaim,
       timeoutMs: ORDER_TIMEOUT_MS,
--- a/packages/heatherarch-forward/calls/call_server.ts
+++ b/packages/heatherarch-forward/calls/call_server.ts
@@ -1,5 +1,5 @@
 /**
- * From a client's request to the life that serves it.
+ * Routes a client's call to the handler that serves it.
  *
  * @module
  */
@@ -19,14 +19,14 @@
 import type { RouteTable } from "../state/route_table.ts";
 import type { CallDependencies } from "../call_dependencies.ts";
 
-/** A call that says nothing of its prompt. */
+/** Default for a call that does not describe its prompt. */
 const UNKNOWN_PROMPT: GenerationParams = {
   model: "",
   promptTokens: 0,
   maxOutputTokens: 0,
   parts: [],
 };
-/** A service that says nothing of its engines. */
+/** Default for a service that does not describe its engines. */
 const UNKNOWN_ENGINE: EngineTraits = {
   slots: 1,
   kvTokens: 0,
@@ -35,17 +35,17 @@
   roleChangeMs: 0,
 };
 
-/** Serves calls by the configuration in force. */
+/** Serves calls by the active configuration. */
 export class CallServer {
-  readonly #serving: CallDependencies;
+  readonly #dependencies: CallDependencies;
 
-  constructor(serving: CallDependencies) {
-    this.#serving = serving;
+  constructor(dependencies: CallDependencies) {
+    this.#dependencies = dependencies;
   }
 
   /** Serves one call to its end. Never rejects. */
   async serve(call: ForwardedCall, response: ClientResponse): Promise<void> {
-    const { metrics, log } = this.#serving;
+    const { metrics, log } = this.#dependencies;
     metrics.inFlight.inc();
     try {
       await this.#route(call, response);
@@ -54,7 +54,7 @@
         call: call.id,
         error: String((error as Error)?.stack ?? error),
       });
-      // What the call did before is not known here.
+      // The call may or may not have run.
       if (response.isHeadSent) response.destroy();
       else response.fail(new ServeError("internal", "internal error"), call.id);
     } finally {
@@ -62,48 +62,63 @@
     }
   }
 
-  async #route(call: ForwardedCall, caller: ClientResponse): Promise<void> {
-    const { table } = this.#serving.activeConfig;
+  async #route(call: ForwardedCall, response: ClientResponse): Promise<void> {
+    const { table } = this.#dependencies.activeConfig;
     if (table === undefined) {
-      return this.#reject(call, caller, "notReady", "no configuration yet");
+      return this.#reject(
+        call,
+        response,
+        "notReady",
+        "no configuration loaded yet",
+      );
     }
     const route = table.findRoute(call.host, call.path);
     if (route === undefined) {
-      return this.#reject(call, caller, "notFound", "no route takes the path");
+      return this.#reject(
+        call,
+        response,
+        "notFound",
+        "no route matches the path",
+      );
     }
     const service = this.#pickService(table, route, call);
     if (service === undefined) {
-      return this.#reject(call, caller, "noTarget", "route without a service");
+      return this.#reject(
+        call,
+        response,
+        "noTarget",
+        "the route has no service",
+      );
     }
-    const run = new CallContext({
-      dependencies: this.#serving,
+    const context = new CallContext({
+      dependencies: this.#dependencies,
       call,
       route,
       service,
       configVersion: table.version,
-      clientResponse: caller,
+      clientResponse: response,
     });
-    await this.#serveRun(run);
+    await this.#handleCall(context);
   }
 
-  async #serveRun(run: CallContext): Promise<void> {
-    if (!run.admit()) return;
-    const isStream = run.route.kind === "stream" ||
-      run.route.kind === "resumableStream";
-    if (!isStream) return await new PlainCallHandler(run).serve();
-    const prompt = run.call.generation ?? UNKNOWN_PROMPT;
-    const traits = run.service.engine ?? UNKNOWN_ENGINE;
-    await new GenerationHandler(run, prompt, traits).serve();
+  async #handleCall(context: CallContext): Promise<void> {
+    if (!context.admit()) return;
+    const isStream = context.route.kind === "stream" ||
+      context.route.kind === "resumableStream";
+    if (!isStream) return await new PlainCallHandler(context).serve();
+    const prompt = context.call.generation ?? UNKNOWN_PROMPT;
+    const traits = context.service.engine ?? UNKNOWN_ENGINE;
+    await new GenerationHandler(context, prompt, traits).serve();
   }
 
-  /** The service that the weights draw; another of the route where that one has no target. */
+  /** Picks a service by weight. If it has no targets, another service of the route is used. */
   #pickService(
     table: RouteTable,
     route: Route,
     call: ForwardedCall,
   ): ServiceSpec | undefined {
     const names = table.listServices(route, call.id);
-    const { directory } = this.#serving;
+    const { directory } = this.#dependencies;
     const served = names.find((name) => directory.listServing(name).length > 0);
     const name = served ?? names[0];
     return name === undefined ? undefined : table.findService(name);
@@ -111,20 +126,20 @@
 
   #reject(
     call: ForwardedCall,
-    caller: ClientResponse,
+    response: ClientResponse,
     kind: "notReady" | "notFound" | "noTarget",
     reason: string,
   ): void {
-    const { activeConfig: configs, log, clock } = this.#serving;
-    caller.fail(new ServeError(kind, reason), call.id);
+    const { activeConfig, log, clock } = this.#dependencies;
+    response.fail(new ServeError(kind, reason), call.id);
     log.write("warn", "callRejected", {
       call: call.id,
       kind,
       reason,
       host: call.host,
       path: call.path,
-      configVersion: configs.version,
-      configAgeMs: formatAge(configs.getAgeMs(clock.readMonotonicMs())),
+      configVersion: activeConfig.version,
+      configAgeMs: formatAge(activeConfig.getAgeMs(clock.readMonotonicMs())),
     });
   }
 }
--- a/packages/heatherarch-forward/tests/unit/target_connections_test.ts
+++ b/packages/heatherarch-forward/tests/unit/target_connections_test.ts
@@ -19,8 +19,10 @@
   server?.close();
 });
 
-/** A target that counts requests, and whether it may be sent work. */
-async function build(ban: (purpose: SendPurpose) => string | undefined) {
+/** Builds connections to a server that counts requests, with a check of whether one may be sent. */
+async function build(
+  findBlockReason: (purpose: SendPurpose) => string | undefined,
+) {
   let requests = 0;
   server = createServer((_request, response) => {
     requests++;
@@ -32,12 +34,12 @@
   const { port } = server.address() as AddressInfo;
   const target = buildTarget("t", { address: `127.0.0.1:${port}` });
   connections = new TargetConnections({
-    findBlockReason: (_target, purpose) => ban(purpose),
+    findBlockReason: (_target, purpose) => findBlockReason(purpose),
   });
   return { target, connections, count: () => requests };
 }
 
-test("work for a target that may get none is not sent, and says that it was not", async () => {
+test("work for a blocked target is not sent, and fails as withheld", async () => {
   let ban: string | undefined = "the target leaves";
   const { target, connections, count } = await build(() => ban);
   await assert.rejects(
@@ -51,7 +53,7 @@
   assert.equal((await connections.send(target, REQUEST).head).status, 200);
 });
 
-test("what an earlier request left at a target may be released where work may not be sent", async () => {
+test("resources of an earlier request may be released at a target that is blocked for work", async () => {
   const { target, connections, count } = await build((purpose) =>
     purpose === "work" ? "the target leaves" : undefined
   );
--- a/packages/heatherarch-forward/tests/unit/target_list_guard_test.ts
+++ b/packages/heatherarch-forward/tests/unit/target_list_guard_test.ts
@@ -3,29 +3,29 @@
 import { ManualClock } from "heatherarch-core";
 import { TargetListGuard, type TargetListGuardChange } from "../../mod.ts";
 
-const TURN_MS = 250;
+const TICK_MS = 250;
 const MAX_LIST_AGE_MS = 1400;
 
-interface GuardedList {
+interface TestGuard {
   readonly guard: TargetListGuard;
   readonly changes: TargetListGuardChange[];
-  /** Passes time in turns of a process that runs. */
+  /** Advances time in ticks of a running process. */
   run(ms: number): void;
-  /** Passes time in which the process stands still. */
-  standStill(ms: number): void;
-  /** Wall time passes, and none by the monotonic clock. */
+  /** Advances time while the process is stalled. */
+  stall(ms: number): void;
+  /** Advances the wall clock but not the monotonic clock. */
   suspend(ms: number): void;
-  /** The list is taken in, as it was `ageMs` ago. */
+  /** Reads the list as it was `ageMs` ago. */
   readList(ageMs?: number): void;
 }
 
-function createGuardedList(): GuardedList {
+function createTestGuard(): TestGuard {
   const clock = new ManualClock();
   let listAtMs = 0;
   const changes: TargetListGuardChange[] = [];
   const guard = new TargetListGuard({
     clock,
-    tickIntervalMs: TURN_MS,
+    tickIntervalMs: TICK_MS,
     maxListAgeMs: MAX_LIST_AGE_MS,
     getListAgeMs: () => clock.readMonotonicMs() - listAtMs,
     onChange: (change) => changes.push(change),
@@ -35,12 +35,12 @@
     guard,
     changes,
     run: (ms) => {
-      for (let passedMs = 0; passedMs < ms; passedMs += TURN_MS) {
-        clock.advance(TURN_MS);
+      for (let passedMs = 0; passedMs < ms; passedMs += TICK_MS) {
+        clock.advance(TICK_MS);
         guard.recordTick();
       }
     },
-    standStill: (ms) => clock.advance(ms),
+    stall: (ms) => clock.advance(ms),
     suspend: (ms) => clock.jumpWall(ms),
     readList: (ageMs = 0) => {
       listAtMs = clock.readMonotonicMs() - ageMs;
@@ -48,73 +48,85 @@
   };
 }
 
-test("calls wait for the list after a standstill that made it too old", () => {
-  const list = createGuardedList();
-  list.standStill(3000);
-  assert.equal(list.guard.isHoldingCalls(), true);
-  list.standStill(20);
-  list.readList(2500);
-  assert.equal(list.guard.isHoldingCalls(), true, "an answer from before it");
-  list.readList(5);
-  assert.equal(list.guard.isHoldingCalls(), false);
-  assert.deepEqual(list.changes, [
+test("calls wait for the list after a stall that made it stale", () => {
+  const fixture = createTestGuard();
+  fixture.stall(3000);
+  assert.equal(fixture.guard.isHoldingCalls(), true);
+  fixture.stall(20);
+  fixture.readList(2500);
+  assert.equal(
+    fixture.guard.isHoldingCalls(),
+    true,
+    "a list from before the stall",
+  );
+  fixture.readList(5);
+  assert.equal(fixture.guard.isHoldingCalls(), false);
+  assert.deepEqual(fixture.changes, [
     { kind: "held", lateMs: 3000, ageMs: 3000 },
     { kind: "freed", isFresh: true, heldMs: 20 },
   ]);
 });
 
-test("calls go on after a while although the list can't be read", () => {
-  const list = createGuardedList();
-  list.standStill(3000);
-  assert.equal(list.guard.isHoldingCalls(), true);
-  list.run(500);
-  assert.equal(list.guard.isHoldingCalls(), false);
-  assert.equal(list.changes.at(-1)?.kind, "freed");
+test("calls continue after a while although the list can't be read", () => {
+  const fixture = createTestGuard();
+  fixture.stall(3000);
+  assert.equal(fixture.guard.isHoldingCalls(), true);
+  fixture.run(500);
+  assert.equal(fixture.guard.isHoldingCalls(), false);
+  assert.equal(fixture.changes.at(-1)?.kind, "freed");
 });
 
-test("an outage of the store alone holds no call back", () => {
-  const list = createGuardedList();
-  list.run(10_000);
-  assert.equal(list.guard.isHoldingCalls(), false);
-  assert.deepEqual(list.changes, []);
+test("an outage of the store alone holds no calls", () => {
+  const fixture = createTestGuard();
+  fixture.run(10_000);
+  assert.equal(fixture.guard.isHoldingCalls(), false);
+  assert.deepEqual(fixture.changes, []);
 });
 
-test("a short standstill after which the list is young enough holds no call back", () => {
-  const list = createGuardedList();
-  list.standStill(900);
-  assert.equal(list.guard.isHoldingCalls(), false);
+test("a short stall after which the list is still fresh holds no calls", () => {
+  const fixture = createTestGuard();
+  fixture.stall(900);
+  assert.equal(fixture.guard.isHoldingCalls(), false);
 });
 
-test("a starved process holds calls back for as long as it runs, not as it stands", () => {
-  const list = createGuardedList();
-  list.standStill(2000);
-  assert.equal(list.guard.isHoldingCalls(), true);
-  for (let turn = 0; turn < 5; turn++) {
-    list.standStill(450);
-    assert.equal(list.guard.isHoldingCalls(), true, `turn ${turn}`);
-    list.standStill(40);
-    assert.equal(list.guard.isHoldingCalls(), true, `turn ${turn}`);
+test("only running time counts towards the hold of a process starved of CPU time", () => {
+  const fixture = createTestGuard();
+  fixture.stall(2000);
+  assert.equal(fixture.guard.isHoldingCalls(), true);
+  for (let round = 0; round < 5; round++) {
+    fixture.stall(450);
+    assert.equal(fixture.guard.isHoldingCalls(), true, `turn ${round}`);
+    fixture.stall(40);
+    assert.equal(fixture.guard.isHoldingCalls(), true, `turn ${round}`);
   }
-  list.readList(490);
-  assert.equal(list.guard.isHoldingCalls(), false, "within the bound");
+  fixture.readList(490);
+  assert.equal(
+    fixture.guard.isHoldingCalls(),
+    false,
+    "the list is within its maximum age",
+  );
 });
 
-test("after a suspension that the clock missed only a later list counts", () => {
-  const { guard, readList, standStill, suspend } = createGuardedList();
-  standStill(100);
+test("after a suspension that the monotonic clock missed, only a later list counts", () => {
+  const { guard, readList, stall, suspend } = createTestGuard();
+  stall(100);
   suspend(3000);
   assert.equal(guard.isHoldingCalls(), true);
-  standStill(10);
+  stall(10);
   readList(100);
-  assert.equal(guard.isHoldingCalls(), true, "asked for before");
+  assert.equal(
+    guard.isHoldingCalls(),
+    true,
+    "a list requested before the suspension",
+  );
   readList(5);
   assert.equal(guard.isHoldingCalls(), false);
 });
 
-test("what was under way at a standstill is told from what began after it", () => {
-  const { guard, standStill, run } = createGuardedList();
+test("operations in progress during a stall are distinguished from later ones", () => {
+  const { guard, stall, run } = createTestGuard();
   assert.equal(guard.hasStalledSince(0), false);
-  standStill(1000);
+  stall(1000);
   assert.equal(guard.hasStalledSince(0), true);
   run(500);
   assert.equal(guard.hasStalledSince(900), true);
