--- a/packages/heatherarch-forward/state/active_config.ts
+++ b/packages/heatherarch-forward/state/active_config.ts
@@ -1,30 +1,31 @@
 /**
- * The configuration in force on this VM. Its version never goes down in the process's life.
+ * The routing configuration in force on this VM. Its version never decreases while the process
+ * runs.
  *
  * @module
  */
 import type { RoutingConfig } from "../model.ts";
 import { RouteTable } from "./route_table.ts";
 
-/** A configuration that comes into force. */
+/** A change of the configuration in force. */
 export interface ConfigChange {
   readonly table: RouteTable;
-  /** Version in force before; -1 without one. */
+  /** Version that was in force before, or -1 if there was none. */
   readonly before: number;
-  /** Who told it: `store`, or `peer` and its id. */
+  /** Where the configuration came from: `store`, or `peer` followed by the peer's id. */
   readonly source: string;
 }
 
-/** Called with each change. */
+/** Receives each change of the configuration. */
 export type ConfigListener = (change: ConfigChange) => void;
 
-/** Holds the newest configuration seen, from whichever source. */
+/** Holds the newest configuration received from any source. */
 export class ActiveConfig {
   #table: RouteTable | undefined;
-  #checkedAtMs = -Infinity;
+  #storeReadAtMs = -Infinity;
   readonly #listeners = new Set<ConfigListener>();
 
-  /** The table in force; undefined before the first configuration. */
+  /** The route table in force, or undefined before the first configuration. */
   get table(): RouteTable | undefined {
     return this.#table;
   }
@@ -33,7 +34,7 @@
     return this.#table?.version ?? -1;
   }
 
-  /** Takes a configuration in; false where it is not newer than the one in force. */
+  /** Applies a configuration. Returns false if it is not newer than the one in force. */
   applyConfig(config: RoutingConfig, source: string): boolean {
     const before = this.version;
     if (config.version <= before) return false;
@@ -43,17 +44,20 @@
     return true;
   }
 
-  /** This VM has read the store without fault, with a read that was sent at `atMs`. */
-  recordStoreRead(atMs: number): void {
-    this.#checkedAtMs = Math.max(this.#checkedAtMs, atMs);
+  /** Records a successful read of the store whose request was sent at `sentAtMs`. */
+  recordStoreRead(sentAtMs: number): void {
+    this.#storeReadAtMs = Math.max(this.#storeReadAtMs, sentAtMs);
   }
 
-  /** Time since this VM last asked the store and was answered; Infinity before the first answer. */
+  /**
+   * Time since this VM sent its latest successful read to the store; Infinity before the first
+   * one.
+   */
   getAgeMs(nowMs: number): number {
-    return nowMs - this.#checkedAtMs;
+    return nowMs - this.#storeReadAtMs;
   }
 
-  /** Registers a listener and returns its undo. */
+  /** Registers a listener and returns a function that removes it. */
   registerListener(listener: ConfigListener): () => void {
     this.#listeners.add(listener);
     return () => {
--- a/packages/heatherarch-forward/state/cache_retention.ts
+++ b/packages/heatherarch-forward/state/cache_retention.ts
@@ -1,53 +1,57 @@
 /**
- * How long an engine keeps a prompt beginning that nobody uses.
+ * Estimates how long an engine keeps an unused prompt prefix in its KV cache.
  *
- * Pattern of load: every prompt brings thousands of tokens of its own, which push the least
- * recently used beginnings out. At 35,000 new tokens a second an engine with room for 480,000
- * keeps a beginning for some 11 s, and many beginnings are used less often than that. Counting
- * on one that has gone predicts a reading four times too short.
+ * Every prompt brings thousands of tokens of its own, which evict the least recently used
+ * prefixes. At 35,000 new tokens a second, an engine with a cache of 480,000 tokens keeps a
+ * prefix for about 11 s, and many prefixes are used less often than that. If an evicted prefix is
+ * assumed to be cached, the predicted prefill time is four times too short.
  *
- * Pure: time comes in with each update.
+ * The module has no clock: each update carries the time.
  *
  * @module
  */
 
-/** Part of the KV cache that is not held by runs, handles and what is being read. */
-const FREE_PART = 0.8;
-/** Time constant of the measured rate, milliseconds. */
-const RATE_WINDOW_MS = 4000;
-/** Nothing is known of the load yet: long enough for any beginning to be used again. */
-const UNKNOWN_MS = 30_000;
+/** Share of the KV cache that is not held by runs, handles and prompts in prefill. */
+const CACHEABLE_SHARE = 0.8;
+/** Time constant of the measured token rate, milliseconds. */
+const RATE_TIME_CONSTANT_MS = 4000;
+/** Upper bound and default while the load is unknown; any prefix is reused within this time. */
+const MAX_RETENTION_MS = 30_000;
 
-/** Measures what this VM has read and estimates what engines keep. */
+/** Measures the prefill rate of this VM and estimates the retention time of engine caches. */
 export class CacheRetention {
   #tokensPerMs = 0;
-  #atMs: number | undefined;
+  #updatedAtMs: number | undefined;
 
-  /** A prompt brought `tokens` that an engine did not hold. */
+  /** Records a prefill of `tokens` that the engine had not cached. */
   recordPrefill(tokens: number, nowMs: number): void {
     this.#decay(nowMs);
-    this.#tokensPerMs += tokens / RATE_WINDOW_MS;
+    this.#tokensPerMs += tokens / RATE_TIME_CONSTANT_MS;
   }
 
   /**
-   * Time for which an unused beginning stays, milliseconds, where `readers` engines with room
-   * for `kvTokens` share what `vms` VMs like this one have read.
+   * Estimates for how long an engine keeps an unused prefix, in milliseconds. `prefillEngines`
+   * engines with a cache of `kvTokens` each share the load of `vmCount` VMs like this one.
    */
   estimateMs(
     kvTokens: number,
-    readers: number,
-    vms: number,
+    prefillEngines: number,
+    vmCount: number,
     nowMs: number,
   ): number {
     this.#decay(nowMs);
-    const perEngine = this.#tokensPerMs * vms / Math.max(1, readers);
-    if (perEngine === 0) return UNKNOWN_MS;
-    return Math.min(UNKNOWN_MS, kvTokens * FREE_PART / perEngine);
+    const tokensPerMsPerEngine = this.#tokensPerMs * vmCount /
+      Math.max(1, prefillEngines);
+    if (tokensPerMsPerEngine === 0) return MAX_RETENTION_MS;
+    return Math.min(
+      MAX_RETENTION_MS,
+      kvTokens * CACHEABLE_SHARE / tokensPerMsPerEngine,
+    );
   }
 
   #decay(nowMs: number): void {
-    const elapsedMs = nowMs - (this.#atMs ?? nowMs);
-    this.#atMs = nowMs;
-    this.#tokensPerMs *= Math.exp(-elapsedMs / RATE_WINDOW_MS);
+    const elapsedMs = nowMs - (this.#updatedAtMs ?? nowMs);
+    this.#updatedAtMs = nowMs;
+    this.#tokensPerMs *= Math.exp(-elapsedMs / RATE_TIME_CONSTANT_MS);
   }
 }
--- a/packages/heatherarch-forward/state/prefill_time_model.ts
+++ b/packages/heatherarch-forward/state/prefill_time_model.ts
@@ -1,193 +1,213 @@
 /**
- * How long an engine takes to read a prompt.
+ * Predicts how long an engine takes to prefill a prompt.
  *
  * @module
  */
 
 /** Options of {@linkcode PrefillTimeModel}. */
 export interface PrefillTimeModelOptions {
-  /** Prompt tokens an engine reads in a millisecond. */
+  /** Prompt tokens that an engine prefills per millisecond. */
   readonly tokensPerMs?: number;
-  /** Time of attention over a million pairs of tokens, milliseconds. */
+  /** Attention time per million token pairs, milliseconds. */
   readonly pairMsPerMillion?: number;
-  /** Fixed time for which one prompt occupies an engine, milliseconds. */
+  /** Fixed time for which each prompt occupies an engine, milliseconds. */
   readonly baseMs?: number;
-  /** Time from the end of a reading to its answer, while the engine reads others, milliseconds. */
+  /**
+   * Time from the end of a prefill to its answer, milliseconds. The engine prefills other prompts
+   * meanwhile.
+   */
   readonly latencyMs?: number;
 }
 
-/** A reading as it was predicted and as it went. Times are milliseconds. */
+/** Predicted and measured times of a prefill, milliseconds. */
 export interface PrefillSample {
-  /** Time for which the prompt itself was to occupy the engine. */
+  /** Predicted time for which the prompt itself occupies the engine. */
   readonly costMs: number;
-  /** Wait for what the engine had been given before. */
+  /** Predicted wait for the prompts that were sent to the engine before. */
   readonly backlogMs: number;
-  /** Time from the request to its answer. */
+  /** Measured time from the request to its answer. */
   readonly tookMs: number;
 }
 
-/** A long reading as it was predicted and as it went. Times are milliseconds. */
+/** Predicted and measured times of a long prefill, milliseconds. */
 export interface UnloadedSample {
-  /** Time that it was to take by itself. */
+  /** Predicted time on an engine without other work. */
   readonly unloadedMs: number;
   readonly backlogMs: number;
   readonly tookMs: number;
 }
 
 /**
- * Where learning starts: the engines of the users' first sheets (70B model, four accelerators).
- * Prompts that wait together share a step, so each one's share of its fixed time is small.
+ * Initial parameters: the engines of the users' first load specifications (a 70B model on four
+ * accelerators). Prompts that wait together share an engine step, so each prompt's share of the
+ * step's fixed time is small.
  */
-const DEFAULTS = {
+const DEFAULT_OPTIONS = {
   tokensPerMs: 61.8,
   pairMsPerMillion: 0.367,
   baseMs: 3,
   latencyMs: 10,
 };
 /**
- * Weights of a sample that is faster or slower than believed. Work of peers that is not known
- * yet makes a reading longer and nothing makes it shorter, so fast samples weigh more.
+ * Weights of a sample that is faster or slower than the current estimate. Peers' work that this VM
+ * does not know of yet makes a prefill longer, and nothing makes it shorter, so faster samples have
+ * the higher weight.
  */
 const FASTER_WEIGHT = 0.08;
 const SLOWER_WEIGHT = 0.05;
 /**
- * Weight by which the factor of engines that are not known yet follows each sample, and the
- * factors within which a sample counts: one slow engine among several does not make all slow.
+ * Weight with which each sample changes the slowdown assumed for engines without samples, and the
+ * bounds of a sample's effect. The bounds keep one slow engine from making all new ones seem slow.
  */
-const COMMON_WEIGHT = 0.05;
-const COMMON_BOUNDS = { least: 0.8, most: 1.25 };
+const PRIOR_WEIGHT = 0.05;
+const PRIOR_STEP_BOUNDS = { min: 0.8, max: 1.25 };
 /**
- * Weights by which the own factor follows a long reading that was faster or slower than believed.
- * Work that this VM does not know of makes a reading longer and nothing makes it shorter.
+ * Weights with which a long prefill that was faster or slower than the estimate changes the
+ * unloaded slowdown. Work that this VM does not know of makes a prefill longer, and nothing makes
+ * it shorter.
  */
-const FASTER_ALONE_WEIGHT = 0.15;
-const SLOWER_ALONE_WEIGHT = 0.08;
-/** One long reading counts for a factor of 1.5 at most: it may have met a fault. */
+const FASTER_UNLOADED_WEIGHT = 0.15;
+const SLOWER_UNLOADED_WEIGHT = 0.08;
+/** Limits the effect of one long prefill to a factor of about 1.5, as a fault may have delayed it. */
 const MAX_LOG_ERROR = 0.4;
-/** A prompt that took less than this part of its time was held, against what was believed. */
-const HELD_PART = 0.5;
-/** A sample outside these factors says more of a queue or a fault than of the engine. */
-const FACTOR_BOUNDS = { least: 0.5, most: 8 };
-/** Shorter readings say more of the latency than of the engine's speed, milliseconds. */
-const MIN_SPEED_SAMPLE_MS = 20;
-/** A reading with less before it shows the latency, milliseconds. */
+/**
+ * A prompt that took less than this share of its predicted time was cached, although the
+ * prediction assumed that it was not.
+ */
+const MIN_PREFILL_TIME_SHARE = 0.5;
+/** A sample outside these factors reflects a queue or a fault rather than the engine's speed. */
+const SLOWDOWN_BOUNDS = { min: 0.5, max: 8 };
+/** Shorter prefills reflect the latency rather than the engine's speed. */
+const MIN_SLOWDOWN_SAMPLE_MS = 20;
+/** Largest backlog with which a prefill is used as a sample of the latency. */
 const MAX_LATENCY_BACKLOG_MS = 5;
-/** Weights of a shorter and of a longer latency than believed: the least one is looked for. */
-const SHORTER_WEIGHT = 0.1;
-const LONGER_WEIGHT = 0.01;
-const LOG_ERROR_BOUNDS = { least: -MAX_LOG_ERROR, most: MAX_LOG_ERROR };
+/** Weights of a latency sample below and above the estimate, which follows the lowest latencies. */
+const SHORTER_LATENCY_WEIGHT = 0.1;
+const LONGER_LATENCY_WEIGHT = 0.01;
+const LOG_ERROR_BOUNDS = { min: -MAX_LOG_ERROR, max: MAX_LOG_ERROR };
 const MILLION = 1e6;
 
 /**
- * Predicts reading times and learns how far single engines are off. The latency is kept apart:
- * it is most of the time of a short prompt that is read alone, and occupies nothing. Taken for
- * occupancy it books long prompts at twice their time and leaves engines idle.
+ * Predicts prefill times and learns how much slower or faster each engine is. The latency is
+ * modelled separately: it is most of the time of a short prompt on an idle engine, and does not
+ * occupy the engine. If it counted as occupancy, long prompts would be booked at twice their time
+ * and engines would stay idle.
  *
- * Two factors are learned of an engine. One, from short prompts, holds waits behind work that this
- * VM does not know of: it is booked, so that engines are not given too much. The other, from long
- * prompts, is the engine's own.
+ * Two slowdown factors are learned per engine. The first, from short prompts, includes waits behind
+ * work that this VM does not know of. Booked times use it, so that engines are not overloaded. The
+ * second, from long prompts, reflects the engine's own speed.
  */
 export class PrefillTimeModel {
   readonly #options: Required<PrefillTimeModelOptions>;
-  readonly #factors = new Map<string, number>();
-  readonly #ownFactors = new Map<string, number>();
-  #commonFactor = 1;
-  #commonOwnFactor = 1;
+  readonly #slowdowns = new Map<string, number>();
+  readonly #unloadedSlowdowns = new Map<string, number>();
+  #priorSlowdown = 1;
+  #priorUnloadedSlowdown = 1;
   #latencyMs: number;
 
   constructor(options: PrefillTimeModelOptions = {}) {
-    this.#options = { ...DEFAULTS, ...options };
+    this.#options = { ...DEFAULT_OPTIONS, ...options };
     this.#latencyMs = this.#options.latencyMs;
   }
 
   /**
-   * Time to be booked for reading `fresh` tokens behind `cached` ones. Waits that this VM does not
-   * foresee are in it, so that an engine is not given more than it reads.
+   * Predicts the time to book for the prefill of `newTokens` that follow `cachedTokens`. It
+   * includes waits that this VM cannot foresee, so that an engine does not receive more than it
+   * can process.
    */
-  predictMs(target: string, fresh: number, cached: number): number {
-    return this.#computePlainMs(fresh, cached) * this.getSlowdown(target);
+  predictMs(target: string, newTokens: number, cachedTokens: number): number {
+    return this.#computeNominalMs(newTokens, cachedTokens) *
+      this.getSlowdown(target);
   }
 
-  /** Time for which an engine that has nothing else to do reads. */
-  predictUnloadedMs(target: string, fresh: number, cached: number): number {
+  /** Predicts the prefill time on an engine without other work. */
+  predictUnloadedMs(
+    target: string,
+    newTokens: number,
+    cachedTokens: number,
+  ): number {
     const factor = Math.min(
       this.getUnloadedSlowdown(target),
       this.getSlowdown(target),
     );
-    return this.#computePlainMs(fresh, cached) * factor;
+    return this.#computeNominalMs(newTokens, cachedTokens) * factor;
   }
 
-  /** Time from the end of a reading to its answer, milliseconds. */
+  /** Time from the end of a prefill to its answer, milliseconds. */
   get latencyMs(): number {
     return this.#latencyMs;
   }
 
-  /** How much longer than predicted a reading takes, unforeseen waits included. */
+  /** Ratio of actual to nominal prefill time, unforeseen waits included. */
   getSlowdown(target: string): number {
-    return this.#factors.get(target) ?? this.#commonFactor;
+    return this.#slowdowns.get(target) ?? this.#priorSlowdown;
   }
 
-  /** How much longer than predicted an engine takes by itself. */
+  /** Ratio of actual to nominal prefill time on an engine without other work. */
   getUnloadedSlowdown(target: string): number {
-    return this.#ownFactors.get(target) ?? this.#commonOwnFactor;
+    return this.#unloadedSlowdowns.get(target) ?? this.#priorUnloadedSlowdown;
   }
 
   /**
-   * Takes in a long reading, alone on its engine as far as is known. How much of the prompt the
-   * engine held is a belief.
+   * Learns from a long prefill which, as far as this VM knows, had the engine to itself. How much
+   * of the prompt the engine had cached is an estimate.
    */
   learnUnloaded(target: string, sample: UnloadedSample): void {
-    const { unloadedMs: aloneMs, backlogMs, tookMs } = sample;
-    if (backlogMs > aloneMs) return;
-    const readMs = Math.max(1, tookMs - this.#latencyMs - backlogMs);
-    if (readMs < aloneMs * HELD_PART) return;
-    const error = limit(Math.log(readMs / aloneMs), LOG_ERROR_BOUNDS);
-    const weight = error < 0 ? FASTER_ALONE_WEIGHT : SLOWER_ALONE_WEIGHT;
+    const { unloadedMs, backlogMs, tookMs } = sample;
+    if (backlogMs > unloadedMs) return;
+    const prefillMs = Math.max(1, tookMs - this.#latencyMs - backlogMs);
+    if (prefillMs < unloadedMs * MIN_PREFILL_TIME_SHARE) return;
+    const error = clamp(Math.log(prefillMs / unloadedMs), LOG_ERROR_BOUNDS);
+    const weight = error < 0 ? FASTER_UNLOADED_WEIGHT : SLOWER_UNLOADED_WEIGHT;
     const step = Math.exp(error * weight);
-    this.#ownFactors.set(
+    this.#unloadedSlowdowns.set(
       target,
-      limit(this.getUnloadedSlowdown(target) * step, FACTOR_BOUNDS),
+      clamp(this.getUnloadedSlowdown(target) * step, SLOWDOWN_BOUNDS),
+    );
+    this.#priorUnloadedSlowdown = clamp(
+      this.#priorUnloadedSlowdown * step,
+      SLOWDOWN_BOUNDS,
     );
-    this.#commonOwnFactor = limit(this.#commonOwnFactor * step, FACTOR_BOUNDS);
   }
 
-  /** Takes in a reading. */
+  /** Learns from a completed prefill. */
   learn(target: string, sample: PrefillSample): void {
     const { costMs, backlogMs, tookMs } = sample;
     const predictedMs = backlogMs + costMs;
     if (backlogMs <= MAX_LATENCY_BACKLOG_MS) {
       this.#learnLatency(tookMs - predictedMs);
     }
-    if (predictedMs < MIN_SPEED_SAMPLE_MS) return;
+    if (predictedMs < MIN_SLOWDOWN_SAMPLE_MS) return;
     const before = this.getSlowdown(target);
-    const found = before * (tookMs - this.#latencyMs) / predictedMs;
-    const bounded = limit(found, FACTOR_BOUNDS);
+    const measured = before * (tookMs - this.#latencyMs) / predictedMs;
+    const bounded = clamp(measured, SLOWDOWN_BOUNDS);
     const weight = bounded < before ? FASTER_WEIGHT : SLOWER_WEIGHT;
     const after = before + (bounded - before) * weight;
-    this.#factors.set(target, after);
-    const common = limit(bounded / this.#commonFactor, COMMON_BOUNDS);
-    this.#commonFactor *= 1 + (common - 1) * COMMON_WEIGHT;
+    this.#slowdowns.set(target, after);
+    const priorStep = clamp(bounded / this.#priorSlowdown, PRIOR_STEP_BOUNDS);
+    this.#priorSlowdown *= 1 + (priorStep - 1) * PRIOR_WEIGHT;
   }
 
   forget(target: string): void {
-    this.#factors.delete(target);
-    this.#ownFactors.delete(target);
+    this.#slowdowns.delete(target);
+    this.#unloadedSlowdowns.delete(target);
   }
 
-  #computePlainMs(fresh: number, cached: number): number {
+  #computeNominalMs(newTokens: number, cachedTokens: number): number {
     const { tokensPerMs, pairMsPerMillion, baseMs } = this.#options;
-    const pairs = fresh * (cached + fresh / 2);
-    return baseMs + fresh / tokensPerMs + pairs / MILLION * pairMsPerMillion;
+    const pairs = newTokens * (cachedTokens + newTokens / 2);
+    return baseMs + newTokens / tokensPerMs +
+      pairs / MILLION * pairMsPerMillion;
   }
 
   #learnLatency(sampleMs: number): void {
     const isShorter = sampleMs < this.#latencyMs;
-    const weight = isShorter ? SHORTER_WEIGHT : LONGER_WEIGHT;
+    const weight = isShorter ? SHORTER_LATENCY_WEIGHT : LONGER_LATENCY_WEIGHT;
     const after = this.#latencyMs + (sampleMs - this.#latencyMs) * weight;
     this.#latencyMs = Math.max(0, after);
   }
 }
 
-function limit(value: number, bounds: { least: number; most: number }): number {
-  return Math.min(bounds.most, Math.max(bounds.least, value));
+function clamp(value: number, bounds: { min: number; max: number }): number {
+  return Math.min(bounds.max, Math.max(bounds.min, value));
 }
--- a/packages/heatherarch-forward/state/prefix_holders.ts
+++ b/packages/heatherarch-forward/state/prefix_holders.ts
@@ -1,5 +1,5 @@
 /**
- * Which of the engines that read now are believed to hold a prompt's beginning.
+ * Finds the prefill engines that are likely to hold a prompt prefix in their KV cache.
  *
  * @module
  */
@@ -7,27 +7,30 @@
 import type { PlacementView } from "../decisions/prompt_placement.ts";
 import type { Serving } from "../serving.ts";
 
-/** A beginning is fetched only from engines that used it in this part of the time it is kept. */
-const SOURCE_PART = 0.6;
+/**
+ * A prefix is fetched only from engines that used it within this share of the estimated retention
+ * time.
+ */
+const SOURCE_MAX_AGE_SHARE = 0.6;
 
-/** What a placement has to know of a beginning's whereabouts. */
+/** The engines that hold a prefix, as a placement needs them. */
 export type KnownHolders = Pick<
   PlacementView,
   "holders" | "sources" | "lastHolder"
 >;
 
-/** Engines among `readers` that hold the beginning with this key, as far as is known. */
+/** Returns the engines among `prefillEngines` that are known to hold the prefix with this key. */
 export function findHolders(
-  serving: Pick<Serving, "prompts" | "retention" | "countVms">,
+  dependencies: Pick<Serving, "prompts" | "retention" | "countVms">,
   key: string,
-  readers: readonly Target[],
+  prefillEngines: readonly Target[],
   traits: EngineTraits,
   nowMs: number,
 ): KnownHolders {
-  const { prompts, retention, countVms } = serving;
-  const keptMs = retention.estimateMs(
+  const { prompts, retention, countVms } = dependencies;
+  const retentionMs = retention.estimateMs(
     traits.kvTokens,
-    readers.length,
+    prefillEngines.length,
     countVms(),
     nowMs,
   );
@@ -35,14 +38,14 @@
   const sources: Target[] = [];
   let lastHolder: Target | undefined;
   for (const holder of prompts.listHolders(key)) {
-    const target = readers.find(({ id }) => id === holder.target);
+    const target = prefillEngines.find(({ id }) => id === holder.target);
     if (target === undefined) continue;
     lastHolder = target;
-    const unusedMs = nowMs - holder.usedAtMs;
-    if (unusedMs > keptMs) continue;
+    const idleMs = nowMs - holder.usedAtMs;
+    if (idleMs > retentionMs) continue;
     holders.push(target);
     if (holder.state === "reading") continue;
-    if (unusedMs <= keptMs * SOURCE_PART) sources.unshift(target);
+    if (idleMs <= retentionMs * SOURCE_MAX_AGE_SHARE) sources.unshift(target);
   }
   return { holders, sources, lastHolder };
 }
--- a/packages/heatherarch-forward/state/prefix_index.ts
+++ b/packages/heatherarch-forward/state/prefix_index.ts
@@ -1,188 +1,196 @@
 /**
- * Which engines hold which shared prompt beginnings, as far as the VMs have had them read.
- * Pure: time comes in with each update.
+ * Indexes which engines hold which shared prompt prefixes, based on the prefills that the VMs
+ * requested. The module has no clock: each update carries the time.
  *
- * Engines publish their cache events late and with gaps, and each poll is paid for. The VMs
- * know where they had a beginning read, and tell each other once per beginning and engine.
+ * Engines publish their cache events late and with gaps, and each poll has a cost. Each VM knows
+ * on which engines it had a prefix prefilled, and sends its peers one update per prefix and engine.
  *
  * @module
  */
 
-/** How an engine holds a beginning: it is being read there, or has been. */
+/** State of a prefix on an engine: its prefill is in progress (`reading`) or complete (`read`). */
 export type HolderState = "reading" | "read";
 
-/** Key of a beginning, id of an engine, and whether it has been read (1) or is being read (0). */
+/** Key of a prefix, id of an engine, and whether the prefill is complete (1) or in progress (0). */
 export type PrefixUpdate = readonly [string, string, number];
 
 /**
- * From where a note came: this VM, a VM of its zone, or further away. A hub passes on to VMs of
- * its zone what came from anywhere, to other zones what came from its own.
+ * Origin of an update: this VM, another VM of its availability zone, or another zone. A hub relays
+ * updates of any origin to the VMs of its zone, and updates of its own zone to other zones.
  */
 export type UpdateScope = "own" | "zone" | "fleet";
 
-/** An engine that holds a beginning, or will soon. */
+/** An engine that holds a prefix, or will once its prefill completes. */
 export interface PrefixHolder {
   readonly target: string;
   readonly state: HolderState;
-  /** Monotonic time of its last known use. */
+  /** Monotonic time of the prefix's last known use on the engine. */
   readonly usedAtMs: number;
 }
 
 /** Options of {@linkcode PrefixIndex}. */
 export interface PrefixIndexOptions {
-  /** Beginnings that are remembered; the ones noted longest ago are forgotten first. */
+  /** Maximum number of prefixes in the index; the least recently updated ones are evicted first. */
   readonly maxKeys?: number;
 }
 
-/** Twenty times the beginnings of the users' sheets, at some 100 bytes each. */
+/** Twenty times the prefixes of the users' load specifications, at about 100 bytes each. */
 const DEFAULT_MAX_KEYS = 8192;
-/** Engines remembered for one beginning; a copy beyond saves no wait. */
-const MAX_HOLDERS = 6;
-/** A use is told again after this time: engines keep a beginning for ten times as long. */
-const TELL_AGAIN_MS = 1000;
-/** Key of a note that says that the engine was asked for all that it keeps. */
+/** Engines kept per prefix; further copies would not reduce waiting. */
+const MAX_HOLDERS_PER_PREFIX = 6;
+/**
+ * Minimum time between two updates on the use of one prefix on one engine, milliseconds. Engines
+ * keep a prefix for ten times as long.
+ */
+const REPEAT_INTERVAL_MS = 1000;
+/** Key of an update which says that the engine's full cache listing was requested. */
 const SURVEY_KEY = "";
 const SCOPES: readonly UpdateScope[] = ["own", "zone", "fleet"];
 /**
- * Notes told at once at most: some 75 KB, a tenth of a second on the slowest links of the users'
- * sheets. What is older has mostly been told again since.
+ * Maximum number of updates sent at once: about 75 KB, which takes a tenth of a second on the
+ * slowest links of the users' load specifications. Most older updates have been repeated since.
  */
-const MAX_NOTES_TOLD = 3000;
+const MAX_UPDATES_LISTED = 3000;
 
-interface JournalEntry {
-  readonly note: PrefixUpdate;
+interface UpdateLogEntry {
+  readonly update: PrefixUpdate;
   readonly scope: UpdateScope;
 }
 
-/** Holders of prompt beginnings. */
+/** The engines that hold each known prompt prefix. */
 export class PrefixIndex {
   readonly #maxKeys: number;
   readonly #holders = new Map<string, readonly PrefixHolder[]>();
-  /** Notes in the order in which they became known, for peers. */
-  readonly #journal: JournalEntry[] = [];
+  /** Updates for peers, in the order in which this VM learned of them. */
+  readonly #updateLog: UpdateLogEntry[] = [];
   readonly #surveyed = new Set<string>();
-  #journalStart = 0;
+  #updateLogStart = 0;
 
   constructor(options: PrefixIndexOptions = {}) {
     this.#maxKeys = options.maxKeys ?? DEFAULT_MAX_KEYS;
   }
 
-  /** An engine reads, or has read, the beginning, on this VM's order. */
+  /** Records that an engine holds the prefix, or is prefilling it, as this VM observed. */
   recordHolder(
     key: string,
     target: string,
     state: HolderState,
     nowMs: number,
   ): void {
-    if (!this.#add(key, target, state, nowMs)) return;
-    this.#record([key, target, state === "read" ? 1 : 0], "own");
+    if (!this.#storeHolder(key, target, state, nowMs)) return;
+    this.#logUpdate([key, target, state === "read" ? 1 : 0], "own");
   }
 
-  /** Takes in what a peer had read; with a scope it is passed on. */
+  /** Applies a peer's updates. With `relayScope` they are relayed to further peers. */
   applyPeerUpdates(
-    notes: readonly PrefixUpdate[],
+    updates: readonly PrefixUpdate[],
     nowMs: number,
-    passOn?: Exclude<UpdateScope, "own">,
+    relayScope?: Exclude<UpdateScope, "own">,
   ): void {
-    for (const note of notes) {
-      if (!this.#takeNote(note, nowMs)) continue;
-      if (passOn !== undefined) this.#record(note, passOn);
+    for (const update of updates) {
+      if (!this.#applyUpdate(update, nowMs)) continue;
+      if (relayScope !== undefined) this.#logUpdate(update, relayScope);
     }
   }
 
-  /** This VM has asked an engine for all that it keeps. */
+  /** Records that this VM requested an engine's full cache listing. */
   markSurveyed(target: string): void {
     if (this.#surveyed.has(target)) return;
     this.#surveyed.add(target);
-    this.#record([SURVEY_KEY, target, 1], "own");
+    this.#logUpdate([SURVEY_KEY, target, 1], "own");
   }
 
-  /** Whether some VM has asked the engine for all that it keeps. */
+  /** Whether any VM is known to have requested the engine's full cache listing. */
   isSurveyed(target: string): boolean {
     return this.#surveyed.has(target);
   }
 
-  /** Holders of the beginning, the last used one last; those that have gone may be among them. */
+  /** Lists the holders of the prefix, the most recently used one last. Some may have evicted it. */
   listHolders(key: string): readonly PrefixHolder[] {
     return this.#holders.get(key) ?? [];
   }
 
-  /** An engine has lost its cache, or has gone. */
+  /** Removes an engine that has lost its cache or has been removed. */
   forgetTarget(target: string): void {
     this.#surveyed.delete(target);
     for (const key of [...this.#holders.keys()]) this.forgetHolder(key, target);
   }
 
-  /** An engine turned out not to hold a beginning. */
+  /** Removes an engine that turned out not to hold the prefix. */
   forgetHolder(key: string, target: string): void {
     const holders = this.listHolders(key);
-    const left = holders.filter((holder) => holder.target !== target);
-    if (left.length === 0) this.#holders.delete(key);
-    else if (left.length < holders.length) this.#holders.set(key, left);
+    const others = holders.filter((holder) => holder.target !== target);
+    if (others.length === 0) this.#holders.delete(key);
+    else if (others.length < holders.length) this.#holders.set(key, others);
   }
 
   /**
-   * Notes from `cursor` on of up to `scope`, and the cursor behind them; 0 is the beginning. Of
-   * many only the newest are listed.
+   * Lists the updates from `cursor` on whose origin is within `scope`, and the cursor after them.
+   * Cursor 0 is the start. Only the newest updates are listed if there are too many.
    */
   listUpdates(
     cursor: number,
     scope: UpdateScope = "own",
   ): { updates: PrefixUpdate[]; cursor: number } {
-    const end = this.#journalStart + this.#journal.length;
-    const from = Math.max(0, cursor - this.#journalStart);
-    const most = SCOPES.indexOf(scope);
-    const notes = this.#journal.slice(from)
-      .filter((entry) => SCOPES.indexOf(entry.scope) <= most)
-      .map((entry) => entry.note);
-    const newest = notes.slice(-MAX_NOTES_TOLD);
-    const marks = cursor === 0 ? this.#listSurveyed() : [];
-    return { updates: [...marks, ...newest], cursor: end };
+    const end = this.#updateLogStart + this.#updateLog.length;
+    const from = Math.max(0, cursor - this.#updateLogStart);
+    const widest = SCOPES.indexOf(scope);
+    const updates = this.#updateLog.slice(from)
+      .filter((entry) => SCOPES.indexOf(entry.scope) <= widest)
+      .map((entry) => entry.update);
+    const newest = updates.slice(-MAX_UPDATES_LISTED);
+    const surveyUpdates = cursor === 0 ? this.#buildSurveyUpdates() : [];
+    return { updates: [...surveyUpdates, ...newest], cursor: end };
   }
 
-  #listSurveyed(): PrefixUpdate[] {
+  #buildSurveyUpdates(): PrefixUpdate[] {
     return [...this.#surveyed].map((target) => [SURVEY_KEY, target, 1]);
   }
 
-  /** Returns whether the note is worth passing on. */
-  #takeNote([key, target, isRead]: PrefixUpdate, nowMs: number): boolean {
+  /** Returns whether the update should be relayed. */
+  #applyUpdate([key, target, isRead]: PrefixUpdate, nowMs: number): boolean {
     if (key !== SURVEY_KEY) {
-      return this.#add(key, target, isRead === 1 ? "read" : "reading", nowMs);
+      return this.#storeHolder(
+        key,
+        target,
+        isRead === 1 ? "read" : "reading",
+        nowMs,
+      );
     }
     if (this.#surveyed.has(target)) return false;
     this.#surveyed.add(target);
     return true;
   }
 
-  #record(note: PrefixUpdate, scope: UpdateScope): void {
-    this.#journal.push({ note, scope });
-    if (this.#journal.length <= this.#maxKeys) return;
-    this.#journal.shift();
-    this.#journalStart++;
+  #logUpdate(update: PrefixUpdate, scope: UpdateScope): void {
+    this.#updateLog.push({ update, scope });
+    if (this.#updateLog.length <= this.#maxKeys) return;
+    this.#updateLog.shift();
+    this.#updateLogStart++;
   }
 
-  /** Returns whether this is worth telling to peers. */
-  #add(
+  /** Returns whether peers should receive this as an update. */
+  #storeHolder(
     key: string,
     target: string,
     state: HolderState,
     nowMs: number,
   ): boolean {
     const holders = this.listHolders(key);
-    const known = holders.find((holder) => holder.target === target);
-    const isSame = known !== undefined &&
-      (known.state === "read" || known.state === state);
-    if (isSame && nowMs - known.usedAtMs < TELL_AGAIN_MS) return false;
-    const holder = { target, state: known?.state ?? state, usedAtMs: nowMs };
+    const existing = holders.find((holder) => holder.target === target);
+    const isSame = existing !== undefined &&
+      (existing.state === "read" || existing.state === state);
+    if (isSame && nowMs - existing.usedAtMs < REPEAT_INTERVAL_MS) return false;
+    const holder = { target, state: existing?.state ?? state, usedAtMs: nowMs };
     if (state === "read") holder.state = "read";
     const others = holders.filter((other) => other.target !== target);
     this.#holders.delete(key);
-    this.#holders.set(key, [...others, holder].slice(-MAX_HOLDERS));
-    if (this.#holders.size > this.#maxKeys) this.#dropOldest();
+    this.#holders.set(key, [...others, holder].slice(-MAX_HOLDERS_PER_PREFIX));
+    if (this.#holders.size > this.#maxKeys) this.#evictOldest();
     return true;
   }
 
-  #dropOldest(): void {
+  #evictOldest(): void {
     const [oldest] = this.#holders.keys();
     this.#holders.delete(oldest);
   }
--- a/packages/heatherarch-forward/state/retry_budget.ts
+++ b/packages/heatherarch-forward/state/retry_budget.ts
@@ -1,38 +1,39 @@
 /**
- * How many further tries this VM may send to a service, out of one allowance that all VMs
- * share. Pure: time comes in with each update.
+ * Limits how many retries this VM may send to a service. All VMs share one retry budget. The
+ * module has no clock: each update carries the time.
  *
- * The fleet may send a fixed number of further tries in any window, and besides a share of the
- * calls. Each VM takes its part of the fixed number as a rate with a small burst, so that the
- * sum over VMs and any window stays within it, however often a VM restarts in the window.
+ * In any window the fleet may send a fixed number of retries, plus a share of the number of
+ * calls. Each VM spends its part of the fixed number through a token bucket with a small burst.
+ * The sum over all VMs therefore stays within the budget in any window, however often a VM
+ * restarts during it.
  *
  * @module
  */
 
 /** Options of {@linkcode RetryBudget}. */
 export interface RetryBudgetOptions {
-  /** Further tries in a window, for the whole fleet. */
+  /** Retries allowed per window for the whole fleet. */
   readonly fixedPerWindow: number;
-  /** Further tries for each call. */
+  /** Additional retries allowed per call. */
   readonly share: number;
   readonly windowMs: number;
 }
 
 interface Bucket {
   tokens: number;
-  filledAtMs: number;
+  refilledAtMs: number;
 }
 
 /**
- * Parts of the fleet's fixed number that go to the burst and to the rate. Their sum leaves a
- * tenth for tries that were counted at another VM's size of the fleet.
+ * Shares of the fleet's fixed number that are used for the burst and for the refill rate. The
+ * remaining tenth covers retries of VMs that assume another fleet size.
  */
-const BURST_PART = 0.4;
-const RATE_PART = 0.5;
-/** Part of the share that is used: calls are counted in another window than tries. */
-const SHARE_PART = 0.7;
+const BURST_SHARE = 0.4;
+const RATE_SHARE = 0.5;
+/** Part of the per-call share that is used, as calls and retries are counted in different windows. */
+const CALL_SHARE_FACTOR = 0.7;
 
-/** The allowance of one VM. */
+/** The part of the fleet's retry budget that one VM may spend. */
 export class RetryBudget {
   readonly #options: RetryBudgetOptions;
   readonly #buckets = new Map<string, Bucket>();
@@ -42,47 +43,47 @@
     this.#options = options;
   }
 
-  /** Sets the number of VMs that share the allowance. */
+  /** Sets the number of VMs that share the budget. */
   setLiveVms(count: number): void {
     this.#liveVms = Math.max(1, count);
   }
 
-  /** A call for a service earns a share of a further try. */
+  /** Credits the service with the fraction of a retry that a call earns. */
   recordCall(service: string, nowMs: number): void {
-    const bucket = this.#fill(service, nowMs);
-    const earned = this.#options.share * SHARE_PART;
-    bucket.tokens = Math.min(this.#getMost(), bucket.tokens + earned);
+    const bucket = this.#refill(service, nowMs);
+    const earned = this.#options.share * CALL_SHARE_FACTOR;
+    bucket.tokens = Math.min(this.#getCapacity(), bucket.tokens + earned);
   }
 
-  /** Spends one further try; false where none is left. */
+  /** Spends one retry. Returns false if none is left. */
   spendRetry(service: string, nowMs: number): boolean {
-    const bucket = this.#fill(service, nowMs);
+    const bucket = this.#refill(service, nowMs);
     if (bucket.tokens < 1) return false;
     bucket.tokens -= 1;
     return true;
   }
 
-  /** Tries that a new VM may send at once; below 1 in a large fleet. */
-  #getBurst(): number {
-    return this.#options.fixedPerWindow * BURST_PART / this.#liveVms;
+  /** Number of retries that a new VM may send at once; below 1 in a large fleet. */
+  #getBurstSize(): number {
+    return this.#options.fixedPerWindow * BURST_SHARE / this.#liveVms;
   }
 
-  /** Tries that may be saved up: at least a whole one, which a small burst grows to. */
-  #getMost(): number {
-    return Math.max(1, this.#getBurst());
+  /** Capacity of the bucket: at least one retry, so that a burst size below 1 can accumulate to one. */
+  #getCapacity(): number {
+    return Math.max(1, this.#getBurstSize());
   }
 
-  #fill(service: string, nowMs: number): Bucket {
+  #refill(service: string, nowMs: number): Bucket {
     let bucket = this.#buckets.get(service);
     if (bucket === undefined) {
-      bucket = { tokens: this.#getBurst(), filledAtMs: nowMs };
+      bucket = { tokens: this.#getBurstSize(), refilledAtMs: nowMs };
       this.#buckets.set(service, bucket);
     }
     const { fixedPerWindow, windowMs } = this.#options;
-    const ratePerMs = fixedPerWindow * RATE_PART / windowMs / this.#liveVms;
-    const earned = (nowMs - bucket.filledAtMs) * ratePerMs;
-    bucket.tokens = Math.min(this.#getMost(), bucket.tokens + earned);
-    bucket.filledAtMs = nowMs;
+    const ratePerMs = fixedPerWindow * RATE_SHARE / windowMs / this.#liveVms;
+    const earned = (nowMs - bucket.refilledAtMs) * ratePerMs;
+    bucket.tokens = Math.min(this.#getCapacity(), bucket.tokens + earned);
+    bucket.refilledAtMs = nowMs;
     return bucket;
   }
 }
--- a/packages/heatherarch-forward/state/route_table.ts
+++ b/packages/heatherarch-forward/state/route_table.ts
@@ -1,29 +1,29 @@
 /**
- * Which route takes a call. A table is one version of the configuration and never changes.
+ * Finds the route of a call. A table represents one version of the configuration and is immutable.
  *
  * @module
  */
 import { hashText, mixHash } from "heatherarch-core";
 import type { Route, RoutingConfig, ServiceSpec } from "../model.ts";
 
-/** An immutable view of one configuration. */
+/** An immutable index of one configuration. */
 export class RouteTable {
   readonly config: RoutingConfig;
-  readonly #byHost = new Map<string, Route[]>();
-  readonly #services = new Map<string, ServiceSpec>();
+  readonly #routesByHost = new Map<string, Route[]>();
+  readonly #servicesByName = new Map<string, ServiceSpec>();
 
   constructor(config: RoutingConfig) {
     this.config = config;
     for (const route of config.routes) {
-      const routes = this.#byHost.get(route.host) ?? [];
+      const routes = this.#routesByHost.get(route.host) ?? [];
       routes.push(route);
-      this.#byHost.set(route.host, routes);
+      this.#routesByHost.set(route.host, routes);
     }
-    for (const routes of this.#byHost.values()) {
+    for (const routes of this.#routesByHost.values()) {
       routes.sort((a, b) => b.pathPrefix.length - a.pathPrefix.length);
     }
     for (const service of config.services) {
-      this.#services.set(service.name, service);
+      this.#servicesByName.set(service.name, service);
     }
   }
 
@@ -31,32 +31,32 @@
     return this.config.version;
   }
 
-  /** The route with the longest prefix of `path` at `host`. */
+  /** Returns the route of `host` whose path prefix is the longest that matches `path`. */
   findRoute(host: string, path: string): Route | undefined {
     const query = path.indexOf("?");
-    const plain = query < 0 ? path : path.slice(0, query);
-    const routes = this.#byHost.get(normalizeHost(host));
-    return routes?.find((route) => plain.startsWith(route.pathPrefix));
+    const pathOnly = query < 0 ? path : path.slice(0, query);
+    const routes = this.#routesByHost.get(normalizeHost(host));
+    return routes?.find((route) => pathOnly.startsWith(route.pathPrefix));
   }
 
   findService(name: string): ServiceSpec | undefined {
-    return this.#services.get(name);
+    return this.#servicesByName.get(name);
   }
 
-  /** Services of a route, the one that its weights draw for `key` first. */
+  /** Lists the services of a route. The first one is selected for `key` according to the weights. */
   listServices(route: Route, key: string): string[] {
     const weighted = route.services.filter((entry) => entry.weight > 0);
     const total = weighted.reduce((sum, entry) => sum + entry.weight, 0);
     if (total <= 0) return [];
     let point = mixHash(hashText(key)) / 0x1_0000_0000 * total;
-    const drawn = weighted.find((entry) => (point -= entry.weight) < 0) ??
+    const selected = weighted.find((entry) => (point -= entry.weight) < 0) ??
       weighted[0];
-    const others = weighted.filter((entry) => entry !== drawn);
-    return [drawn, ...others].map((entry) => entry.service);
+    const others = weighted.filter((entry) => entry !== selected);
+    return [selected, ...others].map((entry) => entry.service);
   }
 }
 
-/** Lower-case host without its port. */
+/** Returns the host in lower case and without its port. */
 function normalizeHost(host: string): string {
   return host.replace(/:\d+$/, "").toLowerCase();
 }
--- a/packages/heatherarch-forward/state/store_outage_detector.ts
+++ b/packages/heatherarch-forward/state/store_outage_detector.ts
@@ -1,141 +1,149 @@
 /**
- * Judges whether entries that the list of targets names no more may have lapsed with the store,
- * although their targets live.
+ * Decides whether entries that are missing from the target list may have expired because of an
+ * outage of the store, although their targets are still running.
  *
- * Pure: time comes in with each update.
+ * The module has no clock: each update carries the time.
  *
  * @module
  */
 
-/** Guards of the judgement; the proofs switch them off one at a time. */
+/** Conditions of the decision. The proofs disable them one at a time. */
 export const STORE_OUTAGE_GUARDS = [
   "ownReadingFailed",
   "outageMakesLapse",
   "peersReadings",
 ] as const;
-/** Name of a guard. */
+/** Name of a condition that a proof can disable. */
 export type StoreOutageGuard = typeof STORE_OUTAGE_GUARDS[number];
 
 /** Options of {@linkcode StoreOutageDetector}. */
 export interface StoreOutageDetectorOptions {
-  /** Time between the writes with which a live target keeps its entry, milliseconds. */
+  /** Interval between the writes with which a running target renews its entry, milliseconds. */
   readonly targetHeartbeatMs?: number;
   /**
-   * How long an entry that went missing during an outage of the store is still used after the
-   * store is back, milliseconds. A live target is listed again within two seconds of it.
+   * Time for which an entry that went missing during a store outage is still used after the store
+   * recovers, milliseconds. A running target is listed again within two seconds of the recovery.
    */
   readonly recoveryGraceMs?: number;
   readonly disabledGuards?: ReadonlySet<StoreOutageGuard>;
 }
 
-/** As the platform's targets write where it does not say otherwise. */
+/** Default write interval of the platform's targets. */
 const DEFAULT_TARGET_HEARTBEAT_MS = 1200;
-const DEFAULT_RETURN_GRACE_MS = 2000;
+const DEFAULT_RECOVERY_GRACE_MS = 2000;
 /**
- * An entry lapses after three heartbeats of silence, of which one may have passed before the
- * store went away: in them it must have been away for the other two, at once or in turns.
+ * An entry expires after three heartbeat intervals without a write, one of which may have passed
+ * before the outage. Within these intervals the store must have been unavailable for the other two,
+ * in one outage or in several.
  */
-const LAPSE_HEARTBEATS = 3;
-const AWAY_HEARTBEATS = 2;
+const EXPIRY_HEARTBEATS = 3;
+const MIN_OUTAGE_HEARTBEATS = 2;
 /**
- * In a shorter time without a reading a target misses one write at most, and a VM whose own reading
- * fails can't tell it from the pause between its peers' readings.
+ * Shortest gap between reads that counts as an outage. In a shorter one a target misses at most one
+ * write, and a VM whose own reads fail cannot distinguish it from the interval between its peers'
+ * reads.
  */
 const MIN_GAP_HEARTBEATS = 1;
 
-/** A time in which nobody is known to have read. */
+/** A period in which no VM is known to have read the list. */
 interface Gap {
   readonly fromMs: number;
   readonly untilMs: number;
 }
 
 /**
- * Outages of the store as the fleet sees them.
+ * Detects outages of the store from the reads of the whole fleet.
  *
- * That one VM can't read says nothing of the store. An outage is believed only where this VM's
- * own reading failed and nobody, as far as this VM hears, has read for so long that entries may
- * have lapsed. Without both, VMs called targets up to 3.3 s after these had left, where 3 s are
- * allowed (80 VMs, a release of engines while the store refused two hubs).
+ * A failed read on one VM does not prove an outage of the store. An outage is assumed only if this
+ * VM's own read failed and no VM is known to have read for so long that entries may have expired.
+ * Without both conditions, VMs sent calls to targets up to 3.3 s after these had left, where 3 s
+ * are allowed (80 VMs, a release of engines while the store refused two hubs).
  */
 export class StoreOutageDetector {
   readonly #heartbeatMs: number;
-  readonly #returnGraceMs: number;
+  readonly #recoveryGraceMs: number;
   readonly #disabledGuards: ReadonlySet<StoreOutageGuard>;
   #isFailing = false;
-  /** Outages of the last heartbeats. */
+  /** Outages within the last heartbeat intervals. */
   #gaps: Gap[] = [];
-  /** Last reading of anybody, and of this VM. */
-  #readAtMs = -Infinity;
-  #ownReadAtMs = -Infinity;
+  /** Times of the latest read by any VM, and by this VM. */
+  #lastReadAtMs = -Infinity;
+  #lastOwnReadAtMs = -Infinity;
   #graceUntilMs = -Infinity;
 
   constructor(options: StoreOutageDetectorOptions = {}) {
     this.#heartbeatMs = options.targetHeartbeatMs ??
       DEFAULT_TARGET_HEARTBEAT_MS;
-    this.#returnGraceMs = options.recoveryGraceMs ?? DEFAULT_RETURN_GRACE_MS;
+    this.#recoveryGraceMs = options.recoveryGraceMs ??
+      DEFAULT_RECOVERY_GRACE_MS;
     this.#disabledGuards = options.disabledGuards ?? new Set();
   }
 
-  /** This VM's own reading failed. Returns whether the one before had not. */
+  /** Records that this VM's own read failed. Returns whether its previous read had not failed. */
   recordOwnFailure(): boolean {
-    const isNews = !this.#isFailing;
+    const isFirst = !this.#isFailing;
     this.#isFailing = true;
-    return isNews;
+    return isFirst;
   }
 
-  /** This VM has read the list without fault at `atMs`, or is told it as it was then. */
+  /** Records that this VM read the list at `atMs`, or received a peer's copy of that time. */
   recordOwnRead(atMs: number): void {
-    const isNewest = atMs >= this.#readAtMs;
-    this.#noteAnyRead(atMs);
+    const isNewest = atMs >= this.#lastReadAtMs;
+    this.#recordRead(atMs);
     if (!isNewest) return;
     this.#isFailing = false;
-    this.#ownReadAtMs = atMs;
+    this.#lastOwnReadAtMs = atMs;
   }
 
-  /** A peer has read the list without fault at `atMs` of this VM's clock. */
+  /** Records that a peer read the list successfully at `atMs` of this VM's clock. */
   recordPeerRead(atMs: number): void {
-    if (!this.#isOff("peersReadings")) this.#noteAnyRead(atMs);
+    if (!this.#isDisabled("peersReadings")) this.#recordRead(atMs);
   }
 
-  #noteAnyRead(atMs: number): void {
-    if (atMs <= this.#readAtMs) return;
-    const gap = { fromMs: this.#readAtMs, untilMs: atMs };
-    const isInGrace = this.#readAtMs < this.#graceUntilMs;
-    this.#readAtMs = atMs;
+  #recordRead(atMs: number): void {
+    if (atMs <= this.#lastReadAtMs) return;
+    const gap = { fromMs: this.#lastReadAtMs, untilMs: atMs };
+    const isInGrace = this.#lastReadAtMs < this.#graceUntilMs;
+    this.#lastReadAtMs = atMs;
     if (!this.#isOutage(gap)) return;
     this.#gaps.push(gap);
-    // Before entries are back, a further outage keeps them away.
-    if (isInGrace || this.#mayLapse(atMs)) {
-      this.#graceUntilMs = atMs + this.#returnGraceMs;
+    // A further outage before the entries are written again delays them further.
+    if (isInGrace || this.#mayHaveExpired(atMs)) {
+      this.#graceUntilMs = atMs + this.#recoveryGraceMs;
     }
   }
 
   #isOutage({ fromMs, untilMs }: Gap): boolean {
-    if (!this.#isFailing && !this.#isOff("ownReadingFailed")) return false;
-    if (this.#isOff("outageMakesLapse")) return true;
+    if (!this.#isFailing && !this.#isDisabled("ownReadingFailed")) {
+      return false;
+    }
+    if (this.#isDisabled("outageMakesLapse")) return true;
     return untilMs - fromMs >= this.#heartbeatMs * MIN_GAP_HEARTBEATS;
   }
 
-  /** Whether the store was away for so much of a lapse that live targets could not write. */
-  #mayLapse(nowMs: number): boolean {
-    if (this.#isOff("outageMakesLapse")) return true;
-    const sinceMs = nowMs - this.#heartbeatMs * LAPSE_HEARTBEATS;
+  /**
+   * Whether the store was unavailable for so much of the expiry time that entries of running
+   * targets may have expired.
+   */
+  #mayHaveExpired(nowMs: number): boolean {
+    if (this.#isDisabled("outageMakesLapse")) return true;
+    const sinceMs = nowMs - this.#heartbeatMs * EXPIRY_HEARTBEATS;
     this.#gaps = this.#gaps.filter(({ untilMs }) => untilMs > sinceMs);
-    const awayMs = this.#gaps.reduce(
+    const outageMs = this.#gaps.reduce(
       (sum, { fromMs, untilMs }) => sum + untilMs - Math.max(fromMs, sinceMs),
       0,
     );
-    return awayMs >= this.#heartbeatMs * AWAY_HEARTBEATS;
+    return outageMs >= this.#heartbeatMs * MIN_OUTAGE_HEARTBEATS;
   }
 
-  /** Whether an entry that is missing at `nowMs` may belong to a live target. */
+  /** Whether an entry that is missing at `nowMs` may belong to a running target. */
   isInGrace(nowMs: number): boolean {
     if (nowMs < this.#graceUntilMs) return true;
-    // This VM has not seen since whether they are back: it changes nothing until it reads.
-    return this.#isFailing && this.#ownReadAtMs < this.#graceUntilMs;
+    // This VM has not read since the outage, so it keeps missing entries until it does.
+    return this.#isFailing && this.#lastOwnReadAtMs < this.#graceUntilMs;
   }
 
-  #isOff(guard: StoreOutageGuard): boolean {
+  #isDisabled(guard: StoreOutageGuard): boolean {
     return this.#disabledGuards.has(guard);
   }
 }
--- a/packages/heatherarch-forward/state/target_backoffs.ts
+++ b/packages/heatherarch-forward/state/target_backoffs.ts
@@ -1,36 +1,37 @@
 /**
- * Targets that answered with `Retry-After`. Unlike avoidance, which is a hint, a rest is binding
- * even when no other target is left. Pure: time is passed in.
+ * Tracks targets that answered with `Retry-After`. Avoidance by target health is only a preference,
+ * whereas a backoff is binding even if no other target is left. The module has no clock: each call
+ * carries the time.
  *
  * @module
  */
 
-/** Upper bound, so that a faulty answer does not take a target out for good, milliseconds. */
-const MAX_REST_MS = 300_000;
+/** Upper bound, so that a faulty answer does not exclude a target permanently. */
+const MAX_BACKOFF_MS = 300_000;
 
-/** Rests by target. */
+/** Backoffs by target. */
 export class TargetBackoffs {
-  readonly #untilMs = new Map<string, number>();
+  readonly #endsAtMs = new Map<string, number>();
 
-  /** A target asked for rest; returns whether it was not resting yet. */
-  recordBackoff(target: string, restMs: number, nowMs: number): boolean {
-    const wasResting = this.isInBackoff(target, nowMs);
-    const untilMs = nowMs + Math.min(restMs, MAX_REST_MS);
-    const before = this.#untilMs.get(target) ?? -Infinity;
-    this.#untilMs.set(target, Math.max(before, untilMs));
-    return !wasResting;
+  /** Records that a target requested a backoff. Returns whether it was not yet in backoff. */
+  recordBackoff(target: string, backoffMs: number, nowMs: number): boolean {
+    const wasInBackoff = this.isInBackoff(target, nowMs);
+    const untilMs = nowMs + Math.min(backoffMs, MAX_BACKOFF_MS);
+    const before = this.#endsAtMs.get(target) ?? -Infinity;
+    this.#endsAtMs.set(target, Math.max(before, untilMs));
+    return !wasInBackoff;
   }
 
   isInBackoff(target: string, nowMs: number): boolean {
     return nowMs < this.getEndMs(target);
   }
 
-  /** Monotonic time at which a target's rest ends; -Infinity where it asked for none. */
+  /** Monotonic time at which a target's backoff ends, or -Infinity if it requested none. */
   getEndMs(target: string): number {
-    return this.#untilMs.get(target) ?? -Infinity;
+    return this.#endsAtMs.get(target) ?? -Infinity;
   }
 
   forget(target: string): void {
-    this.#untilMs.delete(target);
+    this.#endsAtMs.delete(target);
   }
 }
--- a/packages/heatherarch-forward/state/target_directory.ts
+++ b/packages/heatherarch-forward/state/target_directory.ts
@@ -1,6 +1,6 @@
 /**
- * The targets that the platform's list names, and which of them may get new work. Pure: time
- * comes in with each update.
+ * Holds the targets of the platform's target list and decides which of them may receive new work.
+ * The module has no clock: each update carries the time.
  *
  * @module
  */
@@ -13,219 +13,237 @@
 
 /** Options of {@linkcode TargetDirectory}. */
 export interface TargetDirectoryOptions extends StoreOutageDetectorOptions {
-  /** Whether word of an earlier life counts; only for proofs, which must notice it. */
+  /** Accepts updates of earlier incarnations. Only for proofs, which must detect the fault. */
   readonly acceptsEarlierIncarnations?: boolean;
-  /** Whether word counts that is older than what is known; only for proofs as well. */
+  /** Accepts updates that are older than the known state. Only for proofs as well. */
   readonly acceptsOlderUpdates?: boolean;
 }
 
-/** What changed in a directory since some point. */
+/** The changes of a directory since a cursor. */
 export interface DirectoryChanges {
-  /** The entries are all targets; otherwise they are what changed, without value what has gone. */
+  /**
+   * Whether `entries` lists all targets. Otherwise it lists changes, and removed targets have no
+   * value.
+   */
   readonly isFull: boolean;
   readonly entries: readonly KeyedEntry<Target>[];
-  /** Where the next changes begin. */
+  /** Cursor from which the next changes are listed. */
   readonly cursor: number;
 }
 
 /**
- * Time after the list has shown an engine's new role in which marks of that change may still be
- * heard, milliseconds: a reading of the list by the VM that gave the order, and the 1.5 s for which
- * its peers keep a mark. Such a mark kept an engine without work for up to 2.2 s after its change.
+ * Time after the list has shown an engine's new role during which notices of that change may still
+ * arrive. It covers one list read by the VM that ordered the change, and the 1.5 s for which its
+ * peers keep the notice. Such a late notice kept an engine without work for up to 2.2 s after its
+ * change.
  */
-const LATE_MARK_MS = 2500;
-/** Instances whose latest life is remembered, so that late word of an earlier one is none. */
-const MAX_LIVES = 10_000;
-/** Lives that are remembered to have said that they leave. */
-const MAX_SAID_LEAVING = 1000;
-/** Changes that are remembered for peers; one that is further behind is given the whole list. */
+const LATE_ROLE_CHANGE_MS = 2500;
+/** Instances whose latest incarnation is kept, so that late updates of earlier ones are ignored. */
+const MAX_INCARNATIONS = 10_000;
+/** Incarnations that are kept as having announced that they leave. */
+const MAX_ANNOUNCED_LEAVING = 1000;
+/** Changes that are kept for peers. A peer that is further behind receives the whole list. */
 const MAX_CHANGES = 512;
 
-/** The latest known life of an instance. */
-interface Life {
+/** The latest known incarnation of an instance. */
+interface Incarnation {
   readonly id: string;
   readonly startedAtMs: number;
 }
 
-/** Targets by the id of their life. */
+/** The known targets, by the id of their incarnation. */
 export class TargetDirectory {
   readonly #outages: StoreOutageDetector;
-  readonly #takesEarlierLives: boolean;
-  readonly #takesOlderWord: boolean;
+  readonly #acceptsEarlierIncarnations: boolean;
+  readonly #acceptsOlderUpdates: boolean;
   readonly #targets = new Map<string, Target>();
-  /** Missing entries that are still used while the grace lasts. */
+  /** Targets that are missing from the list and still used during the grace period. */
   readonly #missing = new Set<string>();
   #holdsAtMs = -Infinity;
-  /** Engines that are changing their role, with the end of the time it may take. */
-  readonly #changing = new Map<string, { sinceMs: number; untilMs: number }>();
-  /** Lives that said themselves, or to a peer, that they leave: the list can't take that back. */
-  readonly #saidLeaving = new Set<string>();
-  /** Lives that were forgotten from that set's beginning. */
-  #saidForgotten = 0;
+  /** Engines that are changing their role, with the time by which the change must be done. */
+  readonly #roleChanges = new Map<
+    string,
+    { sinceMs: number; untilMs: number }
+  >();
+  /**
+   * Incarnations that announced to this VM or a peer that they leave. The list cannot revoke an
+   * announcement.
+   */
+  readonly #announcedLeaving = new Set<string>();
+  /** Number of incarnations that were evicted from the start of that set. */
+  #announcedLeavingStart = 0;
   readonly #leavingListeners = new Set<() => void>();
-  /** When the list showed an engine in another role than before. */
-  readonly #roleShownAtMs = new Map<string, number>();
-  readonly #lives = new Map<string, Life>();
-  /** Ids of targets that were dropped and not yet taken by {@linkcode takeDropped}. */
+  /** Time at which the list first showed an engine in a new role. */
+  readonly #roleListedAtMs = new Map<string, number>();
+  readonly #incarnations = new Map<string, Incarnation>();
+  /** Ids of dropped targets that {@linkcode takeDropped} has not returned yet. */
   #dropped: string[] = [];
-  readonly #changes: KeyedEntry<Target>[] = [];
-  #changesStart = 0;
+  readonly #changeLog: KeyedEntry<Target>[] = [];
+  #changeLogStart = 0;
   #byService = new Map<string, readonly Target[]>();
 
   constructor(options: TargetDirectoryOptions = {}) {
     this.#outages = new StoreOutageDetector(options);
-    this.#takesEarlierLives = options.acceptsEarlierIncarnations ?? false;
-    this.#takesOlderWord = options.acceptsOlderUpdates ?? false;
+    this.#acceptsEarlierIncarnations = options.acceptsEarlierIncarnations ??
+      false;
+    this.#acceptsOlderUpdates = options.acceptsOlderUpdates ?? false;
   }
 
-  /** Latest monotonic time for which all that is known holds; -Infinity before the first list. */
+  /** Latest monotonic time at which the known state was valid; -Infinity before the first list. */
   get validAtMs(): number {
     return this.#holdsAtMs;
   }
 
-  /** This VM's own reading failed: the store may be away. Returns whether that is news. */
+  /**
+   * Records that this VM's own read failed, as the store may be unavailable. Returns whether its
+   * previous read had not failed.
+   */
   recordReadFailure(): boolean {
     return this.#outages.recordOwnFailure();
   }
 
-  /** A peer has read the list from the store at `atMs` of this VM's clock. */
+  /** Records that a peer read the list from the store at `atMs` of this VM's clock. */
   recordPeerRead(atMs: number): void {
     this.#outages.recordPeerRead(atMs);
   }
 
-  /** Replaces the whole list by one just loaded, which was asked for at `askedAtMs`. */
+  /** Replaces the whole list with one that was requested at `requestedAtMs`. */
   applyList(
     entries: readonly KeyedEntry<Target>[],
     nowMs: number,
-    askedAtMs = nowMs,
+    requestedAtMs = nowMs,
   ): void {
-    this.#noteOwnRead(nowMs, askedAtMs);
+    this.#recordOwnRead(nowMs, requestedAtMs);
     const listed = new Set<string>();
     for (const { key, value, isUnreadable } of entries) {
-      if (isUnreadable) this.#drop(this.#findLife(key));
+      if (isUnreadable) this.#drop(this.#resolveId(key));
       if (value === undefined) continue;
       listed.add(value.id);
-      this.#set(value, nowMs);
+      this.#applyTarget(value, nowMs);
     }
     for (const id of this.#targets.keys()) {
       if (!listed.has(id)) this.#remove(id, nowMs);
     }
-    this.#index();
+    this.#rebuildIndex();
   }
 
-  /** Applies later records in their order, which were asked for at `askedAtMs`. */
+  /** Applies later records in their order. They were requested at `requestedAtMs`. */
   applyChanges(
     entries: readonly KeyedEntry<Target>[],
     nowMs: number,
-    askedAtMs = nowMs,
+    requestedAtMs = nowMs,
   ): void {
-    this.#noteOwnRead(nowMs, askedAtMs);
+    this.#recordOwnRead(nowMs, requestedAtMs);
     let isChanged = false;
     for (const { key, value, isUnreadable } of entries) {
       if (value === undefined) {
-        const id = this.#findLife(key);
-        const isGone = isUnreadable ? this.#drop(id) : this.#remove(id, nowMs);
-        isChanged = isGone || isChanged;
-      } else isChanged = this.#set(value, nowMs) || isChanged;
+        const id = this.#resolveId(key);
+        const isRemoved = isUnreadable
+          ? this.#drop(id)
+          : this.#remove(id, nowMs);
+        isChanged = isRemoved || isChanged;
+      } else isChanged = this.#applyTarget(value, nowMs) || isChanged;
     }
-    if (isChanged) this.#index();
+    if (isChanged) this.#rebuildIndex();
   }
 
   /**
-   * Takes in what a peer knows of the list, read at `atMs` of this VM's clock. The peer has judged
-   * what lapsed during an outage; nothing is kept beyond its word. Word that is dated before what
-   * is known here would undo what a target has said since, so it is refused. It may hold news all
-   * the same, since its date is that of a request: whoever took it asks for the whole list.
+   * Applies a peer's copy of the list, read at `atMs` of this VM's clock. The peer has already
+   * decided which entries expired in an outage, so no missing target is kept here. A copy that is
+   * older than the known state is rejected, as it would undo what a target has announced since. It
+   * may still contain new entries, because its time is that of a request; the caller therefore
+   * requests the whole list.
    */
   applyFeed(
     entries: readonly KeyedEntry<Target>[],
     isFull: boolean,
     atMs: number,
   ): void {
-    if (atMs < this.#holdsAtMs && !this.#takesOlderWord) return;
-    if (atMs > this.#holdsAtMs) this.#noteOwnRead(atMs, atMs);
+    if (atMs < this.#holdsAtMs && !this.#acceptsOlderUpdates) return;
+    if (atMs > this.#holdsAtMs) this.#recordOwnRead(atMs, atMs);
     this.#missing.clear();
     const listed = new Set<string>();
     for (const { key, value } of entries) {
-      if (value === undefined) this.#drop(this.#findLife(key));
-      else this.#set(value, atMs);
+      if (value === undefined) this.#drop(this.#resolveId(key));
+      else this.#applyTarget(value, atMs);
       listed.add(value?.id ?? key);
     }
     for (const id of isFull ? [...this.#targets.keys()] : []) {
       if (!listed.has(id)) this.#drop(id);
     }
-    this.#index();
+    this.#rebuildIndex();
   }
 
-  /** Ids of targets that were dropped since the last time: nothing learned of them holds. */
+  /** Returns and clears the ids of dropped targets. Everything learned about them is obsolete. */
   takeDropped(): string[] {
     const dropped = this.#dropped;
     this.#dropped = [];
     return dropped;
   }
 
-  /** What changed from `cursor` on; all targets without one, or where that is too long ago. */
+  /** Lists the changes from `cursor` on, or all targets if it is undefined or too old. */
   listChanges(cursor: number | undefined): DirectoryChanges {
-    const end = this.#changesStart + this.#changes.length;
-    if (cursor !== undefined && cursor >= this.#changesStart) {
-      const entries = this.#changes.slice(cursor - this.#changesStart);
+    const end = this.#changeLogStart + this.#changeLog.length;
+    if (cursor !== undefined && cursor >= this.#changeLogStart) {
+      const entries = this.#changeLog.slice(cursor - this.#changeLogStart);
       return { isFull: false, entries, cursor: end };
     }
     const entries = this.listAll().map((value) => ({ key: value.id, value }));
     return { isFull: true, entries, cursor: end };
   }
 
-  /** Drops missing entries whose grace has ended; returns their ids. */
+  /** Drops missing targets whose grace period has ended and returns their ids. */
   dropExpired(nowMs: number): string[] {
     if (this.#missing.size === 0 || this.#outages.isInGrace(nowMs)) return [];
     const gone = this.listMissing();
     for (const id of gone) this.#drop(id);
-    this.#index();
+    this.#rebuildIndex();
     return gone;
   }
 
-  /** The address of `id` was found to belong to another incarnation. */
+  /** Drops `id`, as its address was found to belong to another incarnation. */
   markReplaced(id: string): void {
-    if (this.#drop(id)) this.#index();
+    if (this.#drop(id)) this.#rebuildIndex();
   }
 
   /**
-   * A life of a target has said in an answer, to this VM or a peer, that it leaves. Whatever the
-   * list says, it gets no more work. Returns whether that is news.
+   * Records that an incarnation announced in an answer, to this VM or a peer, that it leaves. It
+   * receives no more work, regardless of the list. Returns whether the announcement is new.
    */
   markLeaving(id: string): boolean {
-    if (this.#saidLeaving.has(id)) return false;
-    this.#saidLeaving.add(id);
-    const [oldest] = this.#saidLeaving;
-    if (this.#saidLeaving.size > MAX_SAID_LEAVING) {
-      this.#saidLeaving.delete(oldest);
-      this.#saidForgotten++;
+    if (this.#announcedLeaving.has(id)) return false;
+    this.#announcedLeaving.add(id);
+    const [oldest] = this.#announcedLeaving;
+    if (this.#announcedLeaving.size > MAX_ANNOUNCED_LEAVING) {
+      this.#announcedLeaving.delete(oldest);
+      this.#announcedLeavingStart++;
     }
     const target = this.#targets.get(id);
     if (target !== undefined) {
-      this.#put({ ...target, leaving: true });
-      this.#index();
+      this.#storeTarget({ ...target, leaving: true });
+      this.#rebuildIndex();
     }
     for (const listener of [...this.#leavingListeners]) listener();
     return true;
   }
 
-  /** Lives that have said that they leave, from `cursor` on, and the cursor behind them. */
+  /** Lists the incarnations that announced that they leave from `cursor` on, and the next cursor. */
   listAnnouncedLeaving(
     cursor = 0,
   ): { readonly targetIds: string[]; readonly cursor: number } {
-    const end = this.#saidForgotten + this.#saidLeaving.size;
+    const end = this.#announcedLeavingStart + this.#announcedLeaving.size;
     if (cursor >= end) return { targetIds: [], cursor: end };
-    const from = Math.max(0, cursor - this.#saidForgotten);
-    return { targetIds: [...this.#saidLeaving].slice(from), cursor: end };
+    const from = Math.max(0, cursor - this.#announcedLeavingStart);
+    return { targetIds: [...this.#announcedLeaving].slice(from), cursor: end };
   }
 
-  /** Whether a target leaves, by its own word or the list's. */
+  /** Whether a target leaves, according to its own announcement or the list. */
   isLeaving(id: string): boolean {
-    return this.#saidLeaving.has(id) || this.#targets.get(id)?.leaving === true;
+    return this.#announcedLeaving.has(id) ||
+      this.#targets.get(id)?.leaving === true;
   }
 
-  /** Registers a listener for lives that say that they leave and returns its undo. */
+  /** Registers a listener for leaving announcements and returns a function that removes it. */
   registerLeavingListener(listener: () => void): () => void {
     this.#leavingListeners.add(listener);
     return () => {
@@ -234,43 +252,43 @@
   }
 
   /**
-   * An engine was ordered to change its role: it takes no work for a while. A mark of a change
-   * that the list has just shown comes late and changes nothing.
+   * Records that an engine was ordered to change its role and takes no work until then. A late
+   * notice of a change that the list has just shown is ignored.
    */
   markChangingRole(id: string, untilMs: number, nowMs: number): void {
-    const shownAtMs = this.#roleShownAtMs.get(id) ?? -Infinity;
-    if (nowMs - shownAtMs < LATE_MARK_MS) return;
+    const listedAtMs = this.#roleListedAtMs.get(id) ?? -Infinity;
+    if (nowMs - listedAtMs < LATE_ROLE_CHANGE_MS) return;
     const sinceMs = this.findRoleChangeStartMs(id, nowMs) ?? nowMs;
-    this.#changing.set(id, { sinceMs, untilMs });
+    this.#roleChanges.set(id, { sinceMs, untilMs });
   }
 
-  /** Monotonic time at which an engine that is changing its role was first known to do so. */
+  /** Monotonic time at which the role change in progress at an engine became known. */
   findRoleChangeStartMs(id: string, nowMs: number): number | undefined {
     return this.hasRoleChange(id, nowMs)
-      ? this.#changing.get(id)?.sinceMs
+      ? this.#roleChanges.get(id)?.sinceMs
       : undefined;
   }
 
-  /** Engines that are changing their role. */
+  /** Lists the engines that are changing their role. */
   listChangingRole(nowMs: number): string[] {
-    return [...this.#changing.keys()]
+    return [...this.#roleChanges.keys()]
       .filter((id) => this.hasRoleChange(id, nowMs));
   }
 
   hasRoleChange(id: string, nowMs: number): boolean {
-    const change = this.#changing.get(id);
+    const change = this.#roleChanges.get(id);
     if (change === undefined) return false;
     if (nowMs < change.untilMs) return true;
-    this.#changing.delete(id);
+    this.#roleChanges.delete(id);
     return false;
   }
 
-  /** Whether a target is used although the list names it no more; by the key of its entry. */
+  /** Whether the target of this list key is still used although the list no longer contains it. */
   isMissing(key: string): boolean {
-    return this.#missing.has(this.#findLife(key));
+    return this.#missing.has(this.#resolveId(key));
   }
 
-  /** Targets that are used although the list names them no more. */
+  /** Lists the targets that are still used although the list no longer contains them. */
   listMissing(): string[] {
     return [...this.#missing];
   }
@@ -279,7 +297,7 @@
     return this.#targets.get(id);
   }
 
-  /** Targets of a service that may get new work. */
+  /** Lists the targets of a service that may receive new work. */
   listServing(service: string): readonly Target[] {
     return this.#byService.get(service) ?? [];
   }
@@ -292,51 +310,57 @@
     return this.#targets.size;
   }
 
-  #noteOwnRead(nowMs: number, askedAtMs: number): void {
+  #recordOwnRead(nowMs: number, requestedAtMs: number): void {
     this.#outages.recordOwnRead(nowMs);
-    this.#holdsAtMs = Math.max(this.#holdsAtMs, askedAtMs);
+    this.#holdsAtMs = Math.max(this.#holdsAtMs, requestedAtMs);
   }
 
-  /** Returns whether anything that matters to a caller changed. */
-  #set(listed: Target, nowMs: number): boolean {
+  /** Returns whether anything that is relevant to callers changed. */
+  #applyTarget(listed: Target, nowMs: number): boolean {
     const { id } = listed;
-    if (!this.#beginLife(listed)) return false;
-    const target = this.#saidLeaving.has(id)
+    if (!this.#beginIncarnation(listed)) return false;
+    const target = this.#announcedLeaving.has(id)
       ? { ...listed, leaving: true }
       : listed;
     const before = this.#targets.get(id);
     this.#missing.delete(id);
-    if (before !== undefined && isSame(before, target)) return false;
+    if (before !== undefined && hasSameListing(before, target)) return false;
     if (before?.role !== target.role) {
-      this.#changing.delete(id);
-      if (before !== undefined) this.#roleShownAtMs.set(id, nowMs);
+      this.#roleChanges.delete(id);
+      if (before !== undefined) this.#roleListedAtMs.set(id, nowMs);
     }
-    this.#put(target);
+    this.#storeTarget(target);
     return true;
   }
 
-  #put(target: Target): void {
+  #storeTarget(target: Target): void {
     this.#targets.set(target.id, target);
-    this.#record({ key: target.id, value: target });
+    this.#logChange({ key: target.id, value: target });
   }
 
-  /** Ends an earlier life of the target's instance; false where the target is the earlier one. */
-  #beginLife({ id, instance = id, startedAtMs = -Infinity }: Target): boolean {
-    const known = this.#lives.get(instance);
+  /** Ends an earlier incarnation of the instance. Returns false if the target itself is earlier. */
+  #beginIncarnation(
+    { id, instance = id, startedAtMs = -Infinity }: Target,
+  ): boolean {
+    const known = this.#incarnations.get(instance);
     if (known?.id === id) return true;
     const isEarlier = known !== undefined && startedAtMs < known.startedAtMs;
-    if (isEarlier && !this.#takesEarlierLives) return false;
+    if (isEarlier && !this.#acceptsEarlierIncarnations) return false;
     if (known !== undefined) this.#drop(known.id);
-    this.#lives.delete(instance);
-    this.#lives.set(instance, { id, startedAtMs });
-    const [oldest] = this.#lives.keys();
-    if (this.#lives.size > MAX_LIVES) this.#lives.delete(oldest);
+    this.#incarnations.delete(instance);
+    this.#incarnations.set(instance, { id, startedAtMs });
+    const [oldest] = this.#incarnations.keys();
+    if (this.#incarnations.size > MAX_INCARNATIONS) {
+      this.#incarnations.delete(oldest);
+    }
     return true;
   }
 
-  /** The life that an entry's key names: its instance's latest, or the life itself. */
-  #findLife(key: string): string {
-    return this.#targets.has(key) ? key : this.#lives.get(key)?.id ?? key;
+  /** Resolves an entry's key to an incarnation: the key itself, or its instance's latest one. */
+  #resolveId(key: string): string {
+    return this.#targets.has(key)
+      ? key
+      : this.#incarnations.get(key)?.id ?? key;
   }
 
   #remove(id: string, nowMs: number): boolean {
@@ -349,25 +373,25 @@
     return this.#drop(id);
   }
 
-  /** Returns whether there was such a target. */
+  /** Returns whether the target existed. */
   #drop(id: string): boolean {
     this.#missing.delete(id);
-    this.#roleShownAtMs.delete(id);
+    this.#roleListedAtMs.delete(id);
     if (!this.#targets.delete(id)) return false;
-    this.#changing.delete(id);
+    this.#roleChanges.delete(id);
     this.#dropped.push(id);
-    this.#record({ key: id });
+    this.#logChange({ key: id });
     return true;
   }
 
-  #record(change: KeyedEntry<Target>): void {
-    this.#changes.push(change);
-    if (this.#changes.length <= MAX_CHANGES) return;
-    this.#changes.shift();
-    this.#changesStart++;
+  #logChange(change: KeyedEntry<Target>): void {
+    this.#changeLog.push(change);
+    if (this.#changeLog.length <= MAX_CHANGES) return;
+    this.#changeLog.shift();
+    this.#changeLogStart++;
   }
 
-  #index(): void {
+  #rebuildIndex(): void {
     const index = new Map<string, Target[]>();
     for (const target of this.#targets.values()) {
       if (target.leaving) continue;
@@ -379,7 +403,7 @@
   }
 }
 
-function isSame(a: Target, b: Target): boolean {
+function hasSameListing(a: Target, b: Target): boolean {
   return a.address === b.address && a.service === b.service &&
     a.leaving === b.leaving && a.role === b.role && a.slots === b.slots &&
     a.availabilityZone === b.availabilityZone;
--- a/packages/heatherarch-forward/state/target_health.ts
+++ b/packages/heatherarch-forward/state/target_health.ts
@@ -1,116 +1,126 @@
 /**
- * Which targets are avoided for a while, judged by how they answered. Pure: time comes in with
- * each update.
+ * Decides which targets to avoid temporarily, based on the outcomes of calls. The module has no
+ * clock: each update carries the time.
  *
- * Health checks are false at times, either way, and each one is paid for; the answers to calls
- * tell sooner.
+ * Health checks can be wrong in both directions and each one has a cost. The outcomes of calls show
+ * a failure sooner.
  *
  * @module
  */
 
-/** How a try at a target ended, as far as its health goes. */
+/** Outcome of a try, as far as it concerns the target's health. */
 export type TryOutcome = "answered" | "failed" | "unreachable";
 
-interface Belief {
-  /** Tries in a row that found it unreachable. */
-  streak: number;
-  /** Smoothed share of tries that it failed. */
+interface HealthState {
+  /** Number of consecutive tries that found the target unreachable. */
+  unreachableStreak: number;
+  /** Moving average of the share of failed tries. */
   failShare: number;
   samples: number;
   avoidUntilMs: number;
-  /** Monotonic time of its last answer. */
-  heardAtMs: number;
+  /** Monotonic time of the target's last answer. */
+  lastAnswerAtMs: number;
 }
 
-/** Tries in a row that did not reach a target before it counts as down; one may be a lost packet. */
-const UNREACHABLE_STREAK = 2;
-const FIRST_AVOID_MS = 500;
-/** Longer than the time in which the platform's list drops a dead target. */
+/**
+ * Consecutive unreachable tries after which a target counts as down. A single one may be due to a
+ * lost packet.
+ */
+const MIN_UNREACHABLE_STREAK = 2;
+const INITIAL_AVOID_MS = 500;
+/** Upper bound; longer than the time after which the platform's list drops a dead target. */
 const MAX_AVOID_MS = 5000;
-/** Weight of a new sample; about the last eight tries count. */
-const LEARN_WEIGHT = 0.12;
-/** A target that fails more than this share is avoided; errors by design stay well below. */
+/** Weight of a new sample in the moving average, which covers about the last eight tries. */
+const SAMPLE_WEIGHT = 0.12;
+/** A target with a higher share of failures is avoided; errors by design stay well below it. */
 const MAX_FAIL_SHARE = 0.3;
 const MIN_SAMPLES = 6;
-const GREY_AVOID_MS = 2000;
-/** After a grey target's rest its share starts here, so that one more failure rests it again. */
-const SHARE_AFTER_REST = 0.22;
+const FAILING_AVOID_MS = 2000;
+/**
+ * Failure share with which a failing target starts after its avoidance, so that one more failure
+ * makes it avoided again.
+ */
+const FAIL_SHARE_AFTER_AVOIDANCE = 0.22;
 
-/** Beliefs on targets. */
+/** Health of targets, as this VM observes it. */
 export class TargetHealth {
-  readonly #beliefs = new Map<string, Belief>();
+  readonly #states = new Map<string, HealthState>();
 
-  /** Takes in the end of a try; returns true where the target is avoided from now on. */
+  /** Records the outcome of a try. Returns whether the target is avoided from now on. */
   recordOutcome(target: string, outcome: TryOutcome, nowMs: number): boolean {
-    const belief = this.#open(target);
-    const wasAvoided = belief.avoidUntilMs > nowMs;
-    belief.samples++;
+    const state = this.#getOrCreate(target);
+    const wasAvoided = state.avoidUntilMs > nowMs;
+    state.samples++;
     const sample = outcome === "answered" ? 0 : 1;
-    belief.failShare += (sample - belief.failShare) * LEARN_WEIGHT;
-    if (outcome === "answered") belief.heardAtMs = nowMs;
-    if (outcome === "unreachable") this.#avoidUnreachable(belief, nowMs);
-    else belief.streak = 0;
-    if (outcome === "answered" && wasAvoided && belief.streak === 0) {
+    state.failShare += (sample - state.failShare) * SAMPLE_WEIGHT;
+    if (outcome === "answered") state.lastAnswerAtMs = nowMs;
+    if (outcome === "unreachable") this.#avoidUnreachable(state, nowMs);
+    else state.unreachableStreak = 0;
+    if (
+      outcome === "answered" && wasAvoided && state.unreachableStreak === 0
+    ) {
       return false;
     }
-    this.#avoidGrey(belief, nowMs);
-    return !wasAvoided && belief.avoidUntilMs > nowMs;
+    this.#avoidIfFailing(state, nowMs);
+    return !wasAvoided && state.avoidUntilMs > nowMs;
   }
 
-  /** The target is avoided until then, whatever it answered before. */
+  /** Avoids the target until `untilMs`, regardless of its earlier outcomes. */
   avoidUntil(target: string, untilMs: number): void {
-    const belief = this.#open(target);
-    belief.avoidUntilMs = Math.max(belief.avoidUntilMs, untilMs);
+    const state = this.#getOrCreate(target);
+    state.avoidUntilMs = Math.max(state.avoidUntilMs, untilMs);
   }
 
   isAvoided(target: string, nowMs: number): boolean {
-    const belief = this.#beliefs.get(target);
-    return belief !== undefined && belief.avoidUntilMs > nowMs;
+    const state = this.#states.get(target);
+    return state !== undefined && state.avoidUntilMs > nowMs;
   }
 
-  /** Whether several tries in a row reached a target. */
+  /** Whether fewer consecutive tries than the threshold found the target unreachable. */
   isReachable(target: string): boolean {
-    return (this.#beliefs.get(target)?.streak ?? 0) < UNREACHABLE_STREAK;
+    return (this.#states.get(target)?.unreachableStreak ?? 0) <
+      MIN_UNREACHABLE_STREAK;
   }
 
-  /** Monotonic time of a target's last answer; -Infinity where there was none. */
+  /** Monotonic time of a target's last answer, or -Infinity if there was none. */
   getLastAnswerAtMs(target: string): number {
-    return this.#beliefs.get(target)?.heardAtMs ?? -Infinity;
+    return this.#states.get(target)?.lastAnswerAtMs ?? -Infinity;
   }
 
   forget(target: string): void {
-    this.#beliefs.delete(target);
+    this.#states.delete(target);
   }
 
-  #avoidUnreachable(belief: Belief, nowMs: number): void {
-    belief.streak++;
-    const waitMs = FIRST_AVOID_MS * 2 ** Math.min(belief.streak - 1, 6);
+  #avoidUnreachable(state: HealthState, nowMs: number): void {
+    state.unreachableStreak++;
+    const waitMs = INITIAL_AVOID_MS *
+      2 ** Math.min(state.unreachableStreak - 1, 6);
     const untilMs = nowMs + Math.min(MAX_AVOID_MS, waitMs);
-    belief.avoidUntilMs = Math.max(belief.avoidUntilMs, untilMs);
+    state.avoidUntilMs = Math.max(state.avoidUntilMs, untilMs);
   }
 
-  #avoidGrey(belief: Belief, nowMs: number): void {
-    if (belief.samples < MIN_SAMPLES) return;
-    if (belief.failShare <= MAX_FAIL_SHARE) return;
-    belief.avoidUntilMs = Math.max(
-      belief.avoidUntilMs,
-      nowMs + GREY_AVOID_MS,
+  #avoidIfFailing(state: HealthState, nowMs: number): void {
+    if (state.samples < MIN_SAMPLES) return;
+    if (state.failShare <= MAX_FAIL_SHARE) return;
+    state.avoidUntilMs = Math.max(
+      state.avoidUntilMs,
+      nowMs + FAILING_AVOID_MS,
     );
-    belief.failShare = SHARE_AFTER_REST;
+    state.failShare = FAIL_SHARE_AFTER_AVOIDANCE;
   }
 
-  #open(target: string): Belief {
-    let belief = this.#beliefs.get(target);
-    if (belief === undefined) {
-      belief = {
-        streak: 0,
+  #getOrCreate(target: string): HealthState {
+    let state = this.#states.get(target);
+    if (state === undefined) {
+      state = {
+        unreachableStreak: 0,
         failShare: 0,
         samples: 0,
         avoidUntilMs: -Infinity,
-        heardAtMs: -Infinity,
+        lastAnswerAtMs: -Infinity,
       };
-      this.#beliefs.set(target, belief);
+      this.#states.set(target, state);
     }
-    return belief;
+    return state;
   }
 }
--- a/packages/heatherarch-forward/state/work_tracker.ts
+++ b/packages/heatherarch-forward/state/work_tracker.ts
@@ -1,48 +1,51 @@
 /**
- * Work in progress at each target, over all VMs: this VM's own by the call, the others' as
- * they last told. Pure: time comes in with each update.
+ * Tracks the outstanding work at each target over all VMs: this VM's own work call by call, and the
+ * other VMs' work as they last reported it. The module has no clock: each update carries the time.
  *
- * Reports of engines lag behind by the time of several prompts, and each VM gives only a small
- * part of the work. The sum of what was given and not yet answered is known at once. An engine
- * with places left reads in the order of arrival, whatever the priority says, so the wait of a
- * prompt is all that was given before it.
+ * Reports of engines lag by the time of several prompts, and each VM sends only a small part of the
+ * work, whereas the sum of what was sent and not yet answered is known at once. An engine with free
+ * slots prefills in the order of arrival, regardless of priority, so a prompt waits for all the work
+ * that was sent before it.
  *
  * @module
  */
 
-/** Lanes of prompts; lower ones are given to engines first. The last one is for late calls. */
+/** Number of priority lanes. Lower lanes are sent first; the last lane holds late calls. */
 export const LANE_COUNT = 4;
-const LATE = LANE_COUNT - 1;
+const LATE_LANE = LANE_COUNT - 1;
 
-/** Work of one VM at one target, as told to peers: id, runs, KV tokens, milliseconds by lane. */
+/**
+ * Work of one VM at one target, as sent to peers: target id, number of runs, KV tokens, and
+ * prefill milliseconds per lane.
+ */
 export type WorkRow = readonly [string, number, number, ...number[]];
 
-/** Runs in progress at one target. */
+/** Runs in progress at one target, and the KV cache that they use. */
 export interface RunLoad {
   readonly runs: number;
   /** KV tokens that those runs hold. */
   readonly kvTokens: number;
 }
 
-interface ReadEntry {
+interface PrefillEntry {
   readonly lane: number;
   readonly costMs: number;
   readonly finishAtMs: number;
-  /** When its answer is due: some time after the engine has gone on to other prompts. */
-  readonly answerAtMs: number;
+  /** Time at which the answer is due, which is after the engine has started on other prompts. */
+  readonly answerDueAtMs: number;
 }
 
-/** A prompt that is given to a target. */
+/** A prompt that is sent to a target for prefill. */
 export interface PrefillWork {
-  /** Time for which it occupies the target, milliseconds. */
+  /** Time for which the prompt occupies the target, milliseconds. */
   readonly costMs: number;
   readonly lane: number;
-  /** Time from the end of the reading to its answer, milliseconds; 0 by default. */
+  /** Time from the end of the prefill to its answer, milliseconds; 0 by default. */
   readonly latencyMs?: number;
 }
 
 interface OwnWork {
-  readonly reads: Set<ReadEntry>;
+  readonly prefills: Set<PrefillEntry>;
   runs: number;
   kvTokens: number;
 }
@@ -53,40 +56,43 @@
   readonly scope: WorkScope;
 }
 
-/** What one peer told of one target, with the time for which it told it. */
+/** One peer's row for one target, with the time at which the row was valid. */
 interface PeerRow {
   readonly row: WorkRow;
   readonly atMs: number;
 }
 
 /**
- * Whose work a peer tells of: its own, or what it has gathered of VMs that this one has no link
- * to. Gathered work is passed on only to VMs of the own zone.
+ * Whose work a peer reports: its own, or the aggregate (`gathered`) of VMs to which this VM has no
+ * link. Aggregated work is relayed only to VMs of the same availability zone.
  */
 export type WorkScope = "own" | "gathered";
 
-/** A peer that has not told anything for this long is taken to have no work, milliseconds. */
-const PEER_SILENCE_MS = 1500;
-/** Fields of a row before the lanes. */
-const ROW_HEAD = 3;
-/** What a prompt that is overdue adds at most: an engine that has stopped answering fills up. */
+/** A peer without a report for this long is assumed to have no work. */
+const PEER_TIMEOUT_MS = 1500;
+/** Number of fields before the lanes in a row. */
+const LANE_OFFSET = 3;
+/**
+ * Upper bound of what an overdue prompt adds to the backlog. The addition lets the backlog of an
+ * engine that has stopped answering grow.
+ */
 const MAX_OVERDUE_MS = 400;
 
-/** The ledger of one VM. */
+/** The work that one VM knows of. */
 export class WorkTracker {
-  readonly #own = new Map<string, OwnWork>();
-  readonly #peers = new Map<string, PeerWork>();
-  /** Rows by target and peer: a hub has some 40 peers, of which few work at one target. */
-  readonly #rows = new Map<string, Map<string, PeerRow>>();
+  readonly #ownWork = new Map<string, OwnWork>();
+  readonly #peerWork = new Map<string, PeerWork>();
+  /** Rows by target and peer. A hub has about 40 peers, few of which have work at any one target. */
+  readonly #peerRows = new Map<string, Map<string, PeerRow>>();
   readonly #listeners = new Set<() => void>();
   #version = 0;
 
-  /** Goes up with each change of what is known, but for the time that passes. */
+  /** Incremented with each change of the known work, but not with the passing of time. */
   get version(): number {
     return this.#version;
   }
 
-  /** Registers a listener for changes of this VM's own work and returns its undo. */
+  /** Registers a listener for this VM's own work and returns a function that removes it. */
   registerOwnWorkListener(listener: () => void): () => void {
     this.#listeners.add(listener);
     return () => {
@@ -94,40 +100,44 @@
     };
   }
 
-  /** A prompt was given to a target; returns what ends the entry. */
-  beginPrefill(target: string, read: PrefillWork, nowMs: number): () => void {
-    const { costMs, lane, latencyMs = 0 } = read;
+  /** Records that a prompt was sent to a target. Returns a function that removes the entry. */
+  beginPrefill(
+    target: string,
+    prefill: PrefillWork,
+    nowMs: number,
+  ): () => void {
+    const { costMs, lane, latencyMs = 0 } = prefill;
     const finishAtMs = nowMs + this.getPrefillBacklogMs(target, nowMs) + costMs;
-    const answerAtMs = finishAtMs + latencyMs;
-    const work = this.#open(target);
-    const entry = { lane, costMs, finishAtMs, answerAtMs };
-    work.reads.add(entry);
-    this.#noteOwnChange();
+    const answerDueAtMs = finishAtMs + latencyMs;
+    const work = this.#getOrCreate(target);
+    const entry = { lane, costMs, finishAtMs, answerDueAtMs };
+    work.prefills.add(entry);
+    this.#notifyOwnChange();
     return () => {
-      if (!work.reads.delete(entry)) return;
-      this.#sweep(target, work);
-      this.#noteOwnChange();
+      if (!work.prefills.delete(entry)) return;
+      this.#removeIfIdle(target, work);
+      this.#notifyOwnChange();
     };
   }
 
-  /** A run was given to a target; returns what ends the entry. */
+  /** Records that a run was sent to a target. Returns a function that removes the entry. */
   beginRun(target: string, kvTokens: number): () => void {
-    const work = this.#open(target);
+    const work = this.#getOrCreate(target);
     work.runs++;
     work.kvTokens += kvTokens;
-    this.#noteOwnChange();
-    let open = true;
+    this.#notifyOwnChange();
+    let isOpen = true;
     return () => {
-      if (!open) return;
-      open = false;
+      if (!isOpen) return;
+      isOpen = false;
       work.runs--;
       work.kvTokens -= kvTokens;
-      this.#sweep(target, work);
-      this.#noteOwnChange();
+      this.#removeIfIdle(target, work);
+      this.#notifyOwnChange();
     };
   }
 
-  /** Takes in all that a peer has in progress, or has gathered. */
+  /** Replaces all work that a peer reports, its own or aggregated. */
   setPeerWork(
     peer: string,
     rows: readonly WorkRow[],
@@ -135,40 +145,42 @@
     scope: WorkScope = "own",
   ): void {
     this.forgetPeer(peer);
-    this.#peers.set(peer, { atMs: nowMs, scope, rows });
+    this.#peerWork.set(peer, { atMs: nowMs, scope, rows });
     for (const row of rows) {
-      let byPeer = this.#rows.get(row[0]);
+      let byPeer = this.#peerRows.get(row[0]);
       if (byPeer === undefined) {
         byPeer = new Map();
-        this.#rows.set(row[0], byPeer);
+        this.#peerRows.set(row[0], byPeer);
       }
       byPeer.set(peer, { row, atMs: nowMs });
     }
   }
 
-  /** Time until a target has read all that it was given, milliseconds. */
+  /** Time until a target has prefilled all prompts that were sent to it, milliseconds. */
   getPrefillBacklogMs(target: string, nowMs: number): number {
-    let leftMs = 0;
-    for (const entry of this.#own.get(target)?.reads ?? []) {
-      leftMs += computeLeft(entry, nowMs);
+    let remainingMs = 0;
+    for (const entry of this.#ownWork.get(target)?.prefills ?? []) {
+      remainingMs += computeRemainingMs(entry, nowMs);
     }
     for (const { row, ageMs } of this.#listPeerRows(target, nowMs)) {
-      leftMs += Math.max(0, sumLanes(row) - ageMs);
+      remainingMs += Math.max(0, sumLanes(row) - ageMs);
     }
-    return leftMs;
+    return remainingMs;
   }
 
-  /** Whether a target reads the prompt of a late call. */
+  /** Whether a target has the prompt of a late call in prefill. */
   hasLatePrefill(target: string, nowMs: number): boolean {
-    const own = this.#own.get(target)?.reads ?? [];
-    if ([...own].some(({ lane }) => lane === LATE)) return true;
+    const own = this.#ownWork.get(target)?.prefills ?? [];
+    if ([...own].some(({ lane }) => lane === LATE_LANE)) return true;
     return this.#listPeerRows(target, nowMs)
-      .some(({ row, ageMs }) => (row[ROW_HEAD + LATE] as number) > ageMs);
+      .some(({ row, ageMs }) =>
+        (row[LANE_OFFSET + LATE_LANE] as number) > ageMs
+      );
   }
 
-  /** Runs in progress at a target, over all VMs. */
+  /** Sums the runs in progress at a target over all VMs. */
   getRunLoad(target: string, nowMs: number): RunLoad {
-    const own = this.#own.get(target);
+    const own = this.#ownWork.get(target);
     let runs = own?.runs ?? 0;
     let kvTokens = own?.kvTokens ?? 0;
     for (const { row } of this.#listPeerRows(target, nowMs)) {
@@ -178,56 +190,56 @@
     return { runs, kvTokens };
   }
 
-  /** This VM's own work, for its peers. */
+  /** Lists this VM's own work for its peers. */
   listOwnRows(nowMs: number): WorkRow[] {
     const rows: WorkRow[] = [];
-    for (const [target, work] of this.#own) {
+    for (const [target, work] of this.#ownWork) {
       const lanes = new Array<number>(LANE_COUNT).fill(0);
-      for (const entry of work.reads) {
-        lanes[entry.lane] += computeLeft(entry, nowMs);
+      for (const entry of work.prefills) {
+        lanes[entry.lane] += computeRemainingMs(entry, nowMs);
       }
       rows.push([target, work.runs, work.kvTokens, ...lanes.map(Math.round)]);
     }
     return rows;
   }
 
-  /** A peer has stopped, or another one tells of its work now. */
+  /** Removes the work of a peer that has stopped, or whose work another peer reports now. */
   forgetPeer(peer: string): void {
     this.#version++;
-    const known = this.#peers.get(peer);
-    if (known === undefined) return;
-    this.#peers.delete(peer);
-    for (const [target] of known.rows) {
-      const byPeer = this.#rows.get(target);
+    const existing = this.#peerWork.get(peer);
+    if (existing === undefined) return;
+    this.#peerWork.delete(peer);
+    for (const [target] of existing.rows) {
+      const byPeer = this.#peerRows.get(target);
       byPeer?.delete(peer);
-      if (byPeer?.size === 0) this.#rows.delete(target);
+      if (byPeer?.size === 0) this.#peerRows.delete(target);
     }
   }
 
-  /** What peers tell comes in another form from now on. */
+  /** Removes the work of all peers, because their reports change their form. */
   forgetAllPeers(): void {
-    for (const peer of [...this.#peers.keys()]) this.forgetPeer(peer);
+    for (const peer of [...this.#peerWork.keys()]) this.forgetPeer(peer);
   }
 
-  /** This VM's work and its peers', summed by target; with or without gathered work. */
-  sumRows(nowMs: number, withGathered: boolean): WorkRow[] {
+  /** Sums the work of this VM and its peers by target, with or without aggregated work. */
+  sumRows(nowMs: number, includeGathered: boolean): WorkRow[] {
     const sums = new Map<string, number[]>();
     const add = ([id, ...values]: WorkRow, ageMs: number): void => {
       const sum = sums.get(id);
       const aged = values.map((value, i) =>
-        i < ROW_HEAD - 1 ? value : Math.max(0, Math.round(value - ageMs))
+        i < LANE_OFFSET - 1 ? value : Math.max(0, Math.round(value - ageMs))
       );
       if (sum === undefined) sums.set(id, aged);
       else aged.forEach((value, i) => sum[i] += value);
     };
     for (const row of this.listOwnRows(nowMs)) add(row, 0);
-    for (const [peer, { atMs, rows, scope }] of this.#peers) {
+    for (const [peer, { atMs, rows, scope }] of this.#peerWork) {
       const ageMs = nowMs - atMs;
-      if (ageMs > PEER_SILENCE_MS) {
+      if (ageMs > PEER_TIMEOUT_MS) {
         this.forgetPeer(peer);
         continue;
       }
-      if (scope === "gathered" && !withGathered) continue;
+      if (scope === "gathered" && !includeGathered) continue;
       for (const row of rows) add(row, ageMs);
     }
     return [...sums].map(([id, [runs, kvTokens, ...lanes]]): WorkRow => [
@@ -243,34 +255,34 @@
     nowMs: number,
   ): { row: WorkRow; ageMs: number }[] {
     const rows: { row: WorkRow; ageMs: number }[] = [];
-    for (const { row, atMs } of this.#rows.get(target)?.values() ?? []) {
+    for (const { row, atMs } of this.#peerRows.get(target)?.values() ?? []) {
       const ageMs = nowMs - atMs;
-      if (ageMs <= PEER_SILENCE_MS) rows.push({ row, ageMs });
+      if (ageMs <= PEER_TIMEOUT_MS) rows.push({ row, ageMs });
     }
     return rows;
   }
 
-  #noteOwnChange(): void {
+  #notifyOwnChange(): void {
     this.#version++;
     for (const listener of this.#listeners) listener();
   }
 
-  #open(target: string): OwnWork {
-    let work = this.#own.get(target);
+  #getOrCreate(target: string): OwnWork {
+    let work = this.#ownWork.get(target);
     if (work === undefined) {
-      work = { reads: new Set(), runs: 0, kvTokens: 0 };
-      this.#own.set(target, work);
+      work = { prefills: new Set(), runs: 0, kvTokens: 0 };
+      this.#ownWork.set(target, work);
     }
     return work;
   }
 
-  #sweep(target: string, work: OwnWork): void {
-    if (work.runs > 0 || work.reads.size > 0) return;
-    if (this.#own.get(target) === work) this.#own.delete(target);
+  #removeIfIdle(target: string, work: OwnWork): void {
+    if (work.runs > 0 || work.prefills.size > 0) return;
+    if (this.#ownWork.get(target) === work) this.#ownWork.delete(target);
   }
 }
 
-/** What others have in progress: a sum less the part that is one's own. */
+/** Subtracts a VM's own rows from a sum, which leaves the work of the other VMs. */
 export function subtractRows(
   sum: readonly WorkRow[],
   own: readonly WorkRow[],
@@ -287,16 +299,16 @@
   });
 }
 
-/** What is left of a prompt, or the time by which it is overdue. */
-function computeLeft(entry: ReadEntry, nowMs: number): number {
-  const { costMs, finishAtMs, answerAtMs } = entry;
+/** Remaining prefill time of a prompt, or the bounded time by which its answer is overdue. */
+function computeRemainingMs(entry: PrefillEntry, nowMs: number): number {
+  const { costMs, finishAtMs, answerDueAtMs } = entry;
   if (nowMs <= finishAtMs) return Math.min(costMs, finishAtMs - nowMs);
-  const overdueMs = Math.max(0, nowMs - answerAtMs);
+  const overdueMs = Math.max(0, nowMs - answerDueAtMs);
   return Math.min(overdueMs, MAX_OVERDUE_MS);
 }
 
 function sumLanes(row: WorkRow): number {
   let total = 0;
-  for (let i = ROW_HEAD; i < row.length; i++) total += row[i] as number;
+  for (let i = LANE_OFFSET; i < row.length; i++) total += row[i] as number;
   return total;
 }
