--- a/packages/heatherarch-forward/state/prefill_time_model.ts
+++ b/packages/heatherarch-forward/state/prefill_time_model.ts
@@ -68,7 +68,7 @@
  */
 const FASTER_UNLOADED_WEIGHT = 0.15;
 const SLOWER_UNLOADED_WEIGHT = 0.08;
-/** Limits the effect of one long prefill to a factor of about 1.5, as a fault may have delayed it. */
+/** Limits one long prefill to a factor of about 1.5, as a fault may have delayed it. */
 const MAX_LOG_ERROR = 0.4;
 /**
  * A prompt that took less than this share of its predicted time was cached, although the
--- a/packages/heatherarch-forward/state/retry_budget.ts
+++ b/packages/heatherarch-forward/state/retry_budget.ts
@@ -30,7 +30,7 @@
  */
 const BURST_SHARE = 0.4;
 const RATE_SHARE = 0.5;
-/** Part of the per-call share that is used, as calls and retries are counted in different windows. */
+/** Used part of the per-call share, as calls and retries are counted in different windows. */
 const CALL_SHARE_FACTOR = 0.7;
 
 /** The part of the fleet's retry budget that one VM may spend. */
@@ -68,7 +68,7 @@
     return this.#options.fixedPerWindow * BURST_SHARE / this.#liveVms;
   }
 
-  /** Capacity of the bucket: at least one retry, so that a burst size below 1 can accumulate to one. */
+  /** Bucket capacity: at least one retry, so that a burst size below 1 can accumulate to one. */
   #getCapacity(): number {
     return Math.max(1, this.#getBurstSize());
   }
--- a/packages/heatherarch-forward/state/route_table.ts
+++ b/packages/heatherarch-forward/state/route_table.ts
@@ -43,7 +43,7 @@
     return this.#servicesByName.get(name);
   }
 
-  /** Lists the services of a route. The first one is selected for `key` according to the weights. */
+  /** Lists the services of a route, with the one that the weights select for `key` first. */
   listServices(route: Route, key: string): string[] {
     const weighted = route.services.filter((entry) => entry.weight > 0);
     const total = weighted.reduce((sum, entry) => sum + entry.weight, 0);
--- a/packages/heatherarch-forward/state/target_directory.ts
+++ b/packages/heatherarch-forward/state/target_directory.ts
@@ -45,7 +45,7 @@
 /** Changes that are kept for peers. A peer that is further behind receives the whole list. */
 const MAX_CHANGES = 512;
 
-/** The latest known incarnation of an instance. */
+/** One incarnation of an instance. */
 interface Incarnation {
   readonly id: string;
   readonly startedAtMs: number;
@@ -59,7 +59,7 @@
   readonly #targets = new Map<string, Target>();
   /** Targets that are missing from the list and still used during the grace period. */
   readonly #missing = new Set<string>();
-  #holdsAtMs = -Infinity;
+  #validAtMs = -Infinity;
   /** Engines that are changing their role, with the time by which the change must be done. */
   readonly #roleChanges = new Map<
     string,
@@ -75,7 +75,8 @@
   readonly #leavingListeners = new Set<() => void>();
   /** Time at which the list first showed an engine in a new role. */
   readonly #roleListedAtMs = new Map<string, number>();
-  readonly #incarnations = new Map<string, Incarnation>();
+  /** Latest known incarnation of each instance. */
+  readonly #latest = new Map<string, Incarnation>();
   /** Ids of dropped targets that {@linkcode takeDropped} has not returned yet. */
   #dropped: string[] = [];
   readonly #changeLog: KeyedEntry<Target>[] = [];
@@ -91,7 +92,7 @@
 
   /** Latest monotonic time at which the known state was valid; -Infinity before the first list. */
   get validAtMs(): number {
-    return this.#holdsAtMs;
+    return this.#validAtMs;
   }
 
   /**
@@ -159,8 +160,8 @@
     isFull: boolean,
     atMs: number,
   ): void {
-    if (atMs < this.#holdsAtMs && !this.#acceptsOlderUpdates) return;
-    if (atMs > this.#holdsAtMs) this.#recordOwnRead(atMs, atMs);
+    if (atMs < this.#validAtMs && !this.#acceptsOlderUpdates) return;
+    if (atMs > this.#validAtMs) this.#recordOwnRead(atMs, atMs);
     this.#missing.clear();
     const listed = new Set<string>();
     for (const { key, value } of entries) {
@@ -227,7 +228,7 @@
     return true;
   }
 
-  /** Lists the incarnations that announced that they leave from `cursor` on, and the next cursor. */
+  /** Lists the incarnations that announced leaving, from `cursor` on, and the next cursor. */
   listAnnouncedLeaving(
     cursor = 0,
   ): { readonly targetIds: string[]; readonly cursor: number } {
@@ -312,7 +313,7 @@
 
   #recordOwnRead(nowMs: number, requestedAtMs: number): void {
     this.#outages.recordOwnRead(nowMs);
-    this.#holdsAtMs = Math.max(this.#holdsAtMs, requestedAtMs);
+    this.#validAtMs = Math.max(this.#validAtMs, requestedAtMs);
   }
 
   /** Returns whether anything that is relevant to callers changed. */
@@ -342,25 +343,21 @@
   #beginIncarnation(
     { id, instance = id, startedAtMs = -Infinity }: Target,
   ): boolean {
-    const known = this.#incarnations.get(instance);
+    const known = this.#latest.get(instance);
     if (known?.id === id) return true;
     const isEarlier = known !== undefined && startedAtMs < known.startedAtMs;
     if (isEarlier && !this.#acceptsEarlierIncarnations) return false;
     if (known !== undefined) this.#drop(known.id);
-    this.#incarnations.delete(instance);
-    this.#incarnations.set(instance, { id, startedAtMs });
-    const [oldest] = this.#incarnations.keys();
-    if (this.#incarnations.size > MAX_INCARNATIONS) {
-      this.#incarnations.delete(oldest);
-    }
+    this.#latest.delete(instance);
+    this.#latest.set(instance, { id, startedAtMs });
+    const [oldest] = this.#latest.keys();
+    if (this.#latest.size > MAX_INCARNATIONS) this.#latest.delete(oldest);
     return true;
   }
 
   /** Resolves an entry's key to an incarnation: the key itself, or its instance's latest one. */
   #resolveId(key: string): string {
-    return this.#targets.has(key)
-      ? key
-      : this.#incarnations.get(key)?.id ?? key;
+    return this.#targets.has(key) ? key : this.#latest.get(key)?.id ?? key;
   }
 
   #remove(id: string, nowMs: number): boolean {
--- a/packages/heatherarch-forward/state/work_tracker.ts
+++ b/packages/heatherarch-forward/state/work_tracker.ts
@@ -4,7 +4,7 @@
  *
  * Reports of engines lag by the time of several prompts, and each VM sends only a small part of the
  * work, whereas the sum of what was sent and not yet answered is known at once. An engine with free
- * slots prefills in the order of arrival, regardless of priority, so a prompt waits for all the work
+ * slots prefills in the order of arrival, regardless of priority, so a prompt waits for all work
  * that was sent before it.
  *
  * @module
@@ -82,7 +82,7 @@
 export class WorkTracker {
   readonly #ownWork = new Map<string, OwnWork>();
   readonly #peerWork = new Map<string, PeerWork>();
-  /** Rows by target and peer. A hub has about 40 peers, few of which have work at any one target. */
+  /** Rows by target and peer. A hub has about 40 peers, few of which have work at one target. */
   readonly #peerRows = new Map<string, Map<string, PeerRow>>();
   readonly #listeners = new Set<() => void>();
   #version = 0;
