--- a/packages/heatherarch-forward/state/store_outage_detector.ts
+++ b/packages/heatherarch-forward/state/store_outage_detector.ts
@@ -114,9 +114,7 @@
   }
 
   #isOutage({ fromMs, untilMs }: Gap): boolean {
-    if (!this.#isFailing && !this.#isDisabled("ownReadingFailed")) {
-      return false;
-    }
+    if (!this.#isFailing && !this.#isDisabled("ownReadingFailed")) return false;
     if (this.#isDisabled("outageMakesLapse")) return true;
     return untilMs - fromMs >= this.#heartbeatMs * MIN_GAP_HEARTBEATS;
   }
--- a/packages/heatherarch-forward/state/target_directory.ts
+++ b/packages/heatherarch-forward/state/target_directory.ts
@@ -73,7 +73,7 @@
   /** Number of incarnations that were evicted from the start of that set. */
   #announcedLeavingStart = 0;
   readonly #leavingListeners = new Set<() => void>();
-  /** Time at which the list first showed an engine in a new role. */
+  /** Time at which the list last showed an engine in a new role. */
   readonly #roleListedAtMs = new Map<string, number>();
   /** Latest known incarnation of each instance. */
   readonly #latest = new Map<string, Incarnation>();
--- a/packages/heatherarch-forward/tests/unit/route_table_test.ts
+++ b/packages/heatherarch-forward/tests/unit/route_table_test.ts
@@ -3,7 +3,7 @@
 import { ActiveConfig, RouteTable } from "../../mod.ts";
 import { buildConfig, buildRoute } from "./fixtures.ts";
 
-test("the longest prefix of a host takes the path", () => {
+test("the route with the longest matching path prefix of the host is found", () => {
   const table = new RouteTable(buildConfig({
     routes: [
       buildRoute({ name: "short", pathPrefix: "/a/" }),
@@ -18,7 +18,7 @@
   assert.equal(table.findRoute("a.example", "/a"), undefined);
 });
 
-test("a split sends calls by weight, the other service coming second", () => {
+test("calls are split by weight, and the other service is listed second", () => {
   const route = buildRoute({
     services: [{ service: "x", weight: 90 }, { service: "y", weight: 10 }],
   });
@@ -32,7 +32,7 @@
   assert.ok(second > 120 && second < 290, `${second} of 2000`);
 });
 
-test("a service of weight 0 is never used", () => {
+test("a service with weight 0 is never used", () => {
   const route = buildRoute({
     services: [{ service: "x", weight: 1 }, { service: "y", weight: 0 }],
   });
@@ -40,23 +40,37 @@
   assert.deepEqual(table.listServices(route, "k"), ["x"]);
 });
 
-test("the age of a configuration counts from the newest read that was answered", () => {
-  const view = new ActiveConfig();
-  assert.equal(view.getAgeMs(1000), Infinity);
-  view.recordStoreRead(900);
-  view.recordStoreRead(500);
-  assert.equal(view.getAgeMs(1000), 100);
+test("the age of a configuration counts from the newest successful read", () => {
+  const activeConfig = new ActiveConfig();
+  assert.equal(activeConfig.getAgeMs(1000), Infinity);
+  activeConfig.recordStoreRead(900);
+  activeConfig.recordStoreRead(500);
+  assert.equal(activeConfig.getAgeMs(1000), 100);
 });
 
-test("the version in force never goes down", () => {
-  const view = new ActiveConfig();
+test("the version in force never decreases", () => {
+  const activeConfig = new ActiveConfig();
   const seen: number[] = [];
-  const undo = view.registerListener(({ table }) => seen.push(table.version));
-  assert.equal(view.applyConfig(buildConfig({ version: 7 }), "store"), true);
-  assert.equal(view.applyConfig(buildConfig({ version: 5 }), "store"), false);
-  assert.equal(view.applyConfig(buildConfig({ version: 7 }), "store"), false);
-  undo();
-  assert.equal(view.applyConfig(buildConfig({ version: 9 }), "store"), true);
-  assert.equal(view.version, 9);
+  const removeListener = activeConfig.registerListener(({ table }) =>
+    seen.push(table.version)
+  );
+  assert.equal(
+    activeConfig.applyConfig(buildConfig({ version: 7 }), "store"),
+    true,
+  );
+  assert.equal(
+    activeConfig.applyConfig(buildConfig({ version: 5 }), "store"),
+    false,
+  );
+  assert.equal(
+    activeConfig.applyConfig(buildConfig({ version: 7 }), "store"),
+    false,
+  );
+  removeListener();
+  assert.equal(
+    activeConfig.applyConfig(buildConfig({ version: 9 }), "store"),
+    true,
+  );
+  assert.equal(activeConfig.version, 9);
   assert.deepEqual(seen, [7]);
 });
--- a/packages/heatherarch-forward/tests/unit/target_backoffs_test.ts
+++ b/packages/heatherarch-forward/tests/unit/target_backoffs_test.ts
@@ -9,39 +9,39 @@
 import type { AnswerFacts, CallCodec } from "../../mod.ts";
 import { buildTarget } from "./fixtures.ts";
 
-test("a target rests for as long as it asked, from its latest answer on", () => {
-  const rests = new TargetBackoffs();
-  assert.equal(rests.recordBackoff("t", 3000, 100), true);
-  assert.equal(rests.isInBackoff("t", 3099), true);
-  assert.equal(rests.recordBackoff("t", 3000, 1000), false);
-  assert.equal(rests.isInBackoff("t", 3999), true);
-  assert.equal(rests.isInBackoff("t", 4000), false);
-  assert.equal(rests.isInBackoff("other", 100), false);
+test("a target is in backoff for the requested time, counted from its latest answer", () => {
+  const backoffs = new TargetBackoffs();
+  assert.equal(backoffs.recordBackoff("t", 3000, 100), true);
+  assert.equal(backoffs.isInBackoff("t", 3099), true);
+  assert.equal(backoffs.recordBackoff("t", 3000, 1000), false);
+  assert.equal(backoffs.isInBackoff("t", 3999), true);
+  assert.equal(backoffs.isInBackoff("t", 4000), false);
+  assert.equal(backoffs.isInBackoff("other", 100), false);
 });
 
-test("a shorter rest asked for later does not end a longer one", () => {
-  const rests = new TargetBackoffs();
-  rests.recordBackoff("t", 3000, 0);
-  rests.recordBackoff("t", 100, 500);
-  assert.equal(rests.isInBackoff("t", 2999), true);
+test("a later request for a shorter backoff does not end a longer one", () => {
+  const backoffs = new TargetBackoffs();
+  backoffs.recordBackoff("t", 3000, 0);
+  backoffs.recordBackoff("t", 100, 500);
+  assert.equal(backoffs.isInBackoff("t", 2999), true);
 });
 
-test("no answer shuts a target out for days", () => {
-  const rests = new TargetBackoffs();
-  rests.recordBackoff("t", 1e9, 0);
-  assert.equal(rests.isInBackoff("t", 301_000), false);
+test("no answer excludes a target for days", () => {
+  const backoffs = new TargetBackoffs();
+  backoffs.recordBackoff("t", 1e9, 0);
+  assert.equal(backoffs.isInBackoff("t", 301_000), false);
 });
 
-test("an answer of another incarnation at the address says nothing of the target", () => {
+test("an answer of another instance at the address does not affect the target", () => {
   const target = buildTarget("t@1", { instance: "t", startedAtMs: 1 });
   const directory = new TargetDirectory();
   directory.applyList([{ key: "t", value: target }], 0);
-  const rests = new TargetBackoffs();
+  const backoffs = new TargetBackoffs();
   let facts: Partial<AnswerFacts> = { isLeaving: true, restMs: 1000 };
   const notices = new AnswerNotices({
     codec: { decodeAnswer: () => facts } as unknown as CallCodec,
     directory,
-    rests,
+    rests: backoffs,
     clock: { readMonotonicMs: () => 0, readWallMs: () => 0 },
     log: new MemoryEventLog(),
   });
@@ -49,9 +49,9 @@
   facts = { ...facts, answeredBy: "u" };
   notices.take(target, head);
   assert.equal(directory.isLeaving("t@1"), false);
-  assert.equal(rests.isInBackoff("t@1", 0), false);
+  assert.equal(backoffs.isInBackoff("t@1", 0), false);
   facts = { ...facts, answeredBy: "t" };
   notices.take(target, head);
   assert.equal(directory.isLeaving("t@1"), true);
-  assert.equal(rests.isInBackoff("t@1", 0), true);
+  assert.equal(backoffs.isInBackoff("t@1", 0), true);
 });
--- a/packages/heatherarch-forward/tests/unit/target_directory_test.ts
+++ b/packages/heatherarch-forward/tests/unit/target_directory_test.ts
@@ -16,7 +16,7 @@
   return directory;
 }
 
-test("a leaving or removed target gets no new work", () => {
+test("a leaving or removed target receives no new work", () => {
   const directory = createFilled();
   directory.applyChanges(
     [{ key: "a", value: buildTarget("a", { leaving: true }) }],
@@ -28,7 +28,7 @@
   assert.deepEqual(listIds(directory), []);
 });
 
-test("what lapsed during an outage is used until two seconds after its end", () => {
+test("entries that expired during an outage are used until two seconds after its end", () => {
   const directory = createFilled();
   directory.recordReadFailure();
   directory.applyChanges([{ key: "a" }], 10_000);
@@ -39,7 +39,7 @@
   assert.deepEqual(listIds(directory), ["a", "b"]);
 });
 
-test("an entry still missing two seconds after the outage is gone", () => {
+test("an entry that is still missing two seconds after the outage is dropped", () => {
   const directory = createFilled();
   directory.recordReadFailure();
   directory.applyList([{ key: "b", value: buildTarget("b") }], 5000);
@@ -48,7 +48,7 @@
   assert.deepEqual(listIds(directory), ["b"]);
 });
 
-test("a target that was leaving before the outage is not kept", () => {
+test("a target that was leaving before the outage is not kept during it", () => {
   const directory = createFilled();
   directory.applyChanges(
     [{ key: "a", value: buildTarget("a", { leaving: true }) }],
@@ -59,7 +59,7 @@
   assert.equal(directory.findTarget("a"), undefined);
 });
 
-test("a removal long after an outage takes effect at once", () => {
+test("a removal long after an outage takes effect immediately", () => {
   const directory = createFilled();
   directory.recordReadFailure();
   directory.applyChanges([], 1000);
@@ -67,7 +67,7 @@
   assert.deepEqual(listIds(directory), ["b"]);
 });
 
-test("an engine that changes its role takes no work until the list shows it", () => {
+test("an engine that changes its role takes no work until the list shows the new role", () => {
   const directory = createFilled();
   directory.markChangingRole("a", 5000, 0);
   directory.markChangingRole("a", 5000, 1000);
@@ -80,9 +80,10 @@
   assert.equal(directory.hasRoleChange("a", 4200), false);
 });
 
-// Seen: targets were used for more than three seconds after they had left, by VMs that read the
-// list each second without fault while others, which the store turned away, told of their loss.
-test("a target that goes between two good readings is not kept, whatever others have lost", () => {
+// VMs used targets for more than three seconds after these had left. The VMs read the list each
+// second without failure, but took the store for unavailable because peers whose reads the store
+// refused reported failures.
+test("a target that leaves between two successful reads is not kept, despite failures of other VMs", () => {
   const directory = createFilled();
   for (let nowMs = 1000; nowMs <= 3000; nowMs += 1000) {
     directory.recordReadFailure();
@@ -93,21 +94,21 @@
   assert.deepEqual(listIds(directory), ["b"]);
 });
 
-// Seen: the test of a call that waits for an engine's new role was refused beside load, as "no
-// engine generates". The engine was listed in its role, and a mark of its change, told again by
-// the VM that had ordered it and had not read the list yet, kept it from work.
-test("a mark that is heard after the list has shown the new role holds nothing up", () => {
+// Under load, a call that waited for an engine's new role was refused because no engine could decode.
+// The list already showed the engine in its new role. The VM that had ordered the change had not
+// read the list yet and sent its notice again, which kept the engine without work.
+test("a role change notice that arrives after the list has shown the new role is ignored", () => {
   const directory = createFilled();
   directory.markChangingRole("a", 5000, 0);
-  const shown = [{ key: "a", value: buildTarget("a", { role: "decode" }) }];
-  directory.applyChanges(shown, 4000);
+  const listed = [{ key: "a", value: buildTarget("a", { role: "decode" }) }];
+  directory.applyChanges(listed, 4000);
   directory.markChangingRole("a", 5600, 4100);
   assert.equal(directory.hasRoleChange("a", 4200), false);
   directory.markChangingRole("a", 9000, 7000);
   assert.equal(directory.hasRoleChange("a", 7100), true);
 });
 
-test("a target that says that it leaves gets no work, whatever the list and its feed say", () => {
+test("a target that announces that it leaves receives no work, regardless of the list and the feed", () => {
   const directory = new TargetDirectory();
   const target = buildTarget("t@1", { instance: "t", startedAtMs: 1 });
   directory.applyList([{ key: "t", value: target }], 0);
@@ -122,7 +123,7 @@
   assert.deepEqual(entries.map(({ value }) => value?.leaving), [true]);
 });
 
-test("the next life of a target that said that it leaves gets work", () => {
+test("the next incarnation of a target that announced that it leaves receives work", () => {
   const directory = new TargetDirectory();
   const target = buildTarget("t@1", { instance: "t", startedAtMs: 1 });
   directory.applyList([{ key: "t", value: target }], 0);
@@ -132,14 +133,14 @@
   assert.deepEqual(directory.listServing("s"), [next]);
 });
 
-test("a target that a peer was told is leaving is not used once it is listed", () => {
+test("a target whose leaving a peer reported is not used once it is listed", () => {
   const directory = new TargetDirectory();
   directory.markLeaving("t");
   directory.applyList([{ key: "t", value: buildTarget("t") }], 0);
   assert.deepEqual(directory.listServing("s"), []);
 });
 
-test("peers are told of lives that say that they leave once, and of all on a new link", () => {
+test("peers receive each leaving announcement once, and all of them on a new link", () => {
   const directory = new TargetDirectory();
   directory.markLeaving("a");
   const first = directory.listAnnouncedLeaving();
@@ -159,8 +160,9 @@
   assert.deepEqual(directory.listAnnouncedLeaving(all.cursor).targetIds, []);
 });
 
-// A hub that was late to learn undid what its VM had read itself: calls went to targets that had left.
-test("word of a peer that is older than one's own reading takes nothing back", () => {
+// A hub with an older state of the list reverted what a VM had read itself, so calls went to
+// targets that had left.
+test("a peer's feed that is older than this VM's own read reverts nothing", () => {
   const directory = createFilled();
   directory.applyChanges([
     { key: "a", value: buildTarget("a", { leaving: true }) },
@@ -179,7 +181,7 @@
   assert.deepEqual(listIds(directory), ["a", "b"]);
 });
 
-test("a reading counts as old as its request", () => {
+test("a read is as old as its request", () => {
   const directory = createFilled();
   directory.applyList(
     [{ key: "b", value: buildTarget("b") }],
--- a/packages/heatherarch-forward/tests/unit/target_health_test.ts
+++ b/packages/heatherarch-forward/tests/unit/target_health_test.ts
@@ -2,7 +2,7 @@
 import { test } from "node:test";
 import { TargetHealth } from "../../mod.ts";
 
-test("an unreachable target is avoided, longer each time, and not for ever", () => {
+test("an unreachable target is avoided for increasing but bounded times", () => {
   const health = new TargetHealth();
   assert.equal(health.recordOutcome("t", "unreachable", 0), true);
   assert.equal(health.isAvoided("t", 499), true);
@@ -13,7 +13,7 @@
   assert.equal(health.isAvoided("t", 2000 + 5001), false);
 });
 
-test("a target that fails a seventh of its calls is kept", () => {
+test("a target that fails one seventh of its calls is not avoided", () => {
   const health = new TargetHealth();
   for (let i = 0; i < 70; i++) {
     health.recordOutcome("t", i % 7 === 0 ? "failed" : "answered", i * 100);
@@ -21,7 +21,7 @@
   }
 });
 
-test("a target that fails nearly half of its calls is avoided", () => {
+test("a target that fails half of its calls is avoided", () => {
   const health = new TargetHealth();
   let avoided = 0;
   for (let i = 0; i < 40; i++) {
