--- a/packages/heatherarch-forward/state/prefix_holders.ts
+++ b/packages/heatherarch-forward/state/prefix_holders.ts
@@ -4,7 +4,7 @@
  * @module
  */
 import type { EngineTraits, Target } from "../model.ts";
-import type { PlacementView } from "../decisions/prompt_placement.ts";
+import type { PlacementContext } from "../scheduling/prompt_placement.ts";
 import type { Serving } from "../serving.ts";
 
 /**
@@ -15,8 +15,8 @@
 
 /** The engines that hold a prefix, as a placement needs them. */
 export type KnownHolders = Pick<
-  PlacementView,
-  "holders" | "sources" | "lastHolder"
+  PlacementContext,
+  "prefixHolders" | "prefixSources" | "lastPrefixHolder"
 >;
 
 /** Returns the engines among `prefillEngines` that are known to hold the prefix with this key. */
@@ -47,5 +47,9 @@
     if (holder.state === "reading") continue;
     if (idleMs <= retentionMs * SOURCE_MAX_AGE_SHARE) sources.unshift(target);
   }
-  return { holders, sources, lastHolder };
+  return {
+    prefixHolders: holders,
+    prefixSources: sources,
+    lastPrefixHolder: lastHolder,
+  };
 }
