--- a/packages/heatherarch-forward/state/prefix_holders.ts
+++ b/packages/heatherarch-forward/state/prefix_holders.ts
@@ -11,7 +11,7 @@
  * A prefix is fetched only from engines that used it within this share of the estimated retention
  * time.
  */
-const SOURCE_MAX_AGE_SHARE = 0.6;
+const SOURCE_AGE_SHARE = 0.6;
 
 /** The engines that hold a prefix, as a placement needs them. */
 export type KnownHolders = Pick<
@@ -34,22 +34,18 @@
     countVms(),
     nowMs,
   );
-  const holders: Target[] = [];
-  const sources: Target[] = [];
-  let lastHolder: Target | undefined;
+  const prefixHolders: Target[] = [];
+  const prefixSources: Target[] = [];
+  let lastPrefixHolder: Target | undefined;
   for (const holder of prompts.listHolders(key)) {
     const target = prefillEngines.find(({ id }) => id === holder.target);
     if (target === undefined) continue;
-    lastHolder = target;
+    lastPrefixHolder = target;
     const idleMs = nowMs - holder.usedAtMs;
     if (idleMs > retentionMs) continue;
-    holders.push(target);
+    prefixHolders.push(target);
     if (holder.state === "reading") continue;
-    if (idleMs <= retentionMs * SOURCE_MAX_AGE_SHARE) sources.unshift(target);
+    if (idleMs <= retentionMs * SOURCE_AGE_SHARE) prefixSources.unshift(target);
   }
-  return {
-    prefixHolders: holders,
-    prefixSources: sources,
-    lastPrefixHolder: lastHolder,
-  };
+  return { prefixHolders, prefixSources, lastPrefixHolder };
 }
