--- a/packages/heatherarch-forward/scheduling/engine_selection.ts
+++ b/packages/heatherarch-forward/scheduling/engine_selection.ts
@@ -3,7 +3,7 @@
  *
  * @module
  */
-import type { CallRun } from "../life/call_run.ts";
+import type { CallContext } from "../calls/call_context.ts";
 import type { Target } from "../model.ts";
 import { findBackoffMs, listAvailableTargets } from "./target_selection.ts";
 
@@ -12,7 +12,7 @@
 
 /** Engines that may be tried now; avoided ones only where there is no other. */
 export function listAvailableEngines(
-  run: CallRun,
+  run: CallContext,
   use: InferencePhase,
   tried: ReadonlySet<string>,
 ): Target[] {
@@ -28,7 +28,7 @@
  * otherwise.
  */
 export function findEngineBackoffMs(
-  run: CallRun,
+  run: CallContext,
   use: InferencePhase,
 ): number | undefined {
   return findBackoffMs(run, (target) => isOf(target, use));
--- a/packages/heatherarch-forward/scheduling/prompt_placement.ts
+++ b/packages/heatherarch-forward/scheduling/prompt_placement.ts
@@ -11,7 +11,7 @@
  * @module
  */
 import { pickRendezvous } from "heatherarch-core";
-import type { EngineTraits, GenerationFacts, Target } from "../model.ts";
+import type { EngineTraits, GenerationParams, Target } from "../model.ts";
 import type { PrefillTimeModel } from "../state/prefill_time_model.ts";
 
 /** An engine that could read a prompt. */
@@ -94,7 +94,7 @@
   }
 
   /** Key of a prompt's shared beginning; undefined where it is too short to have a home. */
-  findPrefixKey(prompt: GenerationFacts): string | undefined {
+  findPrefixKey(prompt: GenerationParams): string | undefined {
     if (sumPrefixTokens(prompt) < this.#options.minPrefixTokens) {
       return undefined;
     }
@@ -103,7 +103,7 @@
 
   /** The best of the candidates, or undefined where there is none. */
   pickEngine(
-    prompt: GenerationFacts,
+    prompt: GenerationParams,
     view: PlacementContext,
   ): PromptPlacement | undefined {
     const key = this.findPrefixKey(prompt);
@@ -126,7 +126,7 @@
   }
 
   #judgeShort(
-    { promptTokens }: GenerationFacts,
+    { promptTokens }: GenerationParams,
     { target, backlogMs }: PrefillCandidate,
   ): PromptPlacement {
     const { model } = this.#options;
@@ -145,7 +145,7 @@
 
   /** A placement, and the wait that it must save over others. */
   #judge(
-    prompt: GenerationFacts,
+    prompt: GenerationParams,
     key: string,
     { target, backlogMs }: PrefillCandidate,
     view: PlacementContext,
@@ -204,7 +204,7 @@
 }
 
 /** Tokens of all parts but the last, which is the call's own. */
-export function sumPrefixTokens(prompt: GenerationFacts): number {
+export function sumPrefixTokens(prompt: GenerationParams): number {
   return prompt.parts.slice(0, -1).reduce((sum, part) => sum + part.tokens, 0);
 }
 
--- a/packages/heatherarch-forward/state/prefix_holders.ts
+++ b/packages/heatherarch-forward/state/prefix_holders.ts
@@ -5,7 +5,7 @@
  */
 import type { EngineTraits, Target } from "../model.ts";
 import type { PlacementContext } from "../scheduling/prompt_placement.ts";
-import type { Serving } from "../serving.ts";
+import type { CallDependencies } from "../call_dependencies.ts";
 
 /**
  * A prefix is fetched only from engines that used it within this share of the estimated retention
@@ -21,13 +21,16 @@
 
 /** Returns the engines among `prefillEngines` that are known to hold the prefix with this key. */
 export function findHolders(
-  dependencies: Pick<Serving, "prompts" | "retention" | "countVms">,
+  dependencies: Pick<
+    CallDependencies,
+    "prefixIndex" | "retention" | "countVms"
+  >,
   key: string,
   prefillEngines: readonly Target[],
   traits: EngineTraits,
   nowMs: number,
 ): KnownHolders {
-  const { prompts, retention, countVms } = dependencies;
+  const { prefixIndex, retention, countVms } = dependencies;
   const retentionMs = retention.estimateMs(
     traits.kvTokens,
     prefillEngines.length,
@@ -37,7 +40,7 @@
   const prefixHolders: Target[] = [];
   const prefixSources: Target[] = [];
   let lastPrefixHolder: Target | undefined;
-  for (const holder of prompts.listHolders(key)) {
+  for (const holder of prefixIndex.listHolders(key)) {
     const target = prefillEngines.find(({ id }) => id === holder.target);
     if (target === undefined) continue;
     lastPrefixHolder = target;
