--- a/packages/heatherarch-forward/state/prefill_time_model.ts
+++ b/packages/heatherarch-forward/state/prefill_time_model.ts
@@ -13,7 +13,7 @@
   /** Fixed time for which each prompt occupies an engine, milliseconds. */
   readonly baseMs?: number;
   /**
-   * Time from the end of a prefill to its answer, milliseconds. The engine prefills other prompts
+   * Time from the end of a prefill to its response, milliseconds. The engine prefills other prompts
    * meanwhile.
    */
   readonly latencyMs?: number;
@@ -25,7 +25,7 @@
   readonly costMs: number;
   /** Predicted wait for the prompts that were sent to the engine before. */
   readonly backlogMs: number;
-  /** Measured time from the request to its answer. */
+  /** Measured time from the request to its response. */
   readonly tookMs: number;
 }
 
@@ -133,7 +133,7 @@
     return this.#computeNominalMs(newTokens, cachedTokens) * factor;
   }
 
-  /** Time from the end of a prefill to its answer, milliseconds. */
+  /** Time from the end of a prefill to its response, milliseconds. */
   get latencyMs(): number {
     return this.#latencyMs;
   }
--- a/packages/heatherarch-forward/state/target_backoffs.ts
+++ b/packages/heatherarch-forward/state/target_backoffs.ts
@@ -1,12 +1,12 @@
 /**
- * Tracks targets that answered with `Retry-After`. Avoidance by target health is only a preference,
+ * Tracks targets that responded with `Retry-After`. Avoidance by target health is only a preference,
  * whereas a backoff is binding even if no other target is left. The module has no clock: each call
  * carries the time.
  *
  * @module
  */
 
-/** Upper bound, so that a faulty answer does not exclude a target permanently. */
+/** Upper bound, so that a faulty response does not exclude a target permanently. */
 const MAX_BACKOFF_MS = 300_000;
 
 /** Backoffs by target. */
--- a/packages/heatherarch-forward/state/target_directory.ts
+++ b/packages/heatherarch-forward/state/target_directory.ts
@@ -208,7 +208,7 @@
   }
 
   /**
-   * Records that an incarnation announced in an answer, to this VM or a peer, that it leaves. It
+   * Records that an incarnation announced in a response, to this VM or a peer, that it leaves. It
    * receives no more work, regardless of the list. Returns whether the announcement is new.
    */
   markLeaving(id: string): boolean {
--- a/packages/heatherarch-forward/state/target_health.ts
+++ b/packages/heatherarch-forward/state/target_health.ts
@@ -8,29 +8,29 @@
  * @module
  */
 
-/** Outcome of a try, as far as it concerns the target's health. */
-export type TryOutcome = "answered" | "failed" | "unreachable";
+/** Outcome of an attempt, as far as it concerns the target's health. */
+export type AttemptOutcome = "answered" | "failed" | "unreachable";
 
 interface HealthState {
-  /** Number of consecutive tries that found the target unreachable. */
+  /** Number of consecutive attempts that found the target unreachable. */
   unreachableStreak: number;
-  /** Moving average of the share of failed tries. */
+  /** Moving average of the share of failed attempts. */
   failShare: number;
   samples: number;
   avoidUntilMs: number;
-  /** Monotonic time of the target's last answer. */
-  lastAnswerAtMs: number;
+  /** Monotonic time of the target's last response. */
+  lastResponseAtMs: number;
 }
 
 /**
- * Consecutive unreachable tries after which a target counts as down. A single one may be due to a
+ * Consecutive unreachable attempts after which a target counts as down. A single one may be due to a
  * lost packet.
  */
 const MIN_UNREACHABLE_STREAK = 2;
 const INITIAL_AVOID_MS = 500;
 /** Upper bound; longer than the time after which the platform's list drops a dead target. */
 const MAX_AVOID_MS = 5000;
-/** Weight of a new sample in the moving average, which covers about the last eight tries. */
+/** Weight of a new sample in the moving average, which covers about the last eight attempts. */
 const SAMPLE_WEIGHT = 0.12;
 /** A target with a higher share of failures is avoided; errors by design stay well below it. */
 const MAX_FAIL_SHARE = 0.3;
@@ -46,14 +46,18 @@
 export class TargetHealth {
   readonly #states = new Map<string, HealthState>();
 
-  /** Records the outcome of a try. Returns whether the target is avoided from now on. */
-  recordOutcome(target: string, outcome: TryOutcome, nowMs: number): boolean {
+  /** Records the outcome of an attempt. Returns whether the target is avoided from now on. */
+  recordOutcome(
+    target: string,
+    outcome: AttemptOutcome,
+    nowMs: number,
+  ): boolean {
     const state = this.#getOrCreate(target);
     const wasAvoided = state.avoidUntilMs > nowMs;
     state.samples++;
     const sample = outcome === "answered" ? 0 : 1;
     state.failShare += (sample - state.failShare) * SAMPLE_WEIGHT;
-    if (outcome === "answered") state.lastAnswerAtMs = nowMs;
+    if (outcome === "answered") state.lastResponseAtMs = nowMs;
     if (outcome === "unreachable") this.#avoidUnreachable(state, nowMs);
     else state.unreachableStreak = 0;
     if (
@@ -76,15 +80,15 @@
     return state !== undefined && state.avoidUntilMs > nowMs;
   }
 
-  /** Whether fewer consecutive tries than the threshold found the target unreachable. */
+  /** Whether fewer consecutive attempts than the threshold found the target unreachable. */
   isReachable(target: string): boolean {
     return (this.#states.get(target)?.unreachableStreak ?? 0) <
       MIN_UNREACHABLE_STREAK;
   }
 
-  /** Monotonic time of a target's last answer, or -Infinity if there was none. */
-  getLastAnswerAtMs(target: string): number {
-    return this.#states.get(target)?.lastAnswerAtMs ?? -Infinity;
+  /** Monotonic time of a target's last response, or -Infinity if there was none. */
+  getLastResponseAtMs(target: string): number {
+    return this.#states.get(target)?.lastResponseAtMs ?? -Infinity;
   }
 
   forget(target: string): void {
@@ -117,7 +121,7 @@
         failShare: 0,
         samples: 0,
         avoidUntilMs: -Infinity,
-        lastAnswerAtMs: -Infinity,
+        lastResponseAtMs: -Infinity,
       };
       this.#states.set(target, state);
     }
--- a/packages/heatherarch-forward/state/work_tracker.ts
+++ b/packages/heatherarch-forward/state/work_tracker.ts
@@ -31,8 +31,8 @@
   readonly lane: number;
   readonly costMs: number;
   readonly finishAtMs: number;
-  /** Time at which the answer is due, which is after the engine has started on other prompts. */
-  readonly answerDueAtMs: number;
+  /** Time at which the response is due, which is after the engine has started on other prompts. */
+  readonly responseDueAtMs: number;
 }
 
 /** A prompt that is sent to a target for prefill. */
@@ -40,7 +40,7 @@
   /** Time for which the prompt occupies the target, milliseconds. */
   readonly costMs: number;
   readonly lane: number;
-  /** Time from the end of the prefill to its answer, milliseconds; 0 by default. */
+  /** Time from the end of the prefill to its response, milliseconds; 0 by default. */
   readonly latencyMs?: number;
 }
 
@@ -74,7 +74,7 @@
 const LANE_OFFSET = 3;
 /**
  * Upper bound of what an overdue prompt adds to the backlog. The addition lets the backlog of an
- * engine that has stopped answering grow.
+ * engine that has stopped responding grow.
  */
 const MAX_OVERDUE_MS = 400;
 
@@ -108,9 +108,9 @@
   ): () => void {
     const { costMs, lane, latencyMs = 0 } = prefill;
     const finishAtMs = nowMs + this.getPrefillBacklogMs(target, nowMs) + costMs;
-    const answerDueAtMs = finishAtMs + latencyMs;
+    const responseDueAtMs = finishAtMs + latencyMs;
     const work = this.#getOrCreate(target);
-    const entry = { lane, costMs, finishAtMs, answerDueAtMs };
+    const entry = { lane, costMs, finishAtMs, responseDueAtMs };
     work.prefills.add(entry);
     this.#notifyOwnChange();
     return () => {
@@ -299,11 +299,11 @@
   });
 }
 
-/** Remaining prefill time of a prompt, or the bounded time by which its answer is overdue. */
+/** Remaining prefill time of a prompt, or the bounded time by which its response is overdue. */
 function computeRemainingMs(entry: PrefillEntry, nowMs: number): number {
-  const { costMs, finishAtMs, answerDueAtMs } = entry;
+  const { costMs, finishAtMs, responseDueAtMs: responseDueAtMs } = entry;
   if (nowMs <= finishAtMs) return Math.min(costMs, finishAtMs - nowMs);
-  const overdueMs = Math.max(0, nowMs - answerDueAtMs);
+  const overdueMs = Math.max(0, nowMs - responseDueAtMs);
   return Math.min(overdueMs, MAX_OVERDUE_MS);
 }
 
--- a/packages/heatherarch-forward/tests/unit/target_backoffs_test.ts
+++ b/packages/heatherarch-forward/tests/unit/target_backoffs_test.ts
@@ -9,7 +9,7 @@
 import type { CallCodec, ResponseMetadata } from "../../mod.ts";
 import { buildTarget } from "./fixtures.ts";
 
-test("a target is in backoff for the requested time, counted from its latest answer", () => {
+test("a target is in backoff for the requested time, counted from its latest response", () => {
   const backoffs = new TargetBackoffs();
   assert.equal(backoffs.recordBackoff("t", 3000, 100), true);
   assert.equal(backoffs.isInBackoff("t", 3099), true);
@@ -26,13 +26,13 @@
   assert.equal(backoffs.isInBackoff("t", 2999), true);
 });
 
-test("no answer excludes a target for days", () => {
+test("no response excludes a target for days", () => {
   const backoffs = new TargetBackoffs();
   backoffs.recordBackoff("t", 1e9, 0);
   assert.equal(backoffs.isInBackoff("t", 301_000), false);
 });
 
-test("an answer of another instance at the address does not affect the target", () => {
+test("a response of another instance at the address does not affect the target", () => {
   const target = buildTarget("t@1", { instance: "t", startedAtMs: 1 });
   const directory = new TargetDirectory();
   directory.applyList([{ key: "t", value: target }], 0);
--- a/packages/heatherarch-forward/tests/unit/work_tracker_test.ts
+++ b/packages/heatherarch-forward/tests/unit/work_tracker_test.ts
@@ -24,7 +24,7 @@
   assert.equal(tracker.getPrefillBacklogMs("e", 100), 1570);
 });
 
-test("an answer within its latency is not overdue", () => {
+test("a response within its latency is not overdue", () => {
   const tracker = new WorkTracker();
   tracker.beginPrefill("e", { costMs: 50, lane: 0, latencyMs: 30 }, 0);
   assert.equal(tracker.getPrefillBacklogMs("e", 50), 0);
@@ -45,7 +45,7 @@
   assert.deepEqual(late(250), []);
 });
 
-test("the backlog of an engine that does not answer grows by the overdue time, up to a bound", () => {
+test("the backlog of an engine that does not respond grows by the overdue time, up to a bound", () => {
   const tracker = new WorkTracker();
   tracker.beginPrefill("e", { costMs: 50, lane: 0 }, 0);
   assert.equal(tracker.getPrefillBacklogMs("e", 50), 0);
