--- a/packages/heatherarch-forward/state/target_directory.ts
+++ b/packages/heatherarch-forward/state/target_directory.ts
@@ -253,8 +253,9 @@
   }
 
   /**
-   * Records that an engine was ordered to change its role and takes no work until then. A late
-   * notice of a change that the list has just shown is ignored.
+   * Records that an engine was ordered to change its role. It takes no work until the list shows the
+   * new role or `untilMs` has passed. A late notice of a change that the list has just shown is
+   * ignored.
    */
   markChangingRole(id: string, untilMs: number, nowMs: number): void {
     const listedAtMs = this.#roleListedAtMs.get(id) ?? -Infinity;
--- a/packages/heatherarch-forward/tests/unit/store_outage_detector_test.ts
+++ b/packages/heatherarch-forward/tests/unit/store_outage_detector_test.ts
@@ -2,7 +2,7 @@
 import { test } from "node:test";
 import { StoreOutageDetector } from "../../mod.ts";
 
-/** Creates the outages of a VM that read the list at 0. Targets write every 1,000 ms. */
+/** Creates the detector of a VM that read the list at 0. Targets write every 1,000 ms. */
 function createDetector(): StoreOutageDetector {
   const outages = new StoreOutageDetector({ targetHeartbeatMs: 1000 });
   outages.recordOwnRead(0);
