--- a/packages/heatherarch-forward/calls/end_to_end_headers.ts
+++ b/packages/heatherarch-forward/calls/end_to_end_headers.ts
@@ -1,10 +1,10 @@
 /**
- * Which headers pass from one connection to another.
+ * Filters the headers that a proxy forwards from one connection to another.
  *
  * @module
  */
 
-/** Headers that concern a single connection (RFC 9110, section 7.6.1). */
+/** Hop-by-hop headers (RFC 9110, section 7.6.1). */
 const CONNECTION_HEADERS: ReadonlySet<string> = new Set([
   "connection",
   "keep-alive",
@@ -17,16 +17,19 @@
   "upgrade",
 ]);
 
-/** Copies end-to-end headers of an alternating list, without those that `drop` names. */
+/** Copies the end-to-end headers of a list of alternating names and values, except those in `excluded`. */
 export function copyEndToEndHeaders(
   raw: readonly string[],
-  drop: ReadonlySet<string> = new Set(),
+  excluded: ReadonlySet<string> = new Set(),
 ): string[] {
-  const named = listNamedByConnection(raw);
+  const connectionOptions = listConnectionOptions(raw);
   const kept: string[] = [];
   for (let i = 0; i + 1 < raw.length; i += 2) {
     const name = raw[i].toLowerCase();
-    if (CONNECTION_HEADERS.has(name) || named.has(name) || drop.has(name)) {
+    if (
+      CONNECTION_HEADERS.has(name) || connectionOptions.has(name) ||
+      excluded.has(name)
+    ) {
       continue;
     }
     kept.push(raw[i], raw[i + 1]);
@@ -34,14 +37,14 @@
   return kept;
 }
 
-/** Names listed in `Connection` headers. */
-function listNamedByConnection(raw: readonly string[]): Set<string> {
-  const named = new Set<string>();
+/** Lists the header names that `Connection` headers declare as hop-by-hop. */
+function listConnectionOptions(raw: readonly string[]): Set<string> {
+  const options = new Set<string>();
   for (let i = 0; i + 1 < raw.length; i += 2) {
     if (raw[i].toLowerCase() !== "connection") continue;
     for (const name of raw[i + 1].split(",")) {
-      named.add(name.trim().toLowerCase());
+      options.add(name.trim().toLowerCase());
     }
   }
-  return named;
+  return options;
 }
--- a/packages/heatherarch-forward/calls/response_relay.ts
+++ b/packages/heatherarch-forward/calls/response_relay.ts
@@ -1,5 +1,5 @@
 /**
- * Passing a target's answer on to the caller: whole once it is whole, or event by event.
+ * Relays a target's response to the client: buffered as a whole, or streamed as it arrives.
  *
  * @module
  */
@@ -12,73 +12,76 @@
   TargetExchange,
 } from "./target_exchange.ts";
 
-/** Answers up to this size are held until they are whole; larger ones are passed on as they come. */
-const MAX_HELD_BYTES = 1024 * 1024;
+/** Largest response that is buffered. The exchange of a larger one is aborted. */
+const MAX_BUFFERED_BYTES = 1024 * 1024;
 const LENGTH_HEADERS: ReadonlySet<string> = new Set(["content-length"]);
 
-/** How an answer's end is told. */
+/** How the end of a response body is marked. */
 export type ResponseFraming = "length" | "chunked" | "connection";
 
-/** How a target framed its answer; one that ends with its connection may be cut unseen. */
+/**
+ * Returns how a target framed its response. The truncation of a response that ends with its
+ * connection may go unnoticed.
+ */
 export function getResponseFraming(head: ResponseHead): ResponseFraming {
   if (head.headers["content-length"] !== undefined) return "length";
   if (head.headers["transfer-encoding"] !== undefined) return "chunked";
   return "connection";
 }
 
-/** How the body of an answer ended. */
+/** How the body of a response ended. */
 export type RelayResult = "whole" | ExchangeError;
 
-/** An answer that is held whole, ready to be passed on. */
+/** A complete response, ready to be sent to the client. */
 export interface BufferedResponse {
   readonly head: ResponseHead;
   readonly body: Buffer;
 }
 
 /**
- * Reads an answer whole, so that one that breaks off can be tried elsewhere. Rejects with an
- * {@linkcode ExchangeError}.
+ * Reads a complete response, so that the call can be retried at another target if the response is
+ * truncated. Rejects with an {@linkcode ExchangeError}.
  */
 export async function readResponse(
   exchange: TargetExchange,
   head: ResponseHead,
 ): Promise<BufferedResponse> {
-  return { head, body: await exchange.readBody(MAX_HELD_BYTES) };
+  return { head, body: await exchange.readBody(MAX_BUFFERED_BYTES) };
 }
 
-/** Passes a held answer on. */
+/** Sends a buffered response to the client. */
 export function writeResponse(
-  caller: ClientResponse,
+  clientResponse: ClientResponse,
   method: string,
-  answer: BufferedResponse,
+  response: BufferedResponse,
 ): void {
-  const { head, body } = answer;
+  const { head, body } = response;
   const isBodiless = method === "HEAD" || head.status === 204 ||
     head.status === 304;
   if (isBodiless) {
-    caller.writeHead(head.status, copyEndToEndHeaders(head.rawHeaders));
-    caller.end();
+    clientResponse.writeHead(head.status, copyEndToEndHeaders(head.rawHeaders));
+    clientResponse.end();
     return;
   }
   const headers = copyEndToEndHeaders(head.rawHeaders, LENGTH_HEADERS);
-  // Nobody knows whether a body that ended with its connection is whole: a length of ours
-  // would claim that it is.
+  // A body that ended with its connection may be truncated. A Content-Length header would claim
+  // that it is complete.
   const endsConnection = getResponseFraming(head) === "connection";
   if (!endsConnection) headers.push("Content-Length", String(body.length));
-  caller.writeHead(head.status, headers, { endsConnection });
-  caller.end(body);
+  clientResponse.writeHead(head.status, headers, { endsConnection });
+  clientResponse.end(body);
 }
 
 /** Options of {@linkcode StreamRelay}. */
 export interface StreamRelayOptions {
   readonly clientResponse: ClientResponse;
-  /** Events are passed on whole, so that another run can go on after the last one. */
+  /** Only complete events are sent, so that another target can resume after the last one. */
   readonly isResumable: boolean;
-  /** Called when the first bytes of the answer's body go out. */
+  /** Called when the first bytes of the body are sent. */
   readonly onFirstByte: () => void;
 }
 
-/** Passes a stream on, from one target or, where it may be resumed, from several in turn. */
+/** Relays a stream from one target or, if it is resumable, from several targets in turn. */
 export class StreamRelay {
   readonly #options: StreamRelayOptions;
   #lastEventId: string | undefined;
@@ -88,31 +91,31 @@
     this.#options = options;
   }
 
-  /** Id of the last event that was passed on. */
+  /** Id of the last event that was sent. */
   get lastEventId(): string | undefined {
     return this.#lastEventId;
   }
 
-  /** Whether any bytes of the body were passed on. */
+  /** Whether any bytes of the body were sent. */
   get isStarted(): boolean {
     return this.#isStarted;
   }
 
-  /** Passes the body of one run on; the head of the first run stands for all. */
+  /** Relays the body of one target's response. Only the head of the first response is sent. */
   relay(exchange: TargetExchange, head: ResponseHead): Promise<RelayResult> {
-    const { clientResponse: caller, isResumable } = this.#options;
-    if (!caller.isHeadSent) {
-      const drop = isResumable ? LENGTH_HEADERS : undefined;
+    const { clientResponse, isResumable } = this.#options;
+    if (!clientResponse.isHeadSent) {
+      const excluded = isResumable ? LENGTH_HEADERS : undefined;
       const endsConnection = getResponseFraming(head) === "connection";
-      const headers = copyEndToEndHeaders(head.rawHeaders, drop);
-      caller.writeHead(head.status, headers, { endsConnection });
+      const headers = copyEndToEndHeaders(head.rawHeaders, excluded);
+      clientResponse.writeHead(head.status, headers, { endsConnection });
     }
     const splitter = isResumable ? new SseSplitter() : undefined;
     return new Promise((resolve) => {
       exchange.setBodyListener({
         onData: (bytes) => {
           if (splitter === undefined) this.#write(exchange, bytes);
-          else this.#pushEvents(exchange, splitter, bytes);
+          else this.#writeEvents(exchange, splitter, bytes);
         },
         onEnd: () => {
           if (splitter !== undefined && splitter.remainder.length > 0) {
@@ -125,7 +128,7 @@
     });
   }
 
-  #pushEvents(
+  #writeEvents(
     exchange: TargetExchange,
     splitter: SseSplitter,
     bytes: Buffer,
@@ -137,20 +140,20 @@
     }
   }
 
-  /** Event ids increase; one that does not has been passed on before. */
+  /** Event ids increase, so an event whose id does not has been sent before. */
   #isRepeated(id: string | undefined): boolean {
     if (id === undefined || this.#lastEventId === undefined) return false;
     return Number(id) <= Number(this.#lastEventId);
   }
 
   #write(exchange: TargetExchange, bytes: Buffer): void {
-    const { clientResponse: caller, onFirstByte } = this.#options;
+    const { clientResponse, onFirstByte } = this.#options;
     if (!this.#isStarted) {
       this.#isStarted = true;
       onFirstByte();
     }
-    if (caller.write(bytes)) return;
+    if (clientResponse.write(bytes)) return;
     exchange.pause();
-    caller.registerDrainListener(() => exchange.resume());
+    clientResponse.registerDrainListener(() => exchange.resume());
   }
 }
--- a/packages/heatherarch-forward/mod.ts
+++ b/packages/heatherarch-forward/mod.ts
@@ -1,6 +1,6 @@
 /**
- * The forwarded call: a client's request passes to a target as it is, by routes, beliefs on
- * targets, and limits that all VMs share.
+ * Forwarding of calls: a client's request passes to a target unchanged, chosen by routes, the state of
+ * the targets, and limits that all VMs share.
  *
  * @module
  */
@@ -17,7 +17,7 @@
 export * from "./calls/plain_call_handler.ts";
 export * from "./state/active_config.ts";
 export * from "./scheduling/config_reads.ts";
-export * from "./tasks/engine_inquiry.ts";
+export * from "./tasks/engine_request.ts";
 export * from "./scheduling/engine_jitter.ts";
 export * from "./event_log.ts";
 export * from "./calls/sse_splitter.ts";
@@ -29,7 +29,7 @@
 export * from "./tasks/ingress.ts";
 export * from "./scheduling/priority_lanes.ts";
 export * from "./calls/quarantine_guard.ts";
-export * from "./fleet/list_relief.ts";
+export * from "./fleet/list_fallback.ts";
 export * from "./metrics.ts";
 export * from "./model.ts";
 export * from "./ports.ts";
@@ -41,15 +41,15 @@
 export * from "./scheduling/prefill_candidate_cache.ts";
 export * from "./state/retry_budget.ts";
 export * from "./scheduling/retry_after.ts";
-export * from "./tasks/quarantine_keeper.ts";
-export * from "./tasks/role_keeper.ts";
+export * from "./tasks/quarantine_persistence.ts";
+export * from "./tasks/role_controller.ts";
 export * from "./scheduling/role_plan.ts";
 export * from "./state/route_table.ts";
 export * from "./scheduling/least_loaded_target.ts";
 export * from "./scheduling/decode_wait.ts";
 export * from "./call_dependencies.ts";
 export * from "./scheduling/size_fairness.ts";
-export * from "./tasks/store_reading.ts";
+export * from "./tasks/store_reader.ts";
 export * from "./state/store_outage_detector.ts";
 export * from "./calls/target_connections.ts";
 export * from "./state/target_directory.ts";
--- a/packages/heatherarch-forward/vm_dependencies.ts
+++ b/packages/heatherarch-forward/vm_dependencies.ts
@@ -1,5 +1,5 @@
 /**
- * Builds what the calls of one VM share: its beliefs, and the means to act on them.
+ * Builds what the calls of one VM share: its state, its scheduling, and its connections to targets.
  *
  * @module
  */
@@ -40,45 +40,45 @@
   readonly log: EventLog;
   /** Number of VMs that share the load. */
   readonly countVms: () => number;
-  /** Age of what this VM knows of the list of targets, milliseconds. */
+  /** Age of this VM's copy of the target list, milliseconds. */
   readonly getListAgeMs: () => number;
-  /** Has the list read soon. */
+  /** Requests an early read of the target list. */
   readonly refreshTargetList: () => void;
 }
 
 const MS_PER_SECOND = 1000;
-/** How often beliefs that have lapsed are swept, milliseconds. */
+/** Interval at which expired state is removed, milliseconds. */
 export const SWEEP_INTERVAL_MS = 250;
 /**
- * A list of targets is relied on up to this many of its readings and this time. With readings at
- * a third of the time in which a leaving target may still get work, a VM whose hub has lost the
- * store reads by itself before two thirds of it are over.
+ * A target list is used up to an age of this many poll intervals plus the slack. If the poll interval
+ * is a third of the time for which a leaving target may still get work, a VM whose hub has lost the
+ * store reads the list itself before two thirds of that time are over.
  */
-const LIST_AGE_POLLS = 1.6;
+const MAX_LIST_AGE_POLLS = 1.6;
 const LIST_AGE_SLACK_MS = 300;
 
-/** Age up to which a list of targets is relied on, milliseconds. */
+/** Computes the age up to which a target list is used, milliseconds. */
 export function computeMaxListAgeMs(
   { targetPollMs }: ForwardSettings["store"],
 ): number {
-  return targetPollMs * LIST_AGE_POLLS + LIST_AGE_SLACK_MS;
+  return targetPollMs * MAX_LIST_AGE_POLLS + LIST_AGE_SLACK_MS;
 }
 
-/** Builds what calls share, from a VM's settings. */
+/** Builds the dependencies of calls from a VM's settings. */
 export function buildCallDependencies(
   options: CallDependenciesOptions,
 ): CallDependencies {
   const { settings, codec, clock, log, countVms } = options;
   const metrics = new ForwardMetrics();
-  const readModel = new PrefillTimeModel();
+  const prefillTimeModel = new PrefillTimeModel();
   const directory = new TargetDirectory({
     targetHeartbeatMs: settings.store.targetHeartbeatMs,
   });
-  const rests = new TargetBackoffs();
+  const backoffs = new TargetBackoffs();
   const notices = new ResponseNotices({
     codec,
     directory,
-    backoffs: rests,
+    backoffs,
     clock,
     log,
   });
@@ -89,9 +89,9 @@
     codec,
     metrics,
     directory,
-    backoffs: rests,
+    backoffs,
     quarantine,
-    prefillTimeModel: readModel,
+    prefillTimeModel,
     countVms,
     activeConfig: new ActiveConfig(),
     health: new TargetHealth(),
@@ -106,15 +106,15 @@
     connections: new TargetConnections({
       onResponseHead: (target, head) => notices.apply(target, head),
       findBlockReason: ({ id }, purpose) =>
-        findBan({ directory, backoffs: rests, clock }, id, purpose),
+        findBlockReason({ directory, backoffs, clock }, id, purpose),
     }),
-    targetListGuard: buildListGuard(options, metrics),
-    retryBudget: buildAllowance(settings),
+    targetListGuard: buildTargetListGuard(options, metrics),
+    retryBudget: buildRetryBudget(settings),
     prefillQueue: new PrefillQueue({ clock }),
     prefillCandidateCache: new PrefillCandidateCache(),
     prefixIndex: new PrefixIndex(),
     retention: new CacheRetention(),
-    placer: new PromptPlacer({ model: readModel }),
+    placer: new PromptPlacer({ model: prefillTimeModel }),
     engineJitter: new EngineJitter({
       vmId: settings.vm.id,
       drawUnit: Math.random,
@@ -123,8 +123,8 @@
   };
 }
 
-function buildListGuard(
-  { settings, clock, log, getListAgeMs, refreshTargetList: refreshList }:
+function buildTargetListGuard(
+  { settings, clock, log, getListAgeMs, refreshTargetList }:
     CallDependenciesOptions,
   metrics: ForwardMetrics,
 ): TargetListGuard {
@@ -137,14 +137,14 @@
       const isHeld = kind === "held";
       if (isHeld) {
         metrics.listHolds.inc();
-        refreshList();
+        refreshTargetList();
       }
       log.write("warn", isHeld ? "callsHeldBack" : "callsFreed", change);
     },
   });
 }
 
-/** Builds the inquiry into lost exchanges, which logs each loss and each crash. */
+/** Builds the detector of crashed targets, which logs each lost exchange and each crash. */
 export function buildCrashDetector(
   { quarantine, directory, clock, log, metrics }: Pick<
     CallDependencies,
@@ -175,20 +175,20 @@
   });
 }
 
-/** Why nothing may be sent to a target now; undefined if it may. */
-function findBan(
-  { directory, backoffs: rests, clock }: Pick<
+/** Returns why nothing may be sent to a target now, or undefined if a request may be sent. */
+function findBlockReason(
+  { directory, backoffs, clock }: Pick<
     CallDependencies,
     "directory" | "backoffs" | "clock"
   >,
   target: string,
   purpose: SendPurpose,
 ): string | undefined {
-  if (rests.isInBackoff(target, clock.readMonotonicMs())) {
-    return "the target rests";
+  if (backoffs.isInBackoff(target, clock.readMonotonicMs())) {
+    return "the target is in backoff";
   }
   if (purpose === "release") return undefined;
-  return directory.isLeaving(target) ? "the target leaves" : undefined;
+  return directory.isLeaving(target) ? "the target is leaving" : undefined;
 }
 
 function buildQuarantine({ quarantine }: ForwardSettings): RequestQuarantine {
@@ -199,7 +199,7 @@
   });
 }
 
-function buildAllowance({ retries }: ForwardSettings): RetryBudget {
+function buildRetryBudget({ retries }: ForwardSettings): RetryBudget {
   const { share, fixedPerWindow, windowSeconds } = retries;
   return new RetryBudget({
     share,
--- a/packages/heatherarch-forward/vm_tasks.ts
+++ b/packages/heatherarch-forward/vm_tasks.ts
@@ -1,5 +1,5 @@
 /**
- * The tasks of one VM that depend on each other, wired up from its settings.
+ * Builds the interdependent tasks of one VM from its settings.
  *
  * @module
  */
@@ -9,49 +9,49 @@
 import type { CallCodec, DirectoryPorts } from "./ports.ts";
 import type { CallDependencies } from "./call_dependencies.ts";
 import type { Ingress } from "./tasks/ingress.ts";
-import type { QuarantineKeeper } from "./tasks/quarantine_keeper.ts";
-import { RoleKeeper } from "./tasks/role_keeper.ts";
+import type { QuarantinePersistence } from "./tasks/quarantine_persistence.ts";
+import { RoleController } from "./tasks/role_controller.ts";
 import type { StatusServer } from "./tasks/status_server.ts";
-import { StoreReading } from "./tasks/store_reading.ts";
+import { StoreReader } from "./tasks/store_reader.ts";
 import { planConfigReads } from "./scheduling/config_reads.ts";
 import { computeMaxListAgeMs } from "./vm_dependencies.ts";
 
-/** What an adapter brings. */
+/** What a platform adapter provides. */
 export interface PlatformPorts {
   readonly codec: CallCodec;
   readonly directory: DirectoryPorts;
   readonly log: LogPort;
-  /** Path at which the platform's balancer asks for readiness. */
+  /** Path of the readiness check of the platform's load balancer. */
   readonly readinessPath: string;
 }
 
-/** All parts of a VM: what calls share, and its tasks. */
+/** All components of a VM: the dependencies of calls, and the tasks. */
 export interface VmComponents extends CallDependencies {
   readonly mesh: FleetMesh;
-  readonly roleController: RoleKeeper;
+  readonly roleController: RoleController;
   readonly ingress: Ingress;
   readonly statusServer: StatusServer;
-  readonly storeReader: StoreReading;
-  readonly quarantinePersistence: QuarantineKeeper;
+  readonly storeReader: StoreReader;
+  readonly quarantinePersistence: QuarantinePersistence;
 }
 
-/** What the tasks are built from. */
+/** Options of the functions that build tasks. */
 export interface VmTaskOptions {
   readonly settings: ForwardSettings;
   readonly ports: PlatformPorts;
   readonly incarnation: string;
-  /** The parts, of which some are not built yet. */
+  /** Returns the components; some may not be built yet. */
   readonly getComponents: () => VmComponents;
-  /** Called when the number of VMs that share the fleet's limits has changed. */
+  /** Called when the number of VMs that share the fleet's limits changes. */
   readonly onLiveVms: (count: number) => void;
-  /** Called with engines that a peer has ordered to change. */
+  /** Called with the engines that a peer has ordered to change their role. */
   readonly onChanging: (targets: readonly string[]) => void;
 }
 
-/** Builds the mesh. */
-export function buildMesh(wiring: VmTaskOptions): FleetMesh {
-  const { settings, ports, incarnation, getComponents: getParts } = wiring;
-  const parts = getParts();
+/** Builds the mesh of this VM with its peers. */
+export function buildMesh(options: VmTaskOptions): FleetMesh {
+  const { settings, ports, incarnation, getComponents } = options;
+  const components = getComponents();
   return new FleetMesh({
     self: {
       id: settings.vm.id,
@@ -63,77 +63,78 @@
     ...settings.mesh,
     listen: settings.listen.mesh,
     vms: ports.directory.vms,
-    clock: parts.clock,
-    log: parts.log,
-    ledger: parts.workTracker,
-    prompts: parts.prefixIndex,
-    quarantine: parts.quarantine,
-    configs: parts.activeConfig,
-    directory: parts.directory,
-    getListAgeMs: () => parts.storeReader.getListAgeMs(),
+    clock: components.clock,
+    log: components.log,
+    workTracker: components.workTracker,
+    prefixIndex: components.prefixIndex,
+    quarantine: components.quarantine,
+    activeConfig: components.activeConfig,
+    directory: components.directory,
+    getListAgeMs: () => components.storeReader.getListAgeMs(),
     maxListAgeMs: computeMaxListAgeMs(settings.store),
     applyTargets: (entries, isFull) =>
-      parts.storeReader.applyTargets(entries, isFull),
-    onListLost: (source) => parts.storeReader.noteHubLost(source),
-    getListReadAtMs: () => parts.storeReader.listReadAtMs,
-    onListRead: (atMs) => parts.directory.recordPeerRead(atMs),
-    configReads: planConfigReads(settings.store),
-    loadConfig: () => parts.storeReader.loadConfig(),
-    onLiveVms: wiring.onLiveVms,
-    onChanging: wiring.onChanging,
-    listChanging: () => getParts().roleController.listChanging(),
-    onLate: (lateMs) => parts.metrics.loopLate.observe(lateMs / 1000),
+      components.storeReader.applyTargets(entries, isFull),
+    onListStale: (source) => components.storeReader.logStaleHub(source),
+    getListReadAtMs: () => components.storeReader.listReadAtMs,
+    onPeerListRead: (atMs) => components.directory.recordPeerRead(atMs),
+    configReadTiming: planConfigReads(settings.store),
+    loadConfig: () => components.storeReader.loadConfig(),
+    onLiveVms: options.onLiveVms,
+    onChangingRole: options.onChanging,
+    listChangingRole: () => getComponents().roleController.listChangingRole(),
+    onLoopStall: (lateMs) => components.metrics.loopLate.observe(lateMs / 1000),
     mayOrder: () =>
-      getParts().storeReader.isListCurrent && getParts().mesh.hasDuty,
+      getComponents().storeReader.isListCurrent &&
+      getComponents().mesh.isCoordinator,
   });
 }
 
-/** Builds the task that gives orders to engines. */
-export function buildRoleController(wiring: VmTaskOptions): RoleKeeper {
-  const { settings, ports, incarnation, getComponents: getParts } = wiring;
-  const parts = getParts();
-  return new RoleKeeper({
+/** Builds the task that orders engines to change their role. */
+export function buildRoleController(options: VmTaskOptions): RoleController {
+  const { settings, ports, incarnation, getComponents } = options;
+  const components = getComponents();
+  return new RoleController({
     vmId: settings.vm.id,
     incarnation,
     log: ports.log,
     leaseMs: settings.lease.durationMs,
-    clock: parts.clock,
-    configs: parts.activeConfig,
-    directory: parts.directory,
-    health: parts.health,
-    connections: parts.connections,
-    codec: parts.codec,
-    events: parts.log,
-    metrics: parts.metrics,
-    listOrderers: () => getParts().mesh.listOrderers(),
-    isListCurrent: () => getParts().storeReader.isListCurrent,
-    hasDuty: () => getParts().mesh.hasDuty,
+    clock: components.clock,
+    activeConfig: components.activeConfig,
+    directory: components.directory,
+    health: components.health,
+    connections: components.connections,
+    codec: components.codec,
+    events: components.log,
+    metrics: components.metrics,
+    listOrderCandidates: () => getComponents().mesh.listOrderCandidates(),
+    isListCurrent: () => getComponents().storeReader.isListCurrent,
+    isCoordinator: () => getComponents().mesh.isCoordinator,
   });
 }
 
-/** Builds the task that reads the store. */
-export function buildStoreReader(wiring: VmTaskOptions): StoreReading {
-  const { settings: { store }, ports: { directory }, getComponents: getParts } =
-    wiring;
-  const parts = getParts();
-  return new StoreReading({
+/** Builds the task that reads the platform's store. */
+export function buildStoreReader(options: VmTaskOptions): StoreReader {
+  const { settings: { store }, ports: { directory }, getComponents } = options;
+  const components = getComponents();
+  return new StoreReader({
     configTopic: directory.configs,
     targetTopic: directory.targets,
-    configReads: planConfigReads(store),
+    configReadTiming: planConfigReads(store),
     targetPollMs: store.targetPollMs,
-    getToldAtMs: () => getParts().mesh.listAtMs,
-    hasStoodStillSince: (atMs) => parts.targetListGuard.hasStalledSince(atMs),
-    clock: parts.clock,
-    log: parts.log,
-    metrics: parts.metrics,
-    configs: parts.activeConfig,
-    directory: parts.directory,
-    connections: parts.connections,
-    losses: parts.crashDetector,
-    prompts: parts.prefixIndex,
-    health: parts.health,
-    rests: parts.backoffs,
-    readModel: parts.prefillTimeModel,
-    spread: parts.engineJitter,
+    getFeedValidAtMs: () => getComponents().mesh.feedValidAtMs,
+    hasStoodStillSince: (atMs) =>
+      components.targetListGuard.hasStalledSince(atMs),
+    clock: components.clock,
+    log: components.log,
+    metrics: components.metrics,
+    activeConfig: components.activeConfig,
+    directory: components.directory,
+    connections: components.connections,
+    crashDetector: components.crashDetector,
+    prefixIndex: components.prefixIndex,
+    health: components.health,
+    backoffs: components.backoffs,
+    prefillTimeModel: components.prefillTimeModel,
+    engineJitter: components.engineJitter,
   });
 }
