--- a/packages/heatherarch-forward/state/prefix_holders.ts
+++ b/packages/heatherarch-forward/state/prefix_holders.ts
@@ -1,5 +1,5 @@
 /**
- * Which of the engines that read now are believed to hold a prompt's beginning.
+ * Finds the prefill engines that are likely to hold a prompt prefix in their KV cache.
  *
  * @module
  */
@@ -7,46 +7,48 @@
 import type { PlacementContext } from "../scheduling/prompt_placement.ts";
 import type { CallDependencies } from "../call_dependencies.ts";
 
-/** A beginning is fetched only from engines that used it in this part of the time it is kept. */
-const SOURCE_PART = 0.6;
+/**
+ * A prefix is fetched only from engines that used it within this share of the estimated retention
+ * time.
+ */
+const SOURCE_AGE_SHARE = 0.6;
 
-/** What a placement has to know of a beginning's whereabouts. */
+/** The engines that hold a prefix, as a placement needs them. */
 export type KnownHolders = Pick<
   PlacementContext,
   "prefixHolders" | "prefixSources" | "lastPrefixHolder"
 >;
 
-/** Engines among `readers` that hold the beginning with this key, as far as is known. */
+/** Returns the engines among `prefillEngines` that are known to hold the prefix with this key. */
 export function findHolders(
-  serving: Pick<CallDependencies, "prefixIndex" | "retention" | "countVms">,
+  dependencies: Pick<
+    CallDependencies,
+    "prefixIndex" | "retention" | "countVms"
+  >,
   key: string,
-  readers: readonly Target[],
+  prefillEngines: readonly Target[],
   traits: EngineTraits,
   nowMs: number,
 ): KnownHolders {
-  const { prefixIndex: prompts, retention, countVms } = serving;
-  const keptMs = retention.estimateMs(
+  const { prefixIndex, retention, countVms } = dependencies;
+  const retentionMs = retention.estimateMs(
     traits.kvTokens,
-    readers.length,
+    prefillEngines.length,
     countVms(),
     nowMs,
   );
-  const holders: Target[] = [];
-  const sources: Target[] = [];
-  let lastHolder: Target | undefined;
-  for (const holder of prompts.listHolders(key)) {
-    const target = readers.find(({ id }) => id === holder.target);
+  const prefixHolders: Target[] = [];
+  const prefixSources: Target[] = [];
+  let lastPrefixHolder: Target | undefined;
+  for (const holder of prefixIndex.listHolders(key)) {
+    const target = prefillEngines.find(({ id }) => id === holder.target);
     if (target === undefined) continue;
-    lastHolder = target;
-    const unusedMs = nowMs - holder.usedAtMs;
-    if (unusedMs > keptMs) continue;
-    holders.push(target);
+    lastPrefixHolder = target;
+    const idleMs = nowMs - holder.usedAtMs;
+    if (idleMs > retentionMs) continue;
+    prefixHolders.push(target);
     if (holder.state === "reading") continue;
-    if (unusedMs <= keptMs * SOURCE_PART) sources.unshift(target);
+    if (idleMs <= retentionMs * SOURCE_AGE_SHARE) prefixSources.unshift(target);
   }
-  return {
-    prefixHolders: holders,
-    prefixSources: sources,
-    lastPrefixHolder: lastHolder,
-  };
+  return { prefixHolders, prefixSources, lastPrefixHolder };
 }
