--- a/packages/heatherarch-forward/calls/call_context.ts
+++ b/packages/heatherarch-forward/calls/call_context.ts
@@ -1,6 +1,6 @@
 /**
- * State of one call: its deadline, the client's disconnect, the exchange in progress, and its single
- * end. The call handlers choose the targets and make the attempts.
+ * State of one call: its deadline, the client's disconnect, the exchange in progress, and its
+ * single end. The call handlers choose the targets and make the attempts.
  *
  * @module
  */
@@ -58,7 +58,9 @@
   readonly route: Route;
   readonly service: ServiceSpec;
   readonly clientResponse: ClientResponse;
-  /** Monotonic time at which the timeout of the client or of the route expires, whichever is first. */
+  /**
+   * Monotonic time at which the timeout of the client or of the route expires, whichever is first.
+   */
   readonly deadlineAtMs: number;
   readonly #configVersion: number;
   readonly #quarantineGuard: QuarantineGuard;
@@ -249,7 +251,9 @@
     });
   }
 
-  /** Refuses the call because all its targets are in backoff; the first backoff ends in `backoffMs`. */
+  /**
+   * Refuses the call because all its targets are in backoff; the first backoff ends in `backoffMs`.
+   */
   refuseForBackoff(backoffMs: number): void {
     const jitter = 1 + this.dependencies.drawUnit() * BACKOFF_JITTER_SHARE;
     this.refuse("overloaded", "all targets have asked for a backoff", {
@@ -270,7 +274,9 @@
     this.finish("failed", { reason });
   }
 
-  /** Refuses a call that has not run yet. A call that runs may still succeed and clear the request. */
+  /**
+   * Refuses a call that has not run yet. A call that runs may still succeed and clear the request.
+   */
   #handleQuarantine(quarantined: QuarantinedRequest): void {
     if (this.hasEnded || this.mayHaveRun) return;
     const exchange = this.#exchange;
--- a/packages/heatherarch-forward/calls/client_response.ts
+++ b/packages/heatherarch-forward/calls/client_response.ts
@@ -41,7 +41,9 @@
     };
   }
 
-  /** Sends the head of a target's response. With `endsConnection` the body ends with the connection. */
+  /**
+   * Sends the head of a target's response. With `endsConnection` the body ends with the connection.
+   */
   writeHead(
     status: number,
     headers: readonly string[],
@@ -54,7 +56,10 @@
     this.#response.writeHead(status, headers as string[]);
   }
 
-  /** Writes bytes. Returns false if the next write should wait for {@linkcode registerDrainListener}. */
+  /**
+   * Writes bytes. Returns false if the next write should wait for {@linkcode
+   * registerDrainListener}.
+   */
   write(bytes: Buffer): boolean {
     return this.#response.write(bytes);
   }
--- a/packages/heatherarch-forward/calls/end_to_end_headers.ts
+++ b/packages/heatherarch-forward/calls/end_to_end_headers.ts
@@ -17,7 +17,10 @@
   "upgrade",
 ]);
 
-/** Copies the end-to-end headers of a list of alternating names and values, except those in `excluded`. */
+/**
+ * Copies the end-to-end headers of a list of alternating names and values, except those in
+ * `excluded`.
+ */
 export function copyEndToEndHeaders(
   raw: readonly string[],
   excluded: ReadonlySet<string> = new Set(),
--- a/packages/heatherarch-forward/calls/generation_handler.ts
+++ b/packages/heatherarch-forward/calls/generation_handler.ts
@@ -1,7 +1,7 @@
 /**
- * Handles a generation call: one engine prefills the prompt, another takes over the KV cache, decodes
- * and streams the response. A prefill may be repeated. A run is repeated only if the route's streams
- * are resumable.
+ * Handles a generation call: one engine prefills the prompt, another takes over the KV cache,
+ * decodes and streams the response. A prefill may be repeated. A run is repeated only if the
+ * route's streams are resumable.
  *
  * @module
  */
@@ -322,7 +322,9 @@
     );
   }
 
-  /** Returns a decode engine. If there is none, waits for an engine that is about to take the role. */
+  /**
+   * Returns a decode engine. If there is none, waits for an engine that is about to take the role.
+   */
   async #awaitDecodeEngine(
     zone: string | undefined,
   ): Promise<Target | undefined> {
@@ -346,7 +348,9 @@
     );
   }
 
-  /** Predicts the time until an engine has become a decode engine; undefined if none is changing. */
+  /**
+   * Predicts the time until an engine has become a decode engine; undefined if none is changing.
+   */
   #predictDecodeReadyMs(): number | undefined {
     const { dependencies, service, nowMs } = this.#context;
     const { directory } = dependencies;
--- a/packages/heatherarch-forward/calls/plain_call_handler.ts
+++ b/packages/heatherarch-forward/calls/plain_call_handler.ts
@@ -1,6 +1,6 @@
 /**
- * Handles a call to a plain service. Tries one target after another, as far as the kind of the call,
- * the retry budget and the time left permit.
+ * Handles a call to a plain service. Tries one target after another, as far as the kind of the
+ * call, the retry budget and the time left permit.
  *
  * @module
  */
--- a/packages/heatherarch-forward/calls/prompt_prefill.ts
+++ b/packages/heatherarch-forward/calls/prompt_prefill.ts
@@ -1,6 +1,6 @@
 /**
- * Prefills a prompt on a separate engine: waits for an engine, sends the prefill, and records what it
- * tells about the engines and their caches. A prefill may be repeated.
+ * Prefills a prompt on a separate engine: waits for an engine, sends the prefill, and records what
+ * it tells about the engines and their caches. A prefill may be repeated.
  *
  * @module
  */
@@ -272,7 +272,9 @@
     return { kind: "turn", placed, startedAtMs, endPrefill };
   }
 
-  /** Limits late prompts, above all long ones, because they delay calls that can still be on time. */
+  /**
+   * Limits late prompts, above all long ones, because they delay calls that can still be on time.
+   */
   #mayPrefillLate(): boolean {
     const { workTracker } = this.#context.dependencies;
     const nowMs = this.#context.nowMs;
--- a/packages/heatherarch-forward/calls/quarantine_guard.ts
+++ b/packages/heatherarch-forward/calls/quarantine_guard.ts
@@ -13,7 +13,9 @@
 import type { CallDependencies } from "../call_dependencies.ts";
 import type { TargetExchange } from "./target_exchange.ts";
 
-/** Longest wait for the probes of targets before a retry. A refused connection takes one round trip. */
+/**
+ * Longest wait for the probes of targets before a retry. A refused connection takes one round trip.
+ */
 const MAX_PROBE_WAIT_MS = 100;
 
 /** Options of {@linkcode QuarantineGuard}. */
--- a/packages/heatherarch-forward/calls/response_notices.ts
+++ b/packages/heatherarch-forward/calls/response_notices.ts
@@ -1,6 +1,6 @@
 /**
- * Notices in the response heads of targets: a target is leaving, or asks for a backoff. Any response
- * may carry a notice, whatever the request was for.
+ * Notices in the response heads of targets: a target is leaving, or asks for a backoff. Any
+ * response may carry a notice, whatever the request was for.
  *
  * @module
  */
--- a/packages/heatherarch-forward/calls/sse_splitter.ts
+++ b/packages/heatherarch-forward/calls/sse_splitter.ts
@@ -44,7 +44,9 @@
   }
 }
 
-/** Returns the index after the blank line that ends the event at `start`, or -1 if it is incomplete. */
+/**
+ * Returns the index after the blank line that ends the event at `start`, or -1 if it is incomplete.
+ */
 function findEventEnd(bytes: Buffer, start: number): number {
   let at = bytes.indexOf(LINE_FEED, start);
   while (at >= 0) {
--- a/packages/heatherarch-forward/calls/target_connections.ts
+++ b/packages/heatherarch-forward/calls/target_connections.ts
@@ -35,7 +35,9 @@
 
 /** Allows for some ten round trips between zones and two initial retransmissions of 200 ms. */
 const DEFAULT_CONNECT_TIMEOUT_MS = 500;
-/** Below the usual idle timeout of servers (5 s), so that a call rarely uses a closing connection. */
+/**
+ * Below the usual idle timeout of servers (5 s), so that a call rarely uses a closing connection.
+ */
 const DEFAULT_IDLE_TIMEOUT_MS = 4000;
 /** A connection is not reused in the last second before the target closes it. */
 const KEEP_ALIVE_MARGIN_MS = 1000;
--- a/packages/heatherarch-forward/calls/target_exchange.ts
+++ b/packages/heatherarch-forward/calls/target_exchange.ts
@@ -68,7 +68,9 @@
 export class TargetExchange {
   /** Resolves with the head, or rejects with an {@linkcode ExchangeError}. */
   readonly head: Promise<ResponseHead>;
-  /** Resolves when the connection is free or closed; with an error if the response is incomplete. */
+  /**
+   * Resolves when the connection is free or closed; with an error if the response is incomplete.
+   */
   readonly ended: Promise<"ended" | ExchangeError>;
   readonly #bufferedChunks: Buffer[] = [];
   #resolveHead!: (head: ResponseHead) => void;
@@ -140,7 +142,10 @@
     this.#controller?.resume();
   }
 
-  /** Sets the listener for the body. Buffered bytes are delivered immediately, the rest as it arrives. */
+  /**
+   * Sets the listener for the body. Buffered bytes are delivered immediately, the rest as it
+   * arrives.
+   */
   setBodyListener(listener: BodyListener): void {
     this.#listener = listener;
     for (const bytes of this.#bufferedChunks.splice(0)) listener.onData(bytes);
--- a/packages/heatherarch-forward/calls/target_list_guard.ts
+++ b/packages/heatherarch-forward/calls/target_list_guard.ts
@@ -1,8 +1,8 @@
 /**
  * Holds calls after a stall of the process until the target list has been refreshed.
  *
- * A VM may be frozen, suspended or starved of CPU time for some seconds while targets leave. When it
- * resumes, it reads the calls that waited in its sockets before it learns that the targets are
+ * A VM may be frozen, suspended or starved of CPU time for some seconds while targets leave. When
+ * it resumes, it reads the calls that waited in its sockets before it learns that the targets are
  * leaving. An outage of the store makes the list stale as well but holds no calls, so only a list
  * that is stale because of a stall of the process counts.
  *
@@ -38,7 +38,9 @@
  * answers well within it, and a VM that can't reach the store continues with the list that it has.
  */
 const MAX_HOLD_MS = 300;
-/** Smaller differences between the clocks come from reading them at different moments, milliseconds. */
+/**
+ * Smaller differences between the clocks come from reading them at different moments, milliseconds.
+ */
 const MIN_UNCOUNTED_MS = 50;
 /** Interval at which waiting calls check the age of the list, milliseconds. */
 const POLL_INTERVAL_MS = 5;
@@ -48,13 +50,15 @@
   readonly #options: TargetListGuardOptions;
   readonly #loopWatch: LoopWatch;
   /**
-   * Monotonic time since which calls are held. Each further stall moves it forward by its length.
-   * Undefined while calls are not held.
+   * Monotonic time since which calls are held. Each further stall moves it forward by its monotonic
+   * length. Undefined while calls are not held.
    */
   #heldSinceMs: number | undefined;
   /** Monotonic time at which the process last resumed after a stall. */
   #resumedAtMs = -Infinity;
-  /** A list read before this time is ignored: a suspension that the monotonic clock missed followed. */
+  /**
+   * A list read before this time is ignored: a suspension that the monotonic clock missed followed.
+   */
   #validFromMs = -Infinity;
 
   constructor(options: TargetListGuardOptions) {
--- a/packages/heatherarch-forward/event_log.ts
+++ b/packages/heatherarch-forward/event_log.ts
@@ -1,6 +1,6 @@
 /**
- * Structured log on standard output. It writes one line for each decision, limits the rate of lines,
- * and never blocks.
+ * Structured log on standard output. It writes one line for each decision, limits the rate of
+ * lines, and never blocks.
  *
  * @module
  */
@@ -28,7 +28,9 @@
   readonly maxLinesPerSecond?: number;
 }
 
-/** About twice the rate of a small VM under normal load (some 15 calls a second with 4 lines each). */
+/**
+ * About twice the rate of a small VM under normal load (some 15 calls a second with 4 lines each).
+ */
 const DEFAULT_MAX_LINES_PER_SECOND = 150;
 /** Bytes that may be buffered for the reader of standard output before lines are dropped. */
 const MAX_BUFFERED_BYTES = 256 * 1024;
--- a/packages/heatherarch-forward/forward_vm.ts
+++ b/packages/heatherarch-forward/forward_vm.ts
@@ -154,8 +154,8 @@
   }
 
   /**
-   * Completes the calls in progress within the grace period of the platform, and stops. Further calls
-   * return the promise of the first one.
+   * Completes the calls in progress within the grace period of the platform, and stops. Further
+   * calls return the promise of the first one.
    */
   stop(): Promise<void> {
     this.#stopped ??= this.#shutDown();
@@ -191,7 +191,7 @@
       incarnation: createId("vm"),
       getComponents: () => this.#components,
       onLiveVms: (count) => this.#applyVmCount(count),
-      onChanging: (targets) => this.#markChangingRole(targets),
+      onChangingRole: (targets) => this.#markChangingRole(targets),
     };
     const callServer = new CallServer({ ...components });
     const callers = splitAddress(settings.listen.callers);
--- a/packages/heatherarch-forward/mod.ts
+++ b/packages/heatherarch-forward/mod.ts
@@ -1,6 +1,6 @@
 /**
- * Forwarding of calls: a client's request passes to a target unchanged, chosen by routes, the state of
- * the targets, and limits that all VMs share.
+ * Forwarding of calls: a client's request passes to a target unchanged, chosen by routes, the state
+ * of the targets, and limits that all VMs share.
  *
  * @module
  */
--- a/packages/heatherarch-forward/model.ts
+++ b/packages/heatherarch-forward/model.ts
@@ -7,8 +7,8 @@
 import type { Address } from "heatherarch-core";
 
 /**
- * Which calls may be repeated. An `idempotent` call may run more than once. A `once` or `stream` call
- * runs at most once. A `resumableStream` may resume at another target.
+ * Which calls may be repeated. An `idempotent` call may run more than once. A `once` or `stream`
+ * call runs at most once. A `resumableStream` may resume at another target.
  */
 export type CallKind = "idempotent" | "once" | "stream" | "resumableStream";
 
@@ -28,8 +28,8 @@
   /** Timeout of a call, milliseconds. */
   readonly timeoutMs: number;
   /**
-   * Latency objective, milliseconds: a call earns its full worth if the response, or the first event
-   * of a stream, takes no longer.
+   * Latency objective, milliseconds: a call earns its full worth if the response, or the first
+   * event of a stream, takes no longer.
    */
   readonly aimMs: number;
   /** Priority among routes; 0 is served first. */
@@ -78,17 +78,20 @@
 export type TargetRole = "prefill" | "decode";
 
 /**
- * One incarnation of a target. State and promises are keyed by `id`, so that nothing that was learned
- * about an incarnation applies to the next one after a restart.
+ * One incarnation of a target. State and promises are keyed by `id`, so that nothing that was
+ * learned about an incarnation applies to the next one after a restart.
  */
 export interface Target {
   /** Differs for each incarnation. */
   readonly id: string;
-  /** Id in the target list and in the target's responses, shared by its incarnations; `id` by default. */
+  /**
+   * Id in the target list and in the target's responses, shared by its incarnations; `id` by
+   * default.
+   */
   readonly instance?: string;
   /**
-   * Start of this incarnation, Unix milliseconds by the target's clock. Of two incarnations the later
-   * one is valid.
+   * Start of this incarnation, Unix milliseconds by the target's clock. Of two incarnations the
+   * later one is valid.
    */
   readonly startedAtMs?: number;
   readonly service: string;
--- a/packages/heatherarch-forward/tests/unit/attempt_result_test.ts
+++ b/packages/heatherarch-forward/tests/unit/attempt_result_test.ts
@@ -10,8 +10,8 @@
 } from "../../mod.ts";
 import { buildTarget } from "./fixtures.ts";
 
-// A withheld request is never sent, so its result tells nothing about the target. Counted as a failure
-// it would make the VM avoid a healthy target.
+// A withheld request is never sent, so its result tells nothing about the target. Counted as a
+// failure it would make the VM avoid a healthy target.
 test("a withheld request ends as not sent and does not count as a failure of its target", async () => {
   const health = new TargetHealth();
   const context = {
--- a/packages/heatherarch-forward/tests/unit/scripted_call.ts
+++ b/packages/heatherarch-forward/tests/unit/scripted_call.ts
@@ -1,7 +1,7 @@
 /**
  * Simulates one call against two targets that may restart under the same ids. A script gives the
- * result of each attempt. The simulation records which targets really ran the call, so that tests can
- * check what the client was told.
+ * result of each attempt. The simulation records which targets really ran the call, so that tests
+ * can check what the client was told.
  *
  * @module
  */
--- a/packages/heatherarch-forward/vm_dependencies.ts
+++ b/packages/heatherarch-forward/vm_dependencies.ts
@@ -50,9 +50,9 @@
 /** Interval at which expired state is removed, milliseconds. */
 export const SWEEP_INTERVAL_MS = 250;
 /**
- * A target list is used up to an age of this many poll intervals plus the slack. If the poll interval
- * is a third of the time for which a leaving target may still get work, a VM whose hub has lost the
- * store reads the list itself before two thirds of that time are over.
+ * A target list is used up to an age of this many poll intervals plus the slack. If the poll
+ * interval is a third of the time for which a leaving target may still get work, a VM whose hub has
+ * lost the store reads the list itself before two thirds of that time are over.
  */
 const MAX_LIST_AGE_POLLS = 1.6;
 const LIST_AGE_SLACK_MS = 300;
--- a/packages/heatherarch-forward/vm_tasks.ts
+++ b/packages/heatherarch-forward/vm_tasks.ts
@@ -45,7 +45,7 @@
   /** Called when the number of VMs that share the fleet's limits changes. */
   readonly onLiveVms: (count: number) => void;
   /** Called with the engines that a peer has ordered to change their role. */
-  readonly onChanging: (targets: readonly string[]) => void;
+  readonly onChangingRole: (targets: readonly string[]) => void;
 }
 
 /** Builds the mesh of this VM with its peers. */
@@ -80,7 +80,7 @@
     configReadTiming: planConfigReads(settings.store),
     loadConfig: () => components.storeReader.loadConfig(),
     onLiveVms: options.onLiveVms,
-    onChangingRole: options.onChanging,
+    onChangingRole: options.onChangingRole,
     listChangingRole: () => getComponents().roleController.listChangingRole(),
     onLoopStall: (lateMs) => components.metrics.loopLate.observe(lateMs / 1000),
     mayOrder: () =>
