--- a/packages/heatherarch-forward/calls/client_response.ts
+++ b/packages/heatherarch-forward/calls/client_response.ts
@@ -57,8 +57,8 @@
   }
 
   /**
-   * Writes bytes. Returns false if the next write should wait for {@linkcode
-   * registerDrainListener}.
+   * Writes bytes. Returns false if the next write should wait for
+   * {@linkcode registerDrainListener}.
    */
   write(bytes: Buffer): boolean {
     return this.#response.write(bytes);
--- a/packages/heatherarch-forward/tests/unit/target_connections_test.ts
+++ b/packages/heatherarch-forward/tests/unit/target_connections_test.ts
@@ -40,12 +40,12 @@
 }
 
 test("work for a blocked target is not sent, and fails as withheld", async () => {
-  let ban: string | undefined = "the target leaves";
+  let ban: string | undefined = "the target is leaving";
   const { target, connections, count } = await build(() => ban);
   await assert.rejects(
     connections.send(target, REQUEST).head,
     (error: ExchangeError) =>
-      error.fault === "withheld" && error.message === "the target leaves",
+      error.fault === "withheld" && error.message === "the target is leaving",
   );
   assert.equal(connections.hasCapacity(target, 1), true);
   assert.equal(count(), 0);
@@ -55,7 +55,7 @@
 
 test("resources of an earlier request may be released at a target that is blocked for work", async () => {
   const { target, connections, count } = await build((purpose) =>
-    purpose === "work" ? "the target leaves" : undefined
+    purpose === "work" ? "the target is leaving" : undefined
   );
   const exchange = connections.send(target, REQUEST, "release");
   assert.equal((await exchange.head).status, 200);
