--- a/packages/heatherarch-claims/claim_fold.ts
+++ b/packages/heatherarch-claims/claim_fold.ts
@@ -228,12 +228,12 @@
 function findNewestSnapshot(
   records: readonly TimedRecord[],
 ): SnapshotRecord[] | undefined {
-  const firstOffset = records[0]?.offset ?? 0;
+  const oldestOffset = records[0]?.offset ?? 0;
   const partsBySnapshot = new Map<string, SnapshotRecord[]>();
   let newest: SnapshotRecord[] | undefined;
   for (const record of records) {
     const parsed = parseClaimRecord(record.data);
-    if (parsed?.type !== "snapshot" || parsed.coversOffset < firstOffset - 1) {
+    if (parsed?.type !== "snapshot" || parsed.coversOffset < oldestOffset - 1) {
       continue;
     }
     if (parsed.coversOffset >= record.offset) continue;
--- a/packages/heatherarch-forward/calls/generation_handler.ts
+++ b/packages/heatherarch-forward/calls/generation_handler.ts
@@ -368,7 +368,7 @@
   #pickDecodeEngine(zone: string | undefined): Target | undefined {
     const { workTracker, drawUnit } = this.#context.dependencies;
     const nowMs = this.#context.nowMs;
-    const kvCapacityTokens = this.#traits.kvTokens;
+    const maxKvTokens = this.#traits.kvTokens;
     const candidates = listAvailableEngines(
       this.#context,
       "generating",
@@ -376,7 +376,7 @@
     )
       .map((target): TargetCandidate => {
         const { runs, kvTokens } = workTracker.getRunLoad(target.id, nowMs);
-        return { target, runs, kvTokens, kvCapacityTokens };
+        return { target, runs, kvTokens, maxKvTokens };
       });
     return pickLeastLoaded(candidates, zone, drawUnit)?.target;
   }
--- a/packages/heatherarch-forward/calls/plain_call_handler.ts
+++ b/packages/heatherarch-forward/calls/plain_call_handler.ts
@@ -182,7 +182,7 @@
         target,
         runs: workTracker.getRunLoad(target.id, nowMs).runs,
         kvTokens: 0,
-        kvCapacityTokens: 0,
+        maxKvTokens: 0,
       }));
     return pickLeastLoaded(candidates, undefined, drawUnit)?.target;
   }
--- a/packages/heatherarch-forward/scheduling/least_loaded_target.ts
+++ b/packages/heatherarch-forward/scheduling/least_loaded_target.ts
@@ -13,7 +13,7 @@
   /** Tokens in the KV cache that these runs use; 0 for a plain target. */
   readonly kvTokens: number;
   /** Capacity of the KV cache in tokens; 0 for a plain target. */
-  readonly kvCapacityTokens: number;
+  readonly maxKvTokens: number;
 }
 
 /**
@@ -51,9 +51,9 @@
 /** Utilization of a target's slots or of its KV cache, whichever is higher. */
 export function computeUtilization(candidate: TargetCandidate): number {
   const slotUtilization = candidate.runs / Math.max(1, candidate.target.slots);
-  if (candidate.kvCapacityTokens === 0) return slotUtilization;
+  if (candidate.maxKvTokens === 0) return slotUtilization;
   return Math.max(
     slotUtilization,
-    candidate.kvTokens / candidate.kvCapacityTokens,
+    candidate.kvTokens / candidate.maxKvTokens,
   );
 }
--- a/packages/heatherarch-forward/tests/unit/least_loaded_target_test.ts
+++ b/packages/heatherarch-forward/tests/unit/least_loaded_target_test.ts
@@ -14,7 +14,7 @@
   kvTokens = 0,
 ): TargetCandidate {
   const target = buildEngine(id, { availabilityZone: zone, role: "decode" });
-  return { target, runs, kvTokens, kvCapacityTokens: 480_000 };
+  return { target, runs, kvTokens, maxKvTokens: 480_000 };
 }
 
 const drawZero = (): number => 0;
--- a/packages/heatherarch-lease/control_fold.ts
+++ b/packages/heatherarch-lease/control_fold.ts
@@ -181,13 +181,13 @@
 export function loadControlSnapshot(
   records: readonly OffsetRecord[],
 ): ControlState | undefined {
-  const firstOffset = records[0]?.offset ?? 0;
+  const oldestOffset = records[0]?.offset ?? 0;
   let newest: ControlState | undefined;
   for (const record of records) {
     const parsed = parseControlRecord(record.data);
     if (parsed?.type !== "snapshot") continue;
     if (
-      parsed.coversOffset < firstOffset - 1 ||
+      parsed.coversOffset < oldestOffset - 1 ||
       parsed.coversOffset >= record.offset
     ) continue;
     const state = parsed.state as ControlState | null;
