--- a/packages/heatherarch-gateway/gateway.ts
+++ b/packages/heatherarch-gateway/gateway.ts
@@ -128,10 +128,12 @@
   }
 
   async #handleRequest(ctx: Koa.Context): Promise<void> {
-    const given = ctx.get("x-request-id");
+    const clientRequestId = ctx.get("x-request-id");
     // A stream is found again by its id, so that id is always one of ours.
-    const mayName = REQUEST_ID.test(given) && !isResumable(ctx);
-    const requestId = mayName ? given : createId(this.#host.vmId);
+    const usesClientId = REQUEST_ID.test(clientRequestId) && !isResumable(ctx);
+    const requestId = usesClientId
+      ? clientRequestId
+      : createId(this.#host.vmId);
     ctx.set("x-request-id", requestId);
     this.#inFlight++;
     ctx.res.once("close", () => this.#recordRequestEnd());
@@ -145,7 +147,7 @@
   #recordRequestEnd(): void {
     this.#inFlight--;
     if (this.#inFlight > 0) return;
-    for (const wake of this.#drainCallbacks) wake();
+    for (const notify of this.#drainCallbacks) notify();
     this.#drainCallbacks.clear();
   }
 
@@ -177,10 +179,10 @@
       requireMethod(ctx, "POST");
       return await this.#generate(ctx, fleet, requestId);
     }
-    const resumed = RESUME_PATH.exec(path)?.[1];
-    if (resumed !== undefined) {
+    const streamId = RESUME_PATH.exec(path)?.[1];
+    if (streamId !== undefined) {
       requireMethod(ctx, "GET");
-      return await handleResume(ctx, this.#host, this.#store, resumed);
+      return await handleResume(ctx, this.#host, this.#store, streamId);
     }
     const service = SERVICE_PATH.exec(path);
     if (service !== null) {
@@ -215,8 +217,8 @@
   ): Promise<void> {
     const startedAtMs = this.#host.clock.readMonotonicMs();
     const account = this.#accounts.find(readCredentials(ctx), fleet);
-    const bytes = await readRequestBody(ctx.req, this.#host.limits);
-    const json = unwrap(parseJsonBody(bytes));
+    const body = await readRequestBody(ctx.req, this.#host.limits);
+    const json = unwrap(parseJsonBody(body));
     const parse = ctx.path === "/v1/completions"
       ? parseTextRequest
       : parseChatRequest;
@@ -230,7 +232,7 @@
     const deadlineAtMs = startedAtMs + this.#readDeadlineMs(ctx, profile);
     this.#host.demand.recordRequest(promptTokens, maxTokens, startedAtMs);
     const release = this.#acquireSlot(account, startedAtMs);
-    const watched = this.#admit(ctx, account, bytes, requestId, release);
+    const admitted = this.#admit(ctx, account, body, requestId, release);
     await handleGeneration(ctx, {
       host: this.#host,
       store: this.#store,
@@ -242,7 +244,7 @@
       maxTokens,
       deadlineAtMs,
       resumable: isResumable(ctx),
-      admitted: watched,
+      admitted: admitted,
       release,
     });
   }
@@ -274,10 +276,10 @@
       body,
     });
     const release = this.#acquireSlot(account, startedAtMs);
-    const watched = this.#admit(ctx, account, body, requestId, release);
+    const admitted = this.#admit(ctx, account, body, requestId, release);
     let outcome: "ok" | ServeError = "ok";
     try {
-      const answer = await callPlainService(this.#host, {
+      const response = await callPlainService(this.#host, {
         service,
         profile,
         method: ctx.method,
@@ -286,19 +288,19 @@
         body: body.length > 0 ? body : undefined,
         deadlineAtMs,
         key,
-        admitted: watched,
+        admitted: admitted,
       });
-      for (const [name, value] of Object.entries(answer.headers)) {
+      for (const [name, value] of Object.entries(response.headers)) {
         ctx.set(name, value);
       }
-      if (answer.replayed) ctx.set("x-heatherarch-replayed", "true");
-      ctx.status = answer.status;
-      ctx.body = answer.body;
+      if (response.replayed) ctx.set("x-heatherarch-replayed", "true");
+      ctx.status = response.status;
+      ctx.body = response.body;
     } catch (thrown) {
       outcome = toServeError(thrown);
       throw outcome;
     } finally {
-      watched.end(outcome === "ok");
+      admitted.end(outcome === "ok");
       release();
       const nowMs = this.#host.clock.readMonotonicMs();
       this.#host.events.recordResult({
--- a/packages/heatherarch-gateway/generation.ts
+++ b/packages/heatherarch-gateway/generation.ts
@@ -150,9 +150,9 @@
   #planFirstLeg(): Result<RoutePlan, ServeError> {
     const plan = this.#planRoute();
     if (plan === undefined) {
-      const any =
+      const hasTargets =
         this.#host.targets.listCandidates(this.#options.service).length > 0;
-      return any
+      return hasTargets
         ? Err(
           new ServeError("overloaded", "every target is full", { run: "no" }),
         )
@@ -169,14 +169,14 @@
 
   #planRoute(): RoutePlan | undefined {
     const { service, profile, maxTokens, promptTokens } = this.#options;
-    const all = this.#host.targets.listCandidates(service);
-    const fresh = all.filter((candidate) =>
+    const candidates = this.#host.targets.listCandidates(service);
+    const untried = candidates.filter((candidate) =>
       !this.#failedTargets.has(candidate.id)
     );
     const router = this.#host.getRouter(profile.routing);
     const nowMs = this.#host.clock.readMonotonicMs();
-    const lookup = profile.priority === "lookup";
-    if (lookup) this.#host.lookupReserve.recordLookup(service, nowMs);
+    const isLookup = profile.priority === "lookup";
+    if (isLookup) this.#host.lookupReserve.recordLookup(service, nowMs);
     return router.planRoute({
       promptTokens: promptTokens + this.#delivered.length,
       outputTokens: maxTokens - this.#delivered.length,
@@ -185,10 +185,10 @@
       remainingMs: this.#options.deadlineAtMs - nowMs,
       tokenGapMs: profile.tokenGapMs,
       tieBreakKey: this.#options.requestId,
-      reserveShare: lookup
+      reserveShare: isLookup
         ? 0
         : this.#host.lookupReserve.readShare(service, nowMs),
-    }, fresh.length > 0 ? fresh : all);
+    }, untried.length > 0 ? untried : candidates);
   }
 
   #startPlan(plan: RoutePlan): void {
@@ -229,13 +229,13 @@
       kvExport: handsOver,
       ...(kvImport === undefined ? {} : { kvImport }),
     };
-    const pending = kvImport === undefined
+    const prefillTokens = kvImport === undefined
       ? promptTokens + this.#delivered.length
       : 0;
     const leg: Leg = {
       target: target.id,
       call,
-      work: this.#host.loadTracker.begin(target.id, pending, nowMs),
+      work: this.#host.loadTracker.begin(target.id, prefillTokens, nowMs),
       startedAtMs: nowMs,
       predictedFirstTokenMs: options.firstTokenMs,
       role: candidate.role,
@@ -294,18 +294,18 @@
     this.#closeLeg(leg, nowMs);
     this.#host.targets.recordSuccess(leg.target);
     this.#recordUsage(end);
-    const missing = this.#options.maxTokens - this.#delivered.length;
+    const remainingTokens = this.#options.maxTokens - this.#delivered.length;
     if (
-      leg.isPrefillOnly && leg.received === 1 && missing > 0 &&
+      leg.isPrefillOnly && leg.received === 1 && remainingTokens > 0 &&
       end.reason !== "stop"
     ) {
       return this.#startDecodeLeg(leg, end);
     }
-    const short = end.reason === "length" && missing > 0;
-    if (short && !this.#disabledGuards.has("missingTokens")) {
+    const isTruncated = end.reason === "length" && remainingTokens > 0;
+    if (isTruncated && !this.#disabledGuards.has("missingTokens")) {
       return this.#retry("broken", leg.target);
     }
-    this.#finish(missing === 0 ? "length" : "stop");
+    this.#finish(remainingTokens === 0 ? "length" : "stop");
   }
 
   #recordUsage(end: EngineResult): void {
@@ -321,17 +321,19 @@
 
   /** The prompt is prefilled: the planned decoder takes the KV cache over. */
   #startDecodeLeg(leg: Leg, end: EngineResult): void {
-    const handover = this.#plannedDecode;
+    const planned = this.#plannedDecode;
     this.#plannedDecode = undefined;
     const nowMs = this.#host.clock.readMonotonicMs();
-    handover?.work.end(nowMs);
+    planned?.work.end(nowMs);
     const source = this.#host.targets.findTarget(leg.target);
-    const usable = this.#host.targets.listCandidates(this.#options.service)
-      .find((candidate) => candidate.id === handover?.target.id);
-    if (usable === undefined || source === undefined) {
+    const decodeTarget = this.#host.targets.listCandidates(
+      this.#options.service,
+    )
+      .find((candidate) => candidate.id === planned?.target.id);
+    if (decodeTarget === undefined || source === undefined) {
       return this.#retry("refused", "");
     }
-    this.#startLeg(usable, {
+    this.#startLeg(decodeTarget, {
       firstTokenMs: 0,
       handsOver: false,
       ...(end.kvHandle === undefined
@@ -394,11 +396,11 @@
   /** Goes on elsewhere, within the number of tries, the retry budget and the deadline. */
   #retry(reason: EngineFailure, target: string): void {
     if (target !== "") this.#failedTargets.add(target);
-    const fresh = this.#delivered.length === 0;
+    const empty = this.#delivered.length === 0;
     if (!this.#options.admitted.mayRetry()) return this.#giveUp(reason);
     if (this.#tries >= this.#host.limits.maxTries) return this.#giveUp(reason);
-    if (fresh && !this.#host.retries.spendRetry()) return this.#giveUp(reason);
-    if (fresh) this.#host.events.recordRetry(reason);
+    if (empty && !this.#host.retries.spendRetry()) return this.#giveUp(reason);
+    if (empty) this.#host.events.recordRetry(reason);
     else this.#host.events.recordContinuation(reason);
     this.#continue(reason);
   }
@@ -432,8 +434,9 @@
   }
 
   #handleDeadline(): void {
-    const sent = this.#hasSentRequest || (this.#leg?.attempt?.isSent ?? false);
-    const run = sent ? "unknown" : "no";
+    const hasSent = this.#hasSentRequest ||
+      (this.#leg?.attempt?.isSent ?? false);
+    const run = hasSent ? "unknown" : "no";
     this.#fail(
       new ServeError("deadlineExceeded", "the deadline has passed", { run }),
     );
@@ -442,9 +445,10 @@
   #finish(reason: string): void {
     if (this.#isFinished) return;
     const { maxTokens, requestId } = this.#options;
-    const whole = reason === "stop" || this.#delivered.length === maxTokens ||
+    const isComplete = reason === "stop" ||
+      this.#delivered.length === maxTokens ||
       this.#disabledGuards.has("missingTokens");
-    assertInvariant(whole, "whole-answer", requestId);
+    assertInvariant(isComplete, "whole-answer", requestId);
     this.#close();
     this.#options.sink.onEnd(reason, {
       promptTokens: this.#promptTokens || this.#options.promptTokens,
--- a/packages/heatherarch-gateway/generation_response.ts
+++ b/packages/heatherarch-gateway/generation_response.ts
@@ -60,7 +60,7 @@
     const writer = request.stream
       ? new StreamResponseWriter(ctx, options, reject)
       : new BufferedResponseWriter(ctx, options, reject);
-    const conclude = (error: ServeError | undefined): void => {
+    const finish = (error: ServeError | undefined): void => {
       options.admitted.end(error === undefined);
       options.release();
       store.complete(requestId, error, host.limits.resumeWindowMs);
@@ -75,17 +75,17 @@
         onTokens: (texts) => {
           if (stored !== undefined) {
             stored.texts.push(...texts);
-            for (const wake of [...stored.listeners]) wake();
+            for (const notify of [...stored.listeners]) notify();
           }
           writer.writeTokens(texts);
         },
         onEnd: (reason, usage) => {
           writer.writeEnd(reason, usage);
-          conclude(undefined);
+          finish(undefined);
         },
         onError: (error) => {
           writer.writeError(error);
-          conclude(error);
+          finish(error);
         },
       },
     });
@@ -93,7 +93,7 @@
     if (!started.ok) {
       const error = started.val as ServeError;
       reject(error);
-      return conclude(error);
+      return finish(error);
     }
     if (resumable) return;
     ctx.res.once("close", () => {
@@ -220,11 +220,11 @@
   if (!Number.isInteger(from) || from < 0) {
     throw new ServeError("badRequest", "from must be a whole number of tokens");
   }
-  const owner = ctx.get("x-heatherarch-vm") || parseOwner(requestId);
+  const owningVmId = ctx.get("x-heatherarch-vm") || parseOwner(requestId);
   const read = (at: number): Promise<StreamSlice> =>
-    owner === host.vmId || owner === undefined
+    owningVmId === host.vmId || owningVmId === undefined
       ? store.readNext(requestId, at, RESUME_WAIT_MS)
-      : host.readRemoteStream(owner, requestId, at);
+      : host.readRemoteStream(owningVmId, requestId, at);
   let slice = await read(from);
   if (slice.state === "unknown") {
     throw new ServeError("streamGone", `no stream is kept under ${requestId}`);
--- a/packages/heatherarch-gateway/generation_store.ts
+++ b/packages/heatherarch-gateway/generation_store.ts
@@ -37,14 +37,14 @@
   complete(
     requestId: string,
     error: ServeError | undefined,
-    keepMs: number,
+    retentionMs: number,
   ): void {
     const entry = this.#entries.get(requestId);
     if (entry === undefined) return;
     entry.state = error === undefined ? "ended" : "failed";
     entry.error = error;
-    for (const wake of [...entry.listeners]) wake();
-    setTimeout(() => this.#entries.delete(requestId), keepMs).unref();
+    for (const notify of [...entry.listeners]) notify();
+    setTimeout(() => this.#entries.delete(requestId), retentionMs).unref();
   }
 
   /** Tokens of an answer from index `from` on. */
@@ -63,7 +63,7 @@
   async readNext(
     requestId: string,
     from: number,
-    waitMs: number,
+    timeoutMs: number,
   ): Promise<StreamSlice> {
     const entry = this.#entries.get(requestId);
     if (
@@ -71,13 +71,13 @@
       entry.texts.length <= from
     ) {
       await new Promise<void>((resolve) => {
-        const wake = (): void => {
+        const notify = (): void => {
           clearTimeout(timer);
-          entry.listeners.delete(wake);
+          entry.listeners.delete(notify);
           resolve();
         };
-        const timer = setTimeout(wake, waitMs);
-        entry.listeners.add(wake);
+        const timer = setTimeout(notify, timeoutMs);
+        entry.listeners.add(notify);
       });
     }
     return this.read(requestId, from);
--- a/packages/heatherarch-gateway/openai_format.ts
+++ b/packages/heatherarch-gateway/openai_format.ts
@@ -128,17 +128,17 @@
     createdMs: number,
   ) {
     this.#request = request;
-    const chat = request.kind === "chat";
+    const isChat = request.kind === "chat";
     this.#commonFields = {
       id: requestId,
-      object: chat ? "chat.completion.chunk" : "text_completion",
+      object: isChat ? "chat.completion.chunk" : "text_completion",
       created: Math.floor(createdMs / 1000),
       model: request.model,
     };
-    const head = JSON.stringify(this.#commonFields).slice(0, -1);
-    const content = chat ? `"delta":{"content":` : `"text":`;
-    this.#chunkPrefix = `data: ${head},"choices":[{"index":0,${content}`;
-    this.#chunkSuffix = `${chat ? "}" : ""},"finish_reason":null}]}\n\n`;
+    const commonJson = JSON.stringify(this.#commonFields).slice(0, -1);
+    const content = isChat ? `"delta":{"content":` : `"text":`;
+    this.#chunkPrefix = `data: ${commonJson},"choices":[{"index":0,${content}`;
+    this.#chunkSuffix = `${isChat ? "}" : ""},"finish_reason":null}]}\n\n`;
   }
 
   /** The first chunk of a chat answer; empty for text. */
@@ -154,11 +154,11 @@
 
   /** Chunks for tokens that arrived together, one a token. */
   buildTokenChunks(texts: readonly string[]): string {
-    let out = "";
+    let output = "";
     for (const text of texts) {
-      out += this.#chunkPrefix + JSON.stringify(text) + this.#chunkSuffix;
+      output += this.#chunkPrefix + JSON.stringify(text) + this.#chunkSuffix;
     }
-    return out;
+    return output;
   }
 
   /** The last chunks of a whole answer. */
@@ -166,15 +166,15 @@
     const choice = this.#request.kind === "chat"
       ? { index: 0, delta: {}, finish_reason: reason }
       : { index: 0, text: "", finish_reason: reason };
-    let out = buildSseEvent({ ...this.#commonFields, choices: [choice] });
+    let output = buildSseEvent({ ...this.#commonFields, choices: [choice] });
     if (this.#request.includeUsage) {
-      out += buildSseEvent({
+      output += buildSseEvent({
         ...this.#commonFields,
         choices: [],
         usage: buildUsage(usage),
       });
     }
-    return `${out}data: [DONE]\n\n`;
+    return `${output}data: [DONE]\n\n`;
   }
 }
 
--- a/packages/heatherarch-gateway/plain_call.ts
+++ b/packages/heatherarch-gateway/plain_call.ts
@@ -84,8 +84,8 @@
     }
     return await callOnce(host, request, undefined);
   }
-  const claimed = await claimBeforeDeadline(host, request, key);
-  return await callWithClaimResult(host, request, claimed);
+  const claimResult = await claimBeforeDeadline(host, request, key);
+  return await callWithClaimResult(host, request, claimResult);
 }
 
 /** Claims the key; while another call with it is in progress, waits for that one's answer. */
@@ -94,37 +94,37 @@
   request: PlainRequest,
   key: NonNullable<PlainRequest["key"]>,
 ): Promise<ClaimResult> {
-  let pauseMs = INITIAL_CLAIM_DELAY_MS;
+  let delayMs = INITIAL_CLAIM_DELAY_MS;
   while (true) {
-    const claimed = await host.claims.claim({
+    const claimResult = await host.claims.claim({
       key: key.text,
       madeAtMs: key.madeAtMs,
       fingerprint: key.fingerprint,
     });
-    const isInProgress = claimed.kind === "refused" &&
-      claimed.error.kind === "keyInProgress";
-    const leftMs = request.deadlineAtMs - host.clock.readMonotonicMs();
-    if (!isInProgress || leftMs <= pauseMs) return claimed;
-    await sleep(pauseMs);
-    pauseMs = Math.min(MAX_CLAIM_DELAY_MS, pauseMs * 2);
+    const isInProgress = claimResult.kind === "refused" &&
+      claimResult.error.kind === "keyInProgress";
+    const remainingMs = request.deadlineAtMs - host.clock.readMonotonicMs();
+    if (!isInProgress || remainingMs <= delayMs) return claimResult;
+    await sleep(delayMs);
+    delayMs = Math.min(MAX_CLAIM_DELAY_MS, delayMs * 2);
   }
 }
 
 async function callWithClaimResult(
   host: GatewayHost,
   request: PlainRequest,
-  claimed: ClaimResult,
+  claimResult: ClaimResult,
 ): Promise<PlainResponse> {
-  switch (claimed.kind) {
+  switch (claimResult.kind) {
     case "granted":
-      return await callOnce(host, request, claimed.claim);
+      return await callOnce(host, request, claimResult.claim);
     case "answered":
-      return restoreResponse(claimed.answer);
+      return restoreResponse(claimResult.answer);
     case "refused": {
-      const passable = claimed.error.kind === "platformUnavailable" &&
+      const mayForward = claimResult.error.kind === "platformUnavailable" &&
         request.service.honoursKey;
-      if (passable) return await callOnce(host, request, undefined);
-      throw claimed.error;
+      if (mayForward) return await callOnce(host, request, undefined);
+      throw claimResult.error;
     }
   }
 }
@@ -133,34 +133,34 @@
 async function callOnce(
   host: GatewayHost,
   request: PlainRequest,
-  granted: HeldClaim | undefined,
+  initialClaim: HeldClaim | undefined,
 ): Promise<PlainResponse> {
-  const failed = new Set<string>();
-  let claim = granted;
-  let renewed = false;
+  const failedTargets = new Set<string>();
+  let claim = initialClaim;
+  let hasRenewed = false;
   while (true) {
-    const candidate = pickTarget(host, request, failed);
+    const candidate = pickTarget(host, request, failedTargets);
     if (candidate === undefined) {
       claim?.release();
       throw new ServeError("noTarget", "no target took the call", {
         run: "no",
       });
     }
-    const held = claim;
-    const guard = held && (() => held.isValid());
+    const currentClaim = claim;
+    const guard = currentClaim && (() => currentClaim.isValid());
     const attempt = await sendAttempt(host, request, candidate, guard);
     if (attempt.kind === "answer") {
       claim?.conclude(buildStoredResponse(attempt.answer));
       return attempt.answer;
     }
     if (attempt.kind === "unknown") throw attempt.error;
-    if (attempt.withheld && claim !== undefined && !renewed) {
+    if (attempt.withheld && claim !== undefined && !hasRenewed) {
       // The shard has a new owner, or the permission was too old; nothing was sent.
-      renewed = true;
-      const again = await claim.renew();
-      if (again.kind === "refused") throw again.error;
-      if (again.kind === "answered") return restoreResponse(again.answer);
-      claim = again.claim;
+      hasRenewed = true;
+      const renewal = await claim.renew();
+      if (renewal.kind === "refused") throw renewal.error;
+      if (renewal.kind === "answered") return restoreResponse(renewal.answer);
+      claim = renewal.claim;
       continue;
     }
     if (attempt.withheld) {
@@ -169,7 +169,7 @@
         "the permission to run the call lapsed before it was handed over";
       throw new ServeError("platformUnavailable", message, { run: "no" });
     }
-    failed.add(candidate.id);
+    failedTargets.add(candidate.id);
     host.events.recordRetry("notSent");
   }
 }
@@ -179,24 +179,24 @@
   host: GatewayHost,
   request: PlainRequest,
 ): Promise<PlainResponse> {
-  const failed = new Set<string>();
-  let last: ServeError | undefined;
-  for (let tries = 0; tries < host.limits.maxTries; tries++) {
-    const candidate = pickTarget(host, request, failed) ??
+  const failedTargets = new Set<string>();
+  let lastError: ServeError | undefined;
+  for (let attempts = 0; attempts < host.limits.maxTries; attempts++) {
+    const candidate = pickTarget(host, request, failedTargets) ??
       pickTarget(host, request, new Set());
     if (candidate === undefined) break;
-    if (tries > 0) {
+    if (attempts > 0) {
       if (!host.retries.spendRetry()) break;
-      host.events.recordRetry(last?.kind ?? "notSent");
+      host.events.recordRetry(lastError?.kind ?? "notSent");
     }
-    const attempt = await sendHedged(host, request, candidate, failed);
+    const attempt = await sendHedged(host, request, candidate, failedTargets);
     if (attempt.kind === "answer") return attempt.answer;
-    failed.add(candidate.id);
-    if (attempt.kind === "unknown") last = attempt.error;
+    failedTargets.add(candidate.id);
+    if (attempt.kind === "unknown") lastError = attempt.error;
     if (!request.admitted.mayRetry()) break;
     if (host.clock.readMonotonicMs() >= request.deadlineAtMs) break;
   }
-  throw last ??
+  throw lastError ??
     new ServeError("noTarget", "no target took the call", { run: "no" });
 }
 
@@ -204,14 +204,18 @@
   host: GatewayHost,
   request: PlainRequest,
   candidate: Candidate,
-  failed: ReadonlySet<string>,
+  failedTargets: ReadonlySet<string>,
 ): Promise<AttemptResult> {
   const first = sendAttempt(host, request, candidate);
   const { hedgeAfterMs } = request.profile;
   if (hedgeAfterMs === 0) return await first;
-  const early = await Promise.race([first, sleep(hedgeAfterMs)]);
-  if (early !== undefined) return early;
-  const other = pickTarget(host, request, new Set([...failed, candidate.id]));
+  const earlyResult = await Promise.race([first, sleep(hedgeAfterMs)]);
+  if (earlyResult !== undefined) return earlyResult;
+  const other = pickTarget(
+    host,
+    request,
+    new Set([...failedTargets, candidate.id]),
+  );
   if (other === undefined || !host.retries.spendRetry()) return await first;
   host.events.recordHedge();
   const second = sendAttempt(host, request, other);
@@ -224,12 +228,12 @@
 function pickTarget(
   host: GatewayHost,
   request: PlainRequest,
-  failed: ReadonlySet<string>,
+  failedTargets: ReadonlySet<string>,
 ): Candidate | undefined {
-  const open = host.targets.listCandidates(request.service.name)
-    .filter((candidate) => !failed.has(candidate.id));
-  const local = open.filter((candidate) => candidate.sameZone);
-  const pool = local.length > 0 ? local : open;
+  const available = host.targets.listCandidates(request.service.name)
+    .filter((candidate) => !failedTargets.has(candidate.id));
+  const local = available.filter((candidate) => candidate.sameZone);
+  const pool = local.length > 0 ? local : available;
   if (pool.length === 0) return undefined;
   return pool.reduce((best, next) =>
     next.load.running < best.load.running ? next : best
@@ -250,7 +254,7 @@
   }
   const tryId = createId("try");
   const work = host.loadTracker.begin(target.id, 0, nowMs);
-  const answer = await host.targets.getService(target).send({
+  const response = await host.targets.getService(target).send({
     tryId,
     method: request.method,
     path: request.path,
@@ -262,20 +266,20 @@
       (guard?.() ?? true),
   });
   work.end(host.clock.readMonotonicMs());
-  if (answer.kind === "answer") host.targets.recordSuccess(target.id);
-  else if (answer.kind !== "withheld") host.targets.recordFailure(target.id);
-  if (answer.kind === "broken") {
-    request.admitted.recordLoss(target, answer.detail);
+  if (response.kind === "answer") host.targets.recordSuccess(target.id);
+  else if (response.kind !== "withheld") host.targets.recordFailure(target.id);
+  if (response.kind === "broken") {
+    request.admitted.recordLoss(target, response.detail);
   }
-  return classifyResponse(answer, tryId, request.service);
+  return classifyResponse(response, tryId, request.service);
 }
 
 function classifyResponse(
-  answer: BufferedResponse,
+  response: BufferedResponse,
   tryId: string,
   service: PlainService,
 ): AttemptResult {
-  switch (answer.kind) {
+  switch (response.kind) {
     case "notSent":
       return { kind: "notRun", withheld: false };
     case "withheld":
@@ -283,27 +287,29 @@
     case "broken":
       return {
         kind: "unknown",
-        error: new ServeError("targetFailed", answer.detail),
+        error: new ServeError("targetFailed", response.detail),
       };
     case "silent":
       return {
         kind: "unknown",
-        error: new ServeError("deadlineExceeded", answer.detail),
+        error: new ServeError("deadlineExceeded", response.detail),
       };
     case "answer":
       break;
   }
-  const echoed = answer.headers["x-try-id"];
-  const crossed = echoed === undefined ? service.echoesTryId : echoed !== tryId;
-  if (crossed) {
+  const echoedTryId = response.headers["x-try-id"];
+  const isMismatched = echoedTryId === undefined
+    ? service.echoesTryId
+    : echoedTryId !== tryId;
+  if (isMismatched) {
     const message = "the answer belongs to another call";
     return {
       kind: "unknown",
       error: new ServeError("answerIncomplete", message),
     };
   }
-  const headers = copyHeaders(answer.headers);
-  const { status, body } = answer;
+  const headers = copyHeaders(response.headers);
+  const { status, body } = response;
   return { kind: "answer", answer: { status, headers, body, replayed: false } };
 }
 
@@ -318,22 +324,22 @@
   return headers;
 }
 
-function buildStoredResponse(answer: PlainResponse): StoredResponse {
-  const { status, headers, body } = answer;
+function buildStoredResponse(response: PlainResponse): StoredResponse {
+  const { status, headers, body } = response;
   if (body.length > MAX_STORED_BODY_BYTES) return { status, headers };
   return { status, headers, body: body.toString("base64") };
 }
 
-function restoreResponse(kept: StoredResponse): PlainResponse {
-  if (kept.body === undefined) {
+function restoreResponse(stored: StoredResponse): PlainResponse {
+  if (stored.body === undefined) {
     const message =
       "the call ran and was answered; its answer was too large to keep";
     throw new ServeError("outcomeUnknown", message);
   }
-  const body = Buffer.from(kept.body, "base64");
+  const body = Buffer.from(stored.body, "base64");
   return {
-    status: kept.status,
-    headers: { ...kept.headers },
+    status: stored.status,
+    headers: { ...stored.headers },
     body,
     replayed: true,
   };
--- a/packages/heatherarch-gateway/request_body.ts
+++ b/packages/heatherarch-gateway/request_body.ts
@@ -18,30 +18,30 @@
   limits: BodyLimits,
 ): Promise<Buffer> {
   const declared = Number(req.headers["content-length"] ?? 0);
-  const tooLarge = () =>
+  const buildSizeError = () =>
     new ServeError(
       "payloadTooLarge",
       `the body is larger than ${limits.maxBodyBytes} bytes`,
     );
-  if (declared > limits.maxBodyBytes) return Promise.reject(tooLarge());
+  if (declared > limits.maxBodyBytes) return Promise.reject(buildSizeError());
   return new Promise((resolve, reject) => {
-    const parts: Buffer[] = [];
+    const chunks: Buffer[] = [];
     let size = 0;
     const finish = (error?: ServeError): void => {
       clearTimeout(timer);
       req.removeAllListeners("data");
       if (error) reject(error);
-      else resolve(Buffer.concat(parts));
+      else resolve(Buffer.concat(chunks));
     };
     const timer = setTimeout(() => {
       const message =
         `the body did not arrive within ${limits.bodyTimeoutMs} ms`;
       finish(new ServeError("requestTimeout", message));
     }, limits.bodyTimeoutMs);
-    req.on("data", (part: Buffer) => {
-      size += part.length;
-      if (size > limits.maxBodyBytes) finish(tooLarge());
-      else parts.push(part);
+    req.on("data", (chunk: Buffer) => {
+      size += chunk.length;
+      if (size > limits.maxBodyBytes) finish(buildSizeError());
+      else chunks.push(chunk);
     });
     req.on("end", () => finish());
     req.on(
--- a/packages/heatherarch-gateway/request_watch.ts
+++ b/packages/heatherarch-gateway/request_watch.ts
@@ -19,7 +19,7 @@
   /** Whether the system may retry the request. */
   mayRetry(): boolean;
   /** The request has ended; `isWhole` after a whole answer. To be called once. */
-  end(isWhole: boolean): void;
+  end(succeeded: boolean): void;
 }
 
 /** Admits requests. */
@@ -65,10 +65,10 @@
         { retryAfterMs: TRIAL_RETRY_AFTER_MS },
       );
     }
-    let hasLost = false;
+    let hasLoss = false;
     return {
       recordLoss: (target, reason) => {
-        hasLost = true;
+        hasLoss = true;
         void losses.investigateLoss({
           call: requestId,
           request,
@@ -78,33 +78,33 @@
           reason,
         });
       },
-      mayRetry: () => !hasLost || !quarantine.isLastTrial(request),
-      end: (isWhole) => {
+      mayRetry: () => !hasLoss || !quarantine.isLastTrial(request),
+      end: (succeeded) => {
         if (admission.kind === "trial") admission.end();
-        if (isWhole) quarantine.markSuccess(request, clock.readMonotonicMs());
+        if (succeeded) quarantine.markSuccess(request, clock.readMonotonicMs());
       },
     };
   }
 
   /** A target crashed; later losses there belong to its next incarnation. */
-  endIncarnation(life: string): void {
-    this.#incarnations.delete(getTargetId(life));
+  endIncarnation(incarnation: string): void {
+    this.#incarnations.delete(getTargetId(incarnation));
   }
 
   #getIncarnation(id: string): string {
-    let life = this.#incarnations.get(id);
-    if (life === undefined) {
+    let incarnation = this.#incarnations.get(id);
+    if (incarnation === undefined) {
       // Targets do not report their incarnation, so VMs may name one differently.
-      life = createId(`${id}${INCARNATION_SEPARATOR}`);
-      this.#incarnations.set(id, life);
+      incarnation = createId(`${id}${INCARNATION_SEPARATOR}`);
+      this.#incarnations.set(id, incarnation);
     }
-    return life;
+    return incarnation;
   }
 }
 
 const INCARNATION_SEPARATOR = "#";
 
 /** Id of the target of an incarnation. */
-export function getTargetId(life: string): string {
-  return life.slice(0, life.lastIndexOf(INCARNATION_SEPARATOR));
+export function getTargetId(incarnation: string): string {
+  return incarnation.slice(0, incarnation.lastIndexOf(INCARNATION_SEPARATOR));
 }
--- a/packages/heatherarch-targets/dispatch.ts
+++ b/packages/heatherarch-targets/dispatch.ts
@@ -132,9 +132,9 @@
     if (this.#isWithheld) return this.fail("withheld", "the guard said no");
     if (!this.#isSent) return this.fail("notSent", error.message);
     const code = (error as { code?: string }).code ?? "";
-    const silent = code === "UND_ERR_HEADERS_TIMEOUT" ||
+    const isTimeout = code === "UND_ERR_HEADERS_TIMEOUT" ||
       code === "UND_ERR_BODY_TIMEOUT";
-    this.fail(silent ? "silent" : "broken", error.message);
+    this.fail(isTimeout ? "silent" : "broken", error.message);
   }
 
   fail(failure: DispatchFailure, detail: string): void {
@@ -160,32 +160,32 @@
   options: DispatchOptions & { maxResponseBytes?: number },
 ): Promise<BufferedResponse> {
   return new Promise((resolve) => {
-    const parts: Buffer[] = [];
+    const chunks: Buffer[] = [];
     let size = 0;
     let status = 0;
     let headers: Record<string, string | string[] | undefined> = {};
-    const limit = options.maxResponseBytes ?? Infinity;
-    const sent = dispatch(dispatcher, options, {
-      onHead: (code, fields) => {
-        status = code;
-        headers = fields;
+    const maxBytes = options.maxResponseBytes ?? Infinity;
+    const request = dispatch(dispatcher, options, {
+      onHead: (responseStatus, responseHeaders) => {
+        status = responseStatus;
+        headers = responseHeaders;
       },
       onData: (bytes) => {
         size += bytes.length;
-        if (size > limit) {
-          sent.abort();
+        if (size > maxBytes) {
+          request.abort();
           resolve({
             kind: "broken",
-            detail: `the answer is longer than ${limit} bytes`,
+            detail: `the answer is longer than ${maxBytes} bytes`,
           });
-        } else parts.push(bytes);
+        } else chunks.push(bytes);
       },
       onDone: () =>
         resolve({
           kind: "answer",
           status,
           headers,
-          body: Buffer.concat(parts),
+          body: Buffer.concat(chunks),
         }),
       onFailure: (kind, detail) => resolve({ kind, detail }),
     });
--- a/packages/heatherarch-targets/engine_client.ts
+++ b/packages/heatherarch-targets/engine_client.ts
@@ -58,19 +58,19 @@
   ): Promise<unknown> {
     const client = options.fresh ? this.#openConnection() : undefined;
     try {
-      const answer = await dispatchBuffered(client ?? this.#pool, {
+      const response = await dispatchBuffered(client ?? this.#pool, {
         path,
         method: "GET",
         firstByteMs: options.timeoutMs,
         gapMs: options.timeoutMs,
       });
-      if (answer.kind !== "answer") {
-        throw new Error(`engine state: ${answer.detail}`);
+      if (response.kind !== "answer") {
+        throw new Error(`engine state: ${response.detail}`);
       }
-      if (answer.status !== 200) {
-        throw new Error(`engine state: status ${answer.status}`);
+      if (response.status !== 200) {
+        throw new Error(`engine state: status ${response.status}`);
       }
-      return JSON.parse(answer.body.toString("utf8"));
+      return JSON.parse(response.body.toString("utf8"));
     } finally {
       void client?.destroy();
     }
@@ -84,7 +84,7 @@
   ): Promise<OrderResponse> {
     const client = this.#openConnection();
     try {
-      const answer = await dispatchBuffered(client, {
+      const response = await dispatchBuffered(client, {
         path,
         method: "POST",
         headers: { "content-type": "application/json" },
@@ -93,7 +93,7 @@
         gapMs: options.timeoutMs,
         guard: options.guard,
       });
-      return buildOrderResponse(answer);
+      return buildOrderResponse(response);
     } finally {
       void client.destroy();
     }
@@ -107,13 +107,13 @@
     createParser: ParserFactory,
   ): EngineAttempt {
     const { firstByteMs, gapMs } = this.#options.timeouts;
-    const silence = new IdleTimer({ firstByteMs, gapMs }, () => {
-      guarded.onFailure("silent", "no byte came for too long");
+    const idleTimer = new IdleTimer({ firstByteMs, gapMs }, () => {
+      closingSink.onFailure("silent", "no byte came for too long");
     });
     let parser: ResponseParser | undefined;
-    let refusal: number | undefined;
-    const guarded = createClosingSink(sink, {
-      stopTimer: () => silence.stop(),
+    let errorStatus: number | undefined;
+    const closingSink = createClosingSink(sink, {
+      stopTimer: () => idleTimer.stop(),
       abort: () => sent?.abort(),
     });
     const sent = dispatch(this.#pool, {
@@ -128,25 +128,31 @@
       gapMs: 0,
     }, {
       onHead: (status) => {
-        if (status === 200) parser = createParser(call, guarded);
-        else refusal = status;
+        if (status === 200) parser = createParser(call, closingSink);
+        else errorStatus = status;
       },
       onData: (bytes) => {
-        silence.recordBytes();
+        idleTimer.recordBytes();
         parser?.push(bytes);
       },
       onDone: () => {
-        if (refusal !== undefined) {
-          guarded.onFailure(classifyStatus(refusal), `status ${refusal}`);
+        if (errorStatus !== undefined) {
+          closingSink.onFailure(
+            classifyStatus(errorStatus),
+            `status ${errorStatus}`,
+          );
         } else parser?.finish();
       },
       onFailure: (failure, detail) => {
-        guarded.onFailure(failure === "withheld" ? "notSent" : failure, detail);
+        closingSink.onFailure(
+          failure === "withheld" ? "notSent" : failure,
+          detail,
+        );
       },
     });
     return {
       abort: () => {
-        guarded.close();
+        closingSink.close();
         sent.abort();
       },
       get isSent() {
@@ -240,18 +246,18 @@
   return status >= 500 ? "broken" : "invalid";
 }
 
-function buildOrderResponse(answer: BufferedResponse): OrderResponse {
-  switch (answer.kind) {
+function buildOrderResponse(response: BufferedResponse): OrderResponse {
+  switch (response.kind) {
     case "answer":
-      if (answer.status === 200) return { kind: "accepted" };
-      if (answer.status === STATUS_CONFLICT) return { kind: "fenced" };
-      return { kind: "refused", detail: `status ${answer.status}` };
+      if (response.status === 200) return { kind: "accepted" };
+      if (response.status === STATUS_CONFLICT) return { kind: "fenced" };
+      return { kind: "refused", detail: `status ${response.status}` };
     case "withheld":
       return { kind: "withheld" };
     case "notSent":
-      return { kind: "refused", detail: answer.detail };
+      return { kind: "refused", detail: response.detail };
     default:
-      return { kind: "unknown", detail: answer.detail };
+      return { kind: "unknown", detail: response.detail };
   }
 }
 
@@ -263,10 +269,13 @@
     state.pendingPrefillTokens,
     state.fencing,
   ];
-  const whole = counts.every((count) => Number.isFinite(count) && count >= 0);
+  const areCountsValid = counts.every((count) =>
+    Number.isFinite(count) && count >= 0
+  );
   const roles = ["prefill", "decode", "mixed"];
   if (
-    !whole || !roles.includes(state.role) || typeof state.model !== "string"
+    !areCountsValid || !roles.includes(state.role) ||
+    typeof state.model !== "string"
   ) {
     throw new Error("engine state: a field is not what it should be");
   }
--- a/packages/heatherarch-targets/ndjson_engine.ts
+++ b/packages/heatherarch-targets/ndjson_engine.ts
@@ -132,27 +132,27 @@
       ? bytes
       : Buffer.concat([this.#incompleteLine, bytes]);
     const texts: string[] = [];
-    let at = 0;
-    let end: ResponseLine | undefined;
+    let offset = 0;
+    let finalLine: ResponseLine | undefined;
     for (
-      let cut = data.indexOf(NEWLINE);
-      cut !== -1;
-      cut = data.indexOf(NEWLINE, at)
+      let newlineAt = data.indexOf(NEWLINE);
+      newlineAt !== -1;
+      newlineAt = data.indexOf(NEWLINE, offset)
     ) {
-      const line = parseLine(data.toString("utf8", at, cut));
-      at = cut + 1;
+      const line = parseLine(data.toString("utf8", offset, newlineAt));
+      offset = newlineAt + 1;
       if (line === undefined || !this.matchesAttempt(line.tag)) {
         return this.reportMismatch();
       }
       if (line.s) texts.push(line.s);
-      if (line.end) end = line;
+      if (line.end) finalLine = line;
     }
-    this.#incompleteLine = data.subarray(at);
+    this.#incompleteLine = data.subarray(offset);
     if (this.#incompleteLine.length > MAX_LINE_BYTES) {
       return this.sink.onFailure("broken", "a line is too long");
     }
     if (texts.length > 0) this.sink.onTokens(texts);
-    if (end !== undefined) this.#handleEnd(end);
+    if (finalLine !== undefined) this.#handleEnd(finalLine);
   }
 
   #handleEnd(line: ResponseLine): void {
--- a/packages/heatherarch-targets/service_port.ts
+++ b/packages/heatherarch-targets/service_port.ts
@@ -49,16 +49,16 @@
   }
 
   async readState(options: { timeoutMs: number }): Promise<ServiceState> {
-    const answer = await dispatchBuffered(this.#pool, {
+    const response = await dispatchBuffered(this.#pool, {
       path: LOAD_PATH,
       method: "GET",
       firstByteMs: options.timeoutMs,
       gapMs: options.timeoutMs,
     });
-    if (answer.kind !== "answer") {
-      throw new Error(`service load: ${answer.detail}`);
+    if (response.kind !== "answer") {
+      throw new Error(`service load: ${response.detail}`);
     }
-    return STATE_SCHEMA.parse(JSON.parse(answer.body.toString("utf8")));
+    return STATE_SCHEMA.parse(JSON.parse(response.body.toString("utf8")));
   }
 
   send(call: ServiceCall): Promise<BufferedResponse> {
--- a/packages/heatherarch-targets/sse_engine.ts
+++ b/packages/heatherarch-targets/sse_engine.ts
@@ -153,8 +153,8 @@
   }
 
   #handleEnd(): void {
-    const last = this.#finalChunk;
-    if (last === undefined) {
+    const finalChunk = this.#finalChunk;
+    if (finalChunk === undefined) {
       return this.sink.onFailure(
         "broken",
         "the end marker came without a finish reason",
@@ -166,10 +166,14 @@
       this.sink.onTokens(texts);
     }
     this.sink.onEnd({
-      reason: last.choices?.[0]?.finish_reason === "stop" ? "stop" : "length",
-      promptTokens: last.usage?.prompt_tokens ?? 0,
-      cachedTokens: last.usage?.cached_tokens ?? 0,
-      ...(last.kv_handle === undefined ? {} : { kvHandle: last.kv_handle }),
+      reason: finalChunk.choices?.[0]?.finish_reason === "stop"
+        ? "stop"
+        : "length",
+      promptTokens: finalChunk.usage?.prompt_tokens ?? 0,
+      cachedTokens: finalChunk.usage?.cached_tokens ?? 0,
+      ...(finalChunk.kv_handle === undefined
+        ? {}
+        : { kvHandle: finalChunk.kv_handle }),
     });
   }
 }
