--- a/packages/heatherarch-targets/dispatch.ts
+++ b/packages/heatherarch-targets/dispatch.ts
@@ -1,15 +1,16 @@
 /**
- * One HTTP request through undici's lowest interface, with a last check in the synchronous
- * turn that writes it, and time limits on first byte and gaps.
+ * Sends one HTTP request through undici's dispatch interface. A guard is called in the same
+ * synchronous turn that writes the request, and timeouts apply to the first byte and to the gaps
+ * between bytes.
  *
  * @module
  */
 import { type Dispatcher } from "undici";
 
-/** Reasons for a failed dispatch. */
+/** Reason for a failed dispatch. */
 export type DispatchFailure = "notSent" | "withheld" | "broken" | "silent";
 
-/** Receives the answer. Exactly one of `onDone` and `onFailure` is called last. */
+/** Receives the response. Exactly one of `onDone` and `onFailure` is called last. */
 export interface DispatchSink {
   onHead(
     status: number,
@@ -25,18 +26,18 @@
   readonly path: string;
   readonly method: string;
   readonly headers?: Record<string, string>;
-  /** Whole body; it is written in the same turn as the head. */
+  /** Complete body. It is written in the same turn as the head. */
   readonly body?: Buffer | string;
   readonly firstByteMs: number;
   readonly gapMs: number;
-  /** Asked just before the first byte is written; `false` withholds the request. */
+  /** Called just before the first byte is written. If it returns false, the request is withheld. */
   readonly guard?: () => boolean;
 }
 
 /** A request in progress. */
 export interface InFlightRequest {
   readonly isSent: boolean;
-  /** Destroys the connection; no callback follows. */
+  /** Destroys the connection. No callback is called afterwards. */
   abort(): void;
 }
 
@@ -129,7 +130,7 @@
     _controller: Dispatcher.DispatchController,
     error: Error,
   ): void {
-    if (this.#isWithheld) return this.fail("withheld", "the guard said no");
+    if (this.#isWithheld) return this.fail("withheld", "rejected by guard");
     if (!this.#isSent) return this.fail("notSent", error.message);
     const code = (error as { code?: string }).code ?? "";
     const isTimeout = code === "UND_ERR_HEADERS_TIMEOUT" ||
@@ -144,7 +145,7 @@
   }
 }
 
-/** A whole answer, as {@linkcode dispatchBuffered} returns it. */
+/** Result of {@linkcode dispatchBuffered}. */
 export type BufferedResponse =
   | {
     readonly kind: "answer";
@@ -154,7 +155,7 @@
   }
   | { readonly kind: DispatchFailure; readonly detail: string };
 
-/** Sends one request and gathers the whole answer. */
+/** Sends one request and buffers the complete response. */
 export function dispatchBuffered(
   dispatcher: Dispatcher,
   options: DispatchOptions & { maxResponseBytes?: number },
@@ -176,7 +177,7 @@
           request.abort();
           resolve({
             kind: "broken",
-            detail: `the answer is longer than ${maxBytes} bytes`,
+            detail: `the response is longer than ${maxBytes} bytes`,
           });
         } else chunks.push(bytes);
       },
--- a/packages/heatherarch-targets/engine_client.ts
+++ b/packages/heatherarch-targets/engine_client.ts
@@ -1,6 +1,6 @@
 /**
- * What the adapters of all dialects share: connections, JSON calls and the reading of a
- * streamed answer.
+ * HTTP client that the adapters of all dialects share: connections, JSON calls and streamed
+ * responses.
  *
  * @module
  */
@@ -28,14 +28,14 @@
 
 /** Options of an engine adapter. */
 export interface EngineOptions {
-  /** Address as this process must dial it. */
+  /** Address to which this process connects. */
   readonly address: string;
-  /** Most connections open at once. */
+  /** Maximum number of open connections. */
   readonly maxConnections: number;
   readonly timeouts: AttemptTimeouts;
 }
 
-/** Connections to one engine. */
+/** HTTP client of one engine. */
 export class EngineClient {
   readonly #options: EngineOptions;
   readonly #pool: Pool;
@@ -51,7 +51,7 @@
     });
   }
 
-  /** Reads JSON from `path`; throws where the answer is not a 200 with JSON. */
+  /** Reads JSON from `path`. Throws if the response is not status 200 with a JSON body. */
   async readJson(
     path: string,
     options: { timeoutMs: number; fresh?: boolean },
@@ -76,7 +76,7 @@
     }
   }
 
-  /** Sends an order over a fresh connection that is destroyed after it. */
+  /** Sends an order over a new connection, which is destroyed afterwards. */
   async sendOrder(
     path: string,
     body: unknown,
@@ -99,7 +99,7 @@
     }
   }
 
-  /** Starts a streamed try. */
+  /** Starts an attempt with a streamed response. */
   startAttempt(
     request: { path: string; method: string; body?: string },
     call: EngineCall,
@@ -108,22 +108,25 @@
   ): EngineAttempt {
     const { firstByteMs, gapMs } = this.#options.timeouts;
     const idleTimer = new IdleTimer({ firstByteMs, gapMs }, () => {
-      closingSink.onFailure("silent", "no byte came for too long");
+      closingSink.onFailure(
+        "silent",
+        "the engine sent no data within the timeout",
+      );
     });
     let parser: ResponseParser | undefined;
     let errorStatus: number | undefined;
     const closingSink = createClosingSink(sink, {
       stopTimer: () => idleTimer.stop(),
-      abort: () => sent?.abort(),
+      abort: () => inFlight?.abort(),
     });
-    const sent = dispatch(this.#pool, {
+    const inFlight = dispatch(this.#pool, {
       path: request.path,
       method: request.method,
       headers: request.body === undefined
         ? {}
         : { "content-type": "application/json" },
       body: request.body,
-      // The head comes before the work is done; silence is judged by the tokens.
+      // Engines send the response head before they do the work, so the idle timer watches the body.
       firstByteMs: 0,
       gapMs: 0,
     }, {
@@ -153,10 +156,10 @@
     return {
       abort: () => {
         closingSink.close();
-        sent.abort();
+        inFlight.abort();
       },
       get isSent() {
-        return sent.isSent;
+        return inFlight.isSent;
       },
     };
   }
@@ -172,7 +175,7 @@
   }
 }
 
-/** A sink that delivers nothing after its end, and destroys the connection on a failure. */
+/** A sink that delivers nothing after its end, and destroys the connection after a failure. */
 interface ClosingSink extends EngineSink {
   close(): void;
 }
@@ -181,24 +184,24 @@
   sink: EngineSink,
   hooks: { stopTimer: () => void; abort: () => void },
 ): ClosingSink {
-  let open = true;
+  let isOpen = true;
   return {
     close: () => {
-      open = false;
+      isOpen = false;
       hooks.stopTimer();
     },
     onTokens: (texts) => {
-      if (open) sink.onTokens(texts);
+      if (isOpen) sink.onTokens(texts);
     },
-    onEnd: (end) => {
-      if (!open) return;
-      open = false;
+    onEnd: (result) => {
+      if (!isOpen) return;
+      isOpen = false;
       hooks.stopTimer();
-      sink.onEnd(end);
+      sink.onEnd(result);
     },
     onFailure: (failure, detail) => {
-      if (!open) return;
-      open = false;
+      if (!isOpen) return;
+      isOpen = false;
       hooks.stopTimer();
       hooks.abort();
       sink.onFailure(failure, detail);
@@ -206,7 +209,7 @@
   };
 }
 
-/** Judges an answer silent: by one limit up to its first byte, by another after it. */
+/** Detects a stalled response, with one timeout for the first byte and one for later gaps. */
 class IdleTimer {
   readonly #gapMs: number;
   readonly #onTimeout: () => void;
@@ -237,7 +240,7 @@
   }
 }
 
-/** What a status other than 200 means for a try. */
+/** Maps a response status other than 200 to a failure. */
 function classifyStatus(status: number): EngineFailure {
   if (status === STATUS_UNAVAILABLE || status === STATUS_TOO_MANY_REQUESTS) {
     return "refused";
@@ -261,7 +264,7 @@
   }
 }
 
-/** Checks a state as read; throws where a field is not what it should be. */
+/** Checks a state that was read from an engine. Throws if a field is invalid. */
 export function checkEngineState(state: EngineState): EngineState {
   const counts = [
     state.running,
@@ -277,7 +280,7 @@
     !areCountsValid || !roles.includes(state.role) ||
     typeof state.model !== "string"
   ) {
-    throw new Error("engine state: a field is not what it should be");
+    throw new Error("engine state: a field has an invalid value");
   }
   return state;
 }
--- a/packages/heatherarch-targets/engine_port.ts
+++ b/packages/heatherarch-targets/engine_port.ts
@@ -1,31 +1,31 @@
 /**
- * The narrow interface towards an engine, whatever dialect it speaks.
+ * Interface to an engine, independent of its dialect.
  *
  * @module
  */
 import type { EngineOrder, EngineState } from "heatherarch-core";
 
-/** Where another engine keeps the KV cache of a prompt. */
+/** Location of a prompt's KV cache on another engine. */
 export interface KvHandle {
   readonly address: string;
   readonly handle: string;
 }
 
-/** One try at generating text on one engine. */
+/** One attempt to generate text on one engine. */
 export interface EngineCall {
-  /** Id of this try; every part of the answer must carry it. */
+  /** Id of this attempt. Every part of the response must carry it. */
   readonly tryId: string;
   readonly model: string;
   readonly prompt: string;
   readonly maxTokens: number;
-  /** 0 is the most urgent. */
+  /** Scheduling priority; 0 is the most urgent. */
   readonly priority: number;
-  /** Keep the KV cache for another engine to fetch. */
+  /** Whether the engine keeps the KV cache for another engine to fetch. */
   readonly kvExport: boolean;
   readonly kvImport?: KvHandle;
 }
 
-/** How a try ended on the engine's own word. */
+/** Result of an attempt that the engine completed. */
 export interface EngineResult {
   readonly reason: "length" | "stop";
   readonly promptTokens: number;
@@ -33,69 +33,69 @@
   readonly kvHandle?: string;
 }
 
-/** Why a try failed. */
+/** Reason for a failed attempt. */
 export type EngineFailure =
   /** Nothing that could start the work was sent. */
   | "notSent"
-  /** The engine answered that it did not start the work. */
+  /** The engine responded that it did not start the work. */
   | "refused"
-  /** The engine can't fetch the KV cache it was pointed to. */
+  /** The engine can't fetch the KV cache named in the call. */
   | "kvGone"
-  /** The connection or the engine failed midway. */
+  /** The connection or the engine failed during the attempt. */
   | "broken"
-  /** No byte came for too long. */
+  /** No data arrived within the timeout. */
   | "silent"
-  /** The answer belongs to another try, or is not what it should be. */
+  /** The response belongs to another attempt or is malformed. */
   | "mismatched"
-  /** The engine does not take this request at all. */
+  /** The engine rejects the request as invalid. */
   | "invalid";
 
-/** Receives the parts of an answer. Exactly one of `onEnd` and `onFailure` is called last. */
+/** Receives the parts of a response. Exactly one of `onEnd` and `onFailure` is called last. */
 export interface EngineSink {
-  /** Tokens that arrived together, in order. */
+  /** Called with the tokens that arrived together, in order. */
   onTokens(texts: readonly string[]): void;
   onEnd(end: EngineResult): void;
   onFailure(failure: EngineFailure, detail: string): void;
 }
 
-/** A try in progress. */
+/** An attempt in progress. */
 export interface EngineAttempt {
-  /** Abandons the try: its connection is destroyed and nothing more is delivered. */
+  /** Aborts the attempt. Its connection is destroyed, and nothing more is delivered. */
   abort(): void;
-  /** Whether any byte of the request was handed to the engine. */
+  /** Whether any byte of the request was sent to the engine. */
   readonly isSent: boolean;
 }
 
-/** Answer to an order. */
+/** Response to an order. */
 export type OrderResponse =
   | { readonly kind: "accepted" }
-  /** The engine has obeyed a higher fencing number. */
+  /** The engine has obeyed an order with a higher fencing token. */
   | { readonly kind: "fenced" }
   | { readonly kind: "refused"; readonly detail: string }
-  /** The guard said no at the last moment, and no byte was sent. */
+  /** The guard rejected the order just before it was written, and no byte was sent. */
   | { readonly kind: "withheld" }
   | { readonly kind: "unknown"; readonly detail: string };
 
-/** Time limits of a try, milliseconds. */
+/** Timeouts of an attempt, in milliseconds. */
 export interface AttemptTimeouts {
   readonly connectMs: number;
   readonly firstByteMs: number;
   readonly gapMs: number;
 }
 
-/** One engine behind its adapter. */
+/** Interface to one engine. */
 export interface EnginePort {
-  /** Reads the engine's state. `fresh` opens a new connection for it. */
+  /** Reads the engine's state. With `fresh`, a new connection is opened for the read. */
   readState(
     options: { timeoutMs: number; fresh?: boolean },
   ): Promise<EngineState>;
-  /** Starts a try. */
+  /** Starts an attempt. */
   generate(call: EngineCall, sink: EngineSink): EngineAttempt;
-  /** Fetches the rest of a broken answer, from token `from` on; undefined where unsupported. */
+  /** Resumes a broken response at token `from`. Undefined if the dialect does not support this. */
   resume?(call: EngineCall, from: number, sink: EngineSink): EngineAttempt;
   /**
-   * Gives an order over a fresh connection. `guard` is asked in the synchronous turn that
-   * writes the order.
+   * Sends an order over a new connection. `guard` is called in the synchronous turn that writes
+   * the order.
    */
   sendOrder(
     order: EngineOrder,
--- a/packages/heatherarch-targets/engine_registry.ts
+++ b/packages/heatherarch-targets/engine_registry.ts
@@ -1,5 +1,5 @@
 /**
- * From the name of a dialect to its adapter.
+ * Maps each dialect to its adapter.
  *
  * @module
  */
--- a/packages/heatherarch-targets/mod.ts
+++ b/packages/heatherarch-targets/mod.ts
@@ -1,5 +1,5 @@
 /**
- * Ports and adapters towards engines and plain services.
+ * Ports and adapters for engines and plain services.
  *
  * @module
  */
--- a/packages/heatherarch-targets/ndjson_engine.ts
+++ b/packages/heatherarch-targets/ndjson_engine.ts
@@ -1,6 +1,6 @@
 /**
- * Dialect `ndjson`: one JSON value a line; other field names; orders are obeyed whoever
- * gives them.
+ * Adapter for dialect `ndjson`. Responses carry one JSON value per line, the field names differ
+ * from those of dialect `sse`, and engines obey orders without checking a fencing token.
  *
  * @module
  */
@@ -104,7 +104,7 @@
     const change = order.kind === "setRole"
       ? { set: "mode", mode: MODE_BY_ROLE[order.role] }
       : { set: "weights", weights: `${order.model}@${order.version}` };
-    // The engine ignores `ref`; it stands in the engine's own log for operators.
+    // The engine does not check `ref`, but writes it to its own log for operators.
     const body = { ...change, ref: options.fencing };
     return this.#client.sendOrder("/control", body, options);
   }
@@ -114,7 +114,7 @@
   }
 }
 
-/** Creates the parser of one answer. */
+/** Creates the parser of one response. */
 export function createNdjsonParser(
   call: EngineCall,
   sink: EngineSink,
@@ -123,7 +123,7 @@
   return new NdjsonResponseParser(call, sink, options);
 }
 
-/** Reads lines, checks that each carries the try's id, and passes on tokens. */
+/** Parses lines, checks that each carries the id of the attempt, and delivers the tokens. */
 class NdjsonResponseParser extends ResponseParser {
   #incompleteLine: Buffer = Buffer.alloc(0);
 
@@ -149,7 +149,10 @@
     }
     this.#incompleteLine = data.subarray(offset);
     if (this.#incompleteLine.length > MAX_LINE_BYTES) {
-      return this.sink.onFailure("broken", "a line is too long");
+      return this.sink.onFailure(
+        "broken",
+        "a line of the response is too long",
+      );
     }
     if (texts.length > 0) this.sink.onTokens(texts);
     if (finalLine !== undefined) this.#handleEnd(finalLine);
--- a/packages/heatherarch-targets/response_parser.ts
+++ b/packages/heatherarch-targets/response_parser.ts
@@ -1,12 +1,12 @@
 /**
- * What the parsers of all dialects share: they turn the bytes of one answer into tokens, and
- * take nothing that does not carry the id of their try.
+ * Base class of the response parsers of all dialects. A parser turns the bytes of one response into
+ * tokens, and rejects every part of the response that does not carry the id of its attempt.
  *
  * @module
  */
 import type { EngineCall, EngineResult, EngineSink } from "./engine_port.ts";
 
-/** Guards of the parsers; the proofs switch them off one at a time. */
+/** Safety rules of the parsers. The proofs disable them one at a time. */
 export const PARSER_GUARDS = ["tryIdMatch", "endMarker"] as const;
 /** Name of a guard. */
 export type ParserGuard = typeof PARSER_GUARDS[number];
@@ -16,20 +16,20 @@
   readonly disabledGuards?: ReadonlySet<ParserGuard>;
 }
 
-/** Builds the parser for one try. */
+/** Creates the parser for one attempt. */
 export type ParserFactory = (
   call: EngineCall,
   sink: EngineSink,
 ) => ResponseParser;
 
-/** What an answer without its end marker would be taken for without the guard. */
+/** Result reported for a response without its end marker when that guard is disabled. */
 const UNMARKED: EngineResult = {
   reason: "stop",
   promptTokens: 0,
   cachedTokens: 0,
 };
 
-/** The parser of one answer. */
+/** Parser of one response. */
 export abstract class ResponseParser {
   protected readonly sink: EngineSink;
   readonly #tryId: string;
@@ -41,16 +41,16 @@
     this.#disabledGuards = options.disabledGuards ?? new Set();
   }
 
-  /** Takes in bytes. */
+  /** Parses the next bytes of the response. */
   abstract push(bytes: Buffer): void;
 
-  /** The connection ended; an answer without its end marker is broken. */
+  /** Handles the end of the connection. A response without its end marker is broken. */
   finish(): void {
     if (this.#disabledGuards.has("endMarker")) return this.sink.onEnd(UNMARKED);
-    this.sink.onFailure("broken", "the answer ended without its end marker");
+    this.sink.onFailure("broken", "the response ended without its end marker");
   }
 
-  /** Whether a part of an answer belongs to this try. */
+  /** Whether a part of a response carries the id of this attempt. */
   protected matchesAttempt(tryId: string | undefined): boolean {
     return tryId === this.#tryId || this.#disabledGuards.has("tryIdMatch");
   }
@@ -58,7 +58,7 @@
   protected reportMismatch(): void {
     this.sink.onFailure(
       "mismatched",
-      "a part of the answer does not carry the id of this try",
+      "a part of the response does not carry the id of this attempt",
     );
   }
 }
--- a/packages/heatherarch-targets/service_port.ts
+++ b/packages/heatherarch-targets/service_port.ts
@@ -1,5 +1,5 @@
 /**
- * The interface towards a plain service's target, and its HTTP adapter.
+ * Interface to a target of a plain service, and its HTTP adapter.
  *
  * @module
  */
@@ -9,7 +9,7 @@
 import { type BufferedResponse, dispatchBuffered } from "./dispatch.ts";
 import type { EngineOptions } from "./engine_client.ts";
 
-/** One try at a call on a plain service. */
+/** One attempt at a call to a plain service. */
 export interface ServiceCall {
   readonly tryId: string;
   readonly method: string;
@@ -17,11 +17,11 @@
   readonly headers: Record<string, string>;
   readonly body?: Buffer;
   readonly timeoutMs: number;
-  /** Asked in the synchronous turn that writes the request. */
+  /** Called in the synchronous turn that writes the request. */
   readonly guard?: () => boolean;
 }
 
-/** One target of a plain service. */
+/** Interface to one target of a plain service. */
 export interface ServicePort {
   readState(options: { timeoutMs: number }): Promise<ServiceState>;
   send(call: ServiceCall): Promise<BufferedResponse>;
@@ -36,7 +36,7 @@
 /** Path at which a service reports its load. */
 const LOAD_PATH = "/-/load";
 
-/** A plain service over HTTP. */
+/** HTTP adapter for a target of a plain service. */
 export class HttpService implements ServicePort {
   readonly #pool: Pool;
 
--- a/packages/heatherarch-targets/sse_engine.ts
+++ b/packages/heatherarch-targets/sse_engine.ts
@@ -1,6 +1,6 @@
 /**
- * Dialect `sse`: OpenAI-style completions as server-sent events; orders carry a fencing
- * number that the engine checks.
+ * Adapter for dialect `sse`. Responses are OpenAI-style completions as server-sent events, and
+ * orders carry a fencing token that the engine checks.
  *
  * @module
  */
@@ -109,7 +109,7 @@
   }
 }
 
-/** Creates the parser of one answer. */
+/** Creates the parser of one response. */
 export function createSseParser(
   call: EngineCall,
   sink: EngineSink,
@@ -118,7 +118,7 @@
   return new SseResponseParser(call, sink, options);
 }
 
-/** Reads events, checks that each carries the try's id, and passes on tokens. */
+/** Parses events, checks that each carries the id of the attempt, and delivers the tokens. */
 class SseResponseParser extends ResponseParser {
   readonly #parser: EventSourceParser;
   readonly #decoder = new TextDecoder();
@@ -157,7 +157,7 @@
     if (finalChunk === undefined) {
       return this.sink.onFailure(
         "broken",
-        "the end marker came without a finish reason",
+        "the end marker arrived without a finish reason",
       );
     }
     if (this.#pendingTexts.length > 0) {
--- a/packages/heatherarch-targets/tests/unit/dispatch_test.ts
+++ b/packages/heatherarch-targets/tests/unit/dispatch_test.ts
@@ -38,14 +38,14 @@
   return sent.finally(() => void client.destroy());
 }
 
-test("a withheld request reaches nobody", async () => {
+test("a withheld request is not sent to the server", async () => {
   const before = requests;
   assert.equal((await send("/", () => false)).kind, "withheld");
   await new Promise((resolve) => setTimeout(resolve, 50));
   assert.equal(requests, before);
 });
 
-test("a refused connection is not sent; a broken answer is not called so", async () => {
+test("a refused connection is reported as notSent, a broken response as broken", async () => {
   assert.equal(
     (await send("/", undefined, "http://127.0.0.1:1")).kind,
     "notSent",
@@ -53,11 +53,11 @@
   assert.equal((await send("/break")).kind, "broken");
 });
 
-test("an answer that never comes is silent", async () => {
+test("a response that never arrives is reported as silent", async () => {
   assert.equal((await send("/never")).kind, "silent");
 });
 
-test("a whole answer is gathered", async () => {
+test("a complete response is buffered", async () => {
   const answer = await send("/");
   assert.equal(answer.kind === "answer" && answer.body.toString(), "done");
 });
