--- a/packages/heatherarch-gateway/account_directory.ts
+++ b/packages/heatherarch-gateway/account_directory.ts
@@ -1,5 +1,5 @@
 /**
- * Finds the account that a request belongs to.
+ * Finds the client account of a request.
  *
  * @module
  */
@@ -7,11 +7,11 @@
 import { ServeError } from "heatherarch-core";
 import type { Account, Fleet } from "heatherarch-settings";
 
-/** What a request says of its account. */
+/** Credentials that a request carries. */
 export interface Credentials {
-  /** Bearer token, where one was sent. */
+  /** Bearer token, if one was sent. */
   readonly token: string | undefined;
-  /** Name of an account without a token; empty where none was sent. */
+  /** Name of a client account that has no token; empty if none was sent. */
   readonly name: string;
 }
 
@@ -23,12 +23,12 @@
   weight: 1,
 };
 
-/** The accounts of the fleet configuration. */
+/** Client accounts of the fleet configuration. */
 export class AccountDirectory {
   #indexedFleet: Fleet | null = null;
   #accountByToken = new Map<string, Account>();
 
-  /** Finds the account. Throws {@linkcode ServeError} where none may be used. */
+  /** Finds the client account. Throws {@linkcode ServeError} if the request may use none. */
   find({ token, name }: Credentials, fleet: Fleet): Account {
     this.#indexAccounts(fleet);
     if (token !== undefined) {
@@ -39,12 +39,15 @@
     const named = fleet.accounts.find((account) => account.name === name);
     if (named !== undefined && named.tokenSha256 === undefined) return named;
     if (named !== undefined) {
-      throw new ServeError("unauthenticated", `${name} needs its token`);
+      throw new ServeError(
+        "unauthenticated",
+        `account ${name} requires its bearer token`,
+      );
     }
     if (fleet.allowAnonymous) return ANONYMOUS;
     throw new ServeError(
       "unauthenticated",
-      "an account's bearer token is needed",
+      "an account's bearer token is required",
     );
   }
 
--- a/packages/heatherarch-gateway/client_error.ts
+++ b/packages/heatherarch-gateway/client_error.ts
@@ -1,12 +1,12 @@
 /**
- * Answers to what never became a request.
+ * Responds to requests whose head could not be read.
  *
  * @module
  */
 import type { Socket } from "node:net";
 import { buildErrorBody, createId, ServeError } from "heatherarch-core";
 
-/** Answers what never became a request: broken or oversized heads, and slow ones. */
+/** Responds to a malformed, oversized or slow request head, and closes the connection. */
 export function handleClientError(
   error: Error & { code?: string },
   socket: Socket,
--- a/packages/heatherarch-gateway/gateway.ts
+++ b/packages/heatherarch-gateway/gateway.ts
@@ -1,5 +1,5 @@
 /**
- * The callers' HTTP server.
+ * HTTP server for clients.
  *
  * @module
  */
@@ -44,7 +44,7 @@
 import type { AdmittedRequest } from "./request_watch.ts";
 import { handleGeneration, handleResume } from "./generation_response.ts";
 
-/** Certificate of the callers' port, in PEM. */
+/** Certificate and private key of the client port, in PEM. */
 export interface GatewayTls {
   readonly cert: string;
   readonly key: string;
@@ -53,7 +53,7 @@
 const RESUME_PATH = /^\/v1\/streams\/([A-Za-z0-9._-]+)$/;
 const SERVICE_PATH = /^\/services\/([a-z0-9._-]+)(\/.*)?$/;
 const REQUEST_ID = /^[A-Za-z0-9._-]{1,128}$/;
-/** Serves callers. */
+/** Serves the requests of clients. */
 export class Gateway {
   readonly #host: GatewayHost;
   readonly #limits: AccountLimits;
@@ -85,12 +85,12 @@
     );
   }
 
-  /** Answers that callers may resume, for other VMs to read. */
+  /** Generations that clients may resume. Other VMs read them through this VM. */
   get store(): GenerationStore {
     return this.#store;
   }
 
-  /** Requests in progress. */
+  /** Number of requests in progress. */
   get inFlight(): number {
     return this.#inFlight;
   }
@@ -102,7 +102,7 @@
     });
   }
 
-  /** Takes no new connection and waits for requests in flight; false where time ran out. */
+  /** Accepts no new connections and waits for requests in flight. Returns false on a timeout. */
   async drain(timeoutMs: number): Promise<boolean> {
     this.#server.close();
     this.#server.closeIdleConnections();
@@ -122,14 +122,14 @@
     this.#server.closeAllConnections();
   }
 
-  /** Forgets idle accounts. */
+  /** Drops the state of idle client accounts. */
   removeIdleAccounts(): void {
     this.#limits.removeIdleAccounts(this.#host.clock.readMonotonicMs());
   }
 
   async #handleRequest(ctx: Koa.Context): Promise<void> {
     const clientRequestId = ctx.get("x-request-id");
-    // A stream is found again by its id, so that id is always one of ours.
+    // The id of a resumable stream names the VM that serves it, so this VM generates it.
     const usesClientId = REQUEST_ID.test(clientRequestId) && !isResumable(ctx);
     const requestId = usesClientId
       ? clientRequestId
@@ -157,7 +157,7 @@
     if (retryAfterMs > 0) {
       ctx.set("retry-after", String(Math.ceil(retryAfterMs / 1000)));
     }
-    // What is left of a refused body is not read.
+    // The rest of a rejected body is not read, so the connection can't be reused.
     if (!ctx.req.complete) ctx.set("connection", "close");
     ctx.status = error.status;
     ctx.body = buildErrorBody(error, requestId);
@@ -171,7 +171,10 @@
     }
     const fleet = this.#host.readFleet();
     if (fleet === null) {
-      throw new ServeError("notReady", "no fleet configuration is known yet");
+      throw new ServeError(
+        "notReady",
+        "no fleet configuration has been received yet",
+      );
     }
     const { path } = ctx;
     if (path === "/v1/models") return this.#listModels(ctx, fleet);
@@ -191,7 +194,7 @@
         path: `${service[2] ?? "/"}${ctx.search}`,
       });
     }
-    throw new ServeError("notFound", `there is nothing at ${path}`);
+    throw new ServeError("notFound", `no resource exists at ${path}`);
   }
 
   #listModels(ctx: Koa.Context, fleet: Fleet): void {
@@ -313,7 +316,7 @@
     }
   }
 
-  /** Gives the account's place back where the request may not be handed over. */
+  /** Checks the quarantine. Releases the account's slot if the request may not be sent. */
   #admit(
     ctx: Koa.Context,
     account: Account,
@@ -380,7 +383,7 @@
     const { maxDeadlineMs } = this.#host.limits;
     if (!Number.isInteger(value) || value < 1 || value > maxDeadlineMs) {
       const message =
-        `x-deadline-ms must be a whole number from 1 to ${maxDeadlineMs}`;
+        `x-deadline-ms must be an integer from 1 to ${maxDeadlineMs}`;
       throw new ServeError("badRequest", message);
     }
     return value;
--- a/packages/heatherarch-gateway/gateway_host.ts
+++ b/packages/heatherarch-gateway/gateway_host.ts
@@ -1,5 +1,5 @@
 /**
- * What the gateway needs from the process around it.
+ * Dependencies of the gateway on the process that hosts it.
  *
  * @module
  */
@@ -26,42 +26,42 @@
 /** Limits of requests, from the process settings. */
 export type RequestLimits = ProcessSettings["requests"];
 
-/** Targets as this VM sees them now. */
+/** Access to the targets as this VM currently knows them. */
 export interface TargetProvider {
-  /** Targets of a service that may get new work. */
+  /** Returns the targets of a service that may receive new work. */
   listCandidates(service: string): Candidate[];
   findTarget(id: string): Target | undefined;
   getEngine(target: Target): EnginePort;
   getService(target: Target): ServicePort;
-  /** A try on the target failed: others are preferred for a short time. */
+  /** Records a failed attempt. Other targets are preferred for a short time. */
   recordFailure(id: string): void;
   recordSuccess(id: string): void;
 }
 
-/** Answer of a finished call, as it is kept for repeats. */
+/** Response of a finished call, stored to be replayed to repeated calls with the same key. */
 export interface StoredResponse {
   readonly status: number;
   readonly headers: Readonly<Record<string, string>>;
-  /** Base64; absent where the answer was too large to keep. */
+  /** Body in Base64; absent if it was too large to store. */
   readonly body?: string;
 }
 
-/** A claim on an idempotency key that this process may use. */
+/** A claim on an idempotency key that was granted to this process. */
 export interface HeldClaim {
-  /** Whether the permission still holds. To be asked in the turn that writes the call. */
+  /** Whether the permission is still valid. Must be checked in the turn that writes the call. */
   isValid(): boolean;
-  /** Records the answer. Returns at once; the record is retried in the background. */
-  conclude(answer: StoredResponse): void;
+  /** Records the response. Returns at once; the append is retried in the background. */
+  conclude(response: StoredResponse): void;
   /**
-   * Asks again for the permission of a claim that lapsed unused, under the same claim id.
-   * To be called only where the call was certainly not handed over.
+   * Renews the permission of a claim that expired unused, under the same claim id. May be called
+   * only if the call was certainly not sent.
    */
   renew(): Promise<ClaimResult>;
-  /** Gives the key back: the call was certainly not handed over. */
+  /** Releases the key. May be called only if the call was certainly not sent. */
   release(): void;
 }
 
-/** Verdict on a claim. */
+/** Result of a claim. */
 export type ClaimResult =
   | { readonly kind: "granted"; readonly claim: HeldClaim }
   | { readonly kind: "answered"; readonly answer: StoredResponse }
@@ -74,7 +74,7 @@
   ): Promise<ClaimResult>;
 }
 
-/** Part of a stream that another VM serves. */
+/** Part of a resumable stream, as read on this VM or sent by another one. */
 export interface StreamSlice {
   readonly texts: readonly string[];
   readonly state: "running" | "ended" | "failed" | "unknown";
@@ -82,12 +82,12 @@
   readonly model: string;
 }
 
-/** How a request ended, for metrics. */
+/** Result of a request, for metrics. */
 export interface RequestResult {
   readonly service: string;
   readonly profile: string;
   readonly outcome: "ok" | ErrorKind;
-  /** The answer was whole and within its deadline. */
+  /** Whether the response was complete within its deadline. */
   readonly isWithinDeadline: boolean;
   readonly durationMs: number;
   readonly firstTokenMs?: number;
@@ -95,15 +95,15 @@
   readonly outputTokens?: number;
 }
 
-/** Told of what happens to requests. */
+/** Receives events of requests, for metrics. */
 export interface GatewayEvents {
-  recordResult(end: RequestResult): void;
+  recordResult(result: RequestResult): void;
   recordRetry(reason: string): void;
   recordContinuation(reason: string): void;
   recordHedge(): void;
 }
 
-/** The process around the gateway. */
+/** The process that hosts the gateway. */
 export interface GatewayHost {
   readonly vmId: string;
   readonly clock: Clock;
@@ -118,12 +118,12 @@
   readonly claims: ClaimClient;
   readonly requestWatch: RequestWatch;
   readonly events: GatewayEvents;
-  /** Why no new request is taken; undefined where all is well. */
+  /** Returns the error for new requests, or undefined if they are accepted. */
   readRefusal(): ServeError | undefined;
   readFleet(): Fleet | null;
   findProfile(name: string): Profile | undefined;
   getRouter(kind: RoutingKind): Router;
-  /** VMs that callers' requests are spread over. */
+  /** Returns the number of VMs over which clients' requests are distributed. */
   countVms(): number;
   /** Reads a stream that another VM serves. */
   readRemoteStream(
--- a/packages/heatherarch-gateway/generation.ts
+++ b/packages/heatherarch-gateway/generation.ts
@@ -1,6 +1,7 @@
 /**
- * The life of one generation: legs on one or several engines that together make one whole
- * answer. A leg that fails is continued elsewhere from the tokens already delivered.
+ * Handles one generation. Each call to an engine is a leg. One or several legs, on one or several
+ * engines, together produce one complete response. When a leg fails, another leg continues from the
+ * tokens already delivered.
  *
  * @module
  */
@@ -32,7 +33,7 @@
 import type { GatewayHost } from "./gateway_host.ts";
 import type { Usage } from "./openai_format.ts";
 
-/** Guards of a generation; the proofs switch them off one at a time. */
+/** Safety rules of a generation. The proofs disable them one at a time. */
 export const GENERATION_GUARDS = [
   "ignoreAbandonedLeg",
   "missingTokens",
@@ -40,7 +41,7 @@
 /** Name of a guard. */
 export type GenerationGuard = typeof GENERATION_GUARDS[number];
 
-/** Receives the answer. Exactly one of `onEnd` and `onError` is called last. */
+/** Receives the response. Exactly one of `onEnd` and `onError` is called last. */
 export interface GenerationSink {
   onTokens(texts: readonly string[]): void;
   onEnd(reason: string, usage: Usage): void;
@@ -57,13 +58,14 @@
   readonly promptTokens: number;
   readonly maxTokens: number;
   readonly profile: Profile;
-  /** Monotonic time by which the answer must be whole. */
+  /** Monotonic time by which the response must be complete. */
   readonly deadlineAtMs: number;
   readonly sink: GenerationSink;
   readonly admitted: AdmittedRequest;
   readonly disabledGuards?: ReadonlySet<GenerationGuard>;
 }
 
+/** One call to an engine, as part of a generation. */
 interface Leg {
   readonly target: string;
   readonly call: EngineCall;
@@ -71,20 +73,22 @@
   readonly startedAtMs: number;
   readonly predictedFirstTokenMs: number;
   readonly role: Candidate["role"];
-  /** The leg only prefills; another engine generates. */
+  /** Whether the leg only prefills the prompt, and another engine decodes. */
   readonly isPrefillOnly: boolean;
   attempt: EngineAttempt | undefined;
+  /** Number of tokens received. */
   received: number;
+  /** Monotonic time of the latest tokens. */
   lastAtMs: number;
   resumed: boolean;
 }
 
-/** Engine priorities of the profiles' classes. */
+/** Engine priorities of the profiles' priority classes. */
 const PRIORITY_NUMBERS = { lookup: 0, interactive: 1, batch: 2 } as const;
-/** Wait before the next look for a target where a half-delivered answer has none. */
+/** Delay before the search for a target is repeated when a partly delivered response has none. */
 const NO_TARGET_RETRY_DELAY_MS = 100;
 
-/** One generation. */
+/** Runs one generation. */
 export class Generation {
   readonly #options: GenerationOptions;
   readonly #host: GatewayHost;
@@ -118,21 +122,21 @@
     return this.#delivered;
   }
 
-  /** Time from the start to the first token, milliseconds; undefined before it. */
+  /** Time from the start to the first token in milliseconds; undefined before the first token. */
   get firstTokenMs(): number | undefined {
     return this.#firstTokenAtMs === undefined
       ? undefined
       : this.#firstTokenAtMs - this.#startedAtMs;
   }
 
-  /** Mean gap between tokens, milliseconds; undefined for fewer than two. */
+  /** Mean gap between tokens in milliseconds; undefined for fewer than two tokens. */
   get meanGapMs(): number | undefined {
     const gaps = this.#delivered.length - 1;
     if (this.#firstTokenAtMs === undefined || gaps < 1) return undefined;
     return (this.#lastTokenAtMs - this.#firstTokenAtMs) / gaps;
   }
 
-  /** Plans and starts the first leg, or says why the request is refused. */
+  /** Plans and starts the first leg, or returns the error if the request is rejected. */
   start(): Result<void, ServeError> {
     const planned = this.#planFirstLeg();
     if (!planned.ok) return Err(planned.val as ServeError);
@@ -142,7 +146,7 @@
     return Ok(undefined);
   }
 
-  /** The caller is gone: stops all work. */
+  /** Stops all work after the client has disconnected. */
   cancel(): void {
     this.#close();
   }
@@ -154,7 +158,9 @@
         this.#host.targets.listCandidates(this.#options.service).length > 0;
       return hasTargets
         ? Err(
-          new ServeError("overloaded", "every target is full", { run: "no" }),
+          new ServeError("overloaded", "every target is at capacity", {
+            run: "no",
+          }),
         )
         : Err(
           new ServeError("noTarget", "no target is in service", { run: "no" }),
@@ -201,7 +207,7 @@
     }
     this.#startLeg(plan.primary, {
       firstTokenMs: plan.firstTokenMs,
-      handsOver: decode !== undefined,
+      isPrefillOnly: decode !== undefined,
     });
   }
 
@@ -209,7 +215,7 @@
     candidate: Candidate,
     options: {
       firstTokenMs: number;
-      handsOver: boolean;
+      isPrefillOnly: boolean;
       kvImport?: KvHandle;
     },
   ): void {
@@ -217,16 +223,16 @@
     if (target === undefined) return this.#retry("refused", candidate.id);
     const nowMs = this.#host.clock.readMonotonicMs();
     const { promptTokens, maxTokens, model, prompt, profile } = this.#options;
-    const { handsOver, kvImport } = options;
+    const { isPrefillOnly, kvImport } = options;
     const call: EngineCall = {
       tryId: createId("try"),
       model,
       prompt: this.#delivered.length === 0
         ? prompt
         : prompt + this.#delivered.join(""),
-      maxTokens: handsOver ? 1 : maxTokens - this.#delivered.length,
+      maxTokens: isPrefillOnly ? 1 : maxTokens - this.#delivered.length,
       priority: PRIORITY_NUMBERS[profile.priority],
-      kvExport: handsOver,
+      kvExport: isPrefillOnly,
       ...(kvImport === undefined ? {} : { kvImport }),
     };
     const prefillTokens = kvImport === undefined
@@ -239,7 +245,7 @@
       startedAtMs: nowMs,
       predictedFirstTokenMs: options.firstTokenMs,
       role: candidate.role,
-      isPrefillOnly: handsOver,
+      isPrefillOnly,
       attempt: undefined,
       received: 0,
       lastAtMs: 0,
@@ -249,7 +255,7 @@
     this.#tries++;
     leg.attempt = this.#host.targets.getEngine(target).generate(call, {
       onTokens: (texts) => this.#handleTokens(leg, texts),
-      onEnd: (end) => this.#handleEnd(leg, end),
+      onEnd: (result) => this.#handleEnd(leg, result),
       onFailure: (failure) => this.#handleFailure(leg, failure),
     });
   }
@@ -288,39 +294,39 @@
     );
   }
 
-  #handleEnd(leg: Leg, end: EngineResult): void {
+  #handleEnd(leg: Leg, result: EngineResult): void {
     if (this.#isAbandoned(leg)) return;
     const nowMs = this.#host.clock.readMonotonicMs();
     this.#closeLeg(leg, nowMs);
     this.#host.targets.recordSuccess(leg.target);
-    this.#recordUsage(end);
+    this.#recordUsage(result);
     const remainingTokens = this.#options.maxTokens - this.#delivered.length;
     if (
       leg.isPrefillOnly && leg.received === 1 && remainingTokens > 0 &&
-      end.reason !== "stop"
+      result.reason !== "stop"
     ) {
-      return this.#startDecodeLeg(leg, end);
+      return this.#startDecodeLeg(leg, result);
     }
-    const isTruncated = end.reason === "length" && remainingTokens > 0;
+    const isTruncated = result.reason === "length" && remainingTokens > 0;
     if (isTruncated && !this.#disabledGuards.has("missingTokens")) {
       return this.#retry("broken", leg.target);
     }
     this.#finish(remainingTokens === 0 ? "length" : "stop");
   }
 
-  #recordUsage(end: EngineResult): void {
+  #recordUsage(result: EngineResult): void {
     if (this.#promptTokens === 0) {
-      this.#promptTokens = end.promptTokens;
-      this.#cachedTokens = end.cachedTokens;
+      this.#promptTokens = result.promptTokens;
+      this.#cachedTokens = result.cachedTokens;
       const router = this.#host.getRouter(this.#options.profile.routing);
-      if (router instanceof AdaptiveRouter && end.promptTokens > 0) {
-        router.observeCacheHit(end.cachedTokens / end.promptTokens);
+      if (router instanceof AdaptiveRouter && result.promptTokens > 0) {
+        router.observeCacheHit(result.cachedTokens / result.promptTokens);
       }
     }
   }
 
-  /** The prompt is prefilled: the planned decoder takes the KV cache over. */
-  #startDecodeLeg(leg: Leg, end: EngineResult): void {
+  /** Starts the decode leg after the prefill. The planned engine fetches the KV cache. */
+  #startDecodeLeg(leg: Leg, result: EngineResult): void {
     const planned = this.#plannedDecode;
     this.#plannedDecode = undefined;
     const nowMs = this.#host.clock.readMonotonicMs();
@@ -335,17 +341,17 @@
     }
     this.#startLeg(decodeTarget, {
       firstTokenMs: 0,
-      handsOver: false,
-      ...(end.kvHandle === undefined
+      isPrefillOnly: false,
+      ...(result.kvHandle === undefined
         ? {}
-        : { kvImport: { address: source.address, handle: end.kvHandle } }),
+        : { kvImport: { address: source.address, handle: result.kvHandle } }),
     });
   }
 
   #handleFailure(leg: Leg, failure: EngineFailure): void {
     if (this.#isAbandoned(leg)) return;
     if (leg.attempt === undefined) {
-      // The adapter failed before it returned: handle it in a turn of its own.
+      // The adapter reported the failure before `generate` returned, so it is handled later.
       setImmediate(() => this.#handleFailure(leg, failure));
       return;
     }
@@ -357,13 +363,16 @@
     ) return;
     this.#closeLeg(leg, nowMs);
     if (failure !== "kvGone") this.#host.targets.recordFailure(leg.target);
-    // Only the engine's own end is missing.
+    // All tokens are delivered, and only the engine's end marker is missing.
     if (this.#delivered.length === this.#options.maxTokens) {
       return this.#finish("length");
     }
     if (failure === "invalid") {
       return this.#fail(
-        new ServeError("targetFailed", "the engine refused the request"),
+        new ServeError(
+          "targetFailed",
+          "the engine rejected the request as invalid",
+        ),
       );
     }
     this.#retry(failure, failure === "kvGone" ? "" : leg.target);
@@ -372,10 +381,10 @@
   #recordLoss({ target: id, attempt }: Leg): void {
     const target = this.#host.targets.findTarget(id);
     if (target === undefined || attempt?.isSent !== true) return;
-    this.#options.admitted.recordLoss(target, "the answer broke off");
+    this.#options.admitted.recordLoss(target, "the response was interrupted");
   }
 
-  /** Asks the same engine for the rest of its answer, once a leg. */
+  /** Requests the rest of the response from the same engine, at most once per leg. */
   #tryResume(leg: Leg): boolean {
     const target = this.#host.targets.findTarget(leg.target);
     if (leg.resumed || leg.received === 0 || target === undefined) return false;
@@ -385,7 +394,7 @@
     this.#host.events.recordContinuation("resume");
     leg.attempt = engine.resume(leg.call, leg.received, {
       onTokens: (texts) => this.#handleTokens(leg, texts),
-      onEnd: (end) => this.#handleEnd(leg, end),
+      onEnd: (result) => this.#handleEnd(leg, result),
       onFailure: (failure) => {
         this.#handleFailure(leg, failure === "invalid" ? "broken" : failure);
       },
@@ -393,7 +402,7 @@
     return true;
   }
 
-  /** Goes on elsewhere, within the number of tries, the retry budget and the deadline. */
+  /** Continues on another target, within the maximum of attempts, retry budget and deadline. */
   #retry(reason: EngineFailure, target: string): void {
     if (target !== "") this.#failedTargets.add(target);
     const empty = this.#delivered.length === 0;
@@ -419,13 +428,13 @@
   #giveUp(reason: EngineFailure): void {
     if (this.#delivered.length > 0) {
       const message =
-        `the answer broke off after ${this.#delivered.length} tokens (${reason})`;
+        `the response was interrupted after ${this.#delivered.length} tokens (${reason})`;
       return this.#fail(new ServeError("answerIncomplete", message));
     }
     const run = this.#hasSentRequest ? "unknown" : "no";
     if (reason === "refused" || reason === "notSent") {
       return this.#fail(
-        new ServeError("noTarget", "no target took the request", { run }),
+        new ServeError("noTarget", "no target accepted the request", { run }),
       );
     }
     this.#fail(
--- a/packages/heatherarch-gateway/generation_response.ts
+++ b/packages/heatherarch-gateway/generation_response.ts
@@ -1,5 +1,5 @@
 /**
- * Writes a generation to a caller: streamed or whole, fresh or resumed.
+ * Writes the response of a generation: streamed or in one piece, new or resumed.
  *
  * @module
  */
@@ -30,25 +30,25 @@
   readonly promptTokens: number;
   readonly maxTokens: number;
   readonly deadlineAtMs: number;
-  /** The answer goes on without its caller, who may come back for the rest. */
+  /** Whether the generation continues after its client disconnects, and can be resumed. */
   readonly resumable: boolean;
   readonly admitted: AdmittedRequest;
-  /** Gives the account's place back. */
+  /** Releases the slot of the client account. */
   readonly release: () => void;
 }
 
-/** A caller that reads too slowly is cut off at this many unsent bytes. */
+/** The connection of a client that reads too slowly is closed at this many unsent bytes. */
 const MAX_UNSENT_BYTES = 8 * 1024 * 1024;
 const RESUME_WAIT_MS = 1000;
 
-/** Where the tokens of an answer go. */
+/** Writes one response. */
 interface ResponseWriter {
   writeTokens(texts: readonly string[]): void;
   writeEnd(reason: string, usage: Usage): void;
   writeError(error: ServeError): void;
 }
 
-/** Runs a generation and writes its answer. Throws {@linkcode ServeError} before any byte. */
+/** Runs a generation and writes its response. Rejects only if no byte has been written. */
 export function handleGeneration(
   ctx: Koa.Context,
   options: GenerationResponseOptions,
@@ -125,7 +125,7 @@
   });
 }
 
-/** Writes server-sent events as tokens come. */
+/** Writes tokens as server-sent events when they arrive. */
 class StreamResponseWriter implements ResponseWriter {
   readonly #ctx: Koa.Context;
   readonly #chunks: ChunkBuilder;
@@ -172,7 +172,7 @@
   }
 }
 
-/** Gathers the tokens and writes one JSON answer. */
+/** Buffers the tokens and writes one JSON response. */
 class BufferedResponseWriter implements ResponseWriter {
   readonly #ctx: Koa.Context;
   readonly #options: GenerationResponseOptions;
@@ -209,7 +209,7 @@
   }
 }
 
-/** Answers `GET /v1/streams/ID?from=N`, also for a stream that another VM serves. */
+/** Handles `GET /v1/streams/ID?from=N`, also for a stream that another VM serves. */
 export async function handleResume(
   ctx: Koa.Context,
   host: GatewayHost,
@@ -218,16 +218,19 @@
 ): Promise<void> {
   let from = Number(ctx.query.from ?? ctx.get("last-event-id") ?? 0);
   if (!Number.isInteger(from) || from < 0) {
-    throw new ServeError("badRequest", "from must be a whole number of tokens");
+    throw new ServeError("badRequest", "from must be a non-negative integer");
   }
   const owningVmId = ctx.get("x-heatherarch-vm") || parseOwner(requestId);
-  const read = (at: number): Promise<StreamSlice> =>
+  const read = (index: number): Promise<StreamSlice> =>
     owningVmId === host.vmId || owningVmId === undefined
-      ? store.readNext(requestId, at, RESUME_WAIT_MS)
-      : host.readRemoteStream(owningVmId, requestId, at);
+      ? store.readNext(requestId, index, RESUME_WAIT_MS)
+      : host.readRemoteStream(owningVmId, requestId, index);
   let slice = await read(from);
   if (slice.state === "unknown") {
-    throw new ServeError("streamGone", `no stream is kept under ${requestId}`);
+    throw new ServeError(
+      "streamGone",
+      `no stream is stored under ${requestId}`,
+    );
   }
   startEventStream(ctx);
   const request: GenerationRequest = {
@@ -258,11 +261,11 @@
   const kind = slice.state === "failed"
     ? slice.kind ?? "answerIncomplete"
     : "streamGone";
-  const error = new ServeError(kind, "the stream can't be read to its end");
+  const error = new ServeError(kind, "the stream could not be read to its end");
   ctx.res.end(buildSseEvent(buildErrorBody(error, requestId)));
 }
 
-/** The VM that issued a request id of ours. */
+/** Returns the VM that created a request id, or undefined if the id does not name a VM. */
 function parseOwner(requestId: string): string | undefined {
   const match = /^(.+)-[A-Za-z0-9_-]{12}$/.exec(requestId);
   return match?.[1];
--- a/packages/heatherarch-gateway/generation_store.ts
+++ b/packages/heatherarch-gateway/generation_store.ts
@@ -1,26 +1,26 @@
 /**
- * Generations that callers may resume, on the VM that serves them.
+ * Stores resumable generations on the VM that serves them.
  *
  * @module
  */
 import type { ServeError } from "heatherarch-core";
 import type { StreamSlice } from "./gateway_host.ts";
 
-/** One resumable answer. */
+/** One resumable generation. */
 export interface StoredGeneration {
   readonly model: string;
   readonly texts: string[];
   state: "running" | "ended" | "failed";
   error: ServeError | undefined;
-  /** Called whenever there is more to read. */
+  /** Called when tokens were added or the generation ended. */
   readonly listeners: Set<() => void>;
 }
 
-/** Keeps answers until some time after their end. */
+/** Stores generations, and drops each some time after its end. */
 export class GenerationStore {
   readonly #entries = new Map<string, StoredGeneration>();
 
-  /** Starts to keep an answer. */
+  /** Adds a generation. */
   open(requestId: string, model: string): StoredGeneration {
     const entry: StoredGeneration = {
       model,
@@ -33,7 +33,7 @@
     return entry;
   }
 
-  /** Marks an answer as over, and forgets it after `keepMs`. */
+  /** Marks a generation as ended or failed, and drops it after `retentionMs`. */
   complete(
     requestId: string,
     error: ServeError | undefined,
@@ -47,7 +47,7 @@
     setTimeout(() => this.#entries.delete(requestId), retentionMs).unref();
   }
 
-  /** Tokens of an answer from index `from` on. */
+  /** Returns the tokens of a generation from index `from` on. */
   read(requestId: string, from: number): StreamSlice {
     const entry = this.#entries.get(requestId);
     if (entry === undefined) return { texts: [], state: "unknown", model: "" };
@@ -59,7 +59,7 @@
     };
   }
 
-  /** Waits until there is something after `from`, or `waitMs` have passed. */
+  /** Reads tokens from index `from` on. If there are none yet, waits at most `timeoutMs`. */
   async readNext(
     requestId: string,
     from: number,
--- a/packages/heatherarch-gateway/mod.ts
+++ b/packages/heatherarch-gateway/mod.ts
@@ -1,5 +1,5 @@
 /**
- * The callers' HTTP interface and the life of a request.
+ * HTTP server for clients, and the handling of their requests.
  *
  * @module
  */
--- a/packages/heatherarch-gateway/openai_format.ts
+++ b/packages/heatherarch-gateway/openai_format.ts
@@ -1,5 +1,5 @@
 /**
- * The OpenAI-compatible request and answer formats.
+ * OpenAI-compatible formats of requests and responses.
  *
  * @module
  */
@@ -14,7 +14,7 @@
   stream: z.boolean().nullish(),
   max_tokens: MAX_TOKENS.nullish(),
   stream_options: z.object({ include_usage: z.boolean().nullish() }).nullish(),
-  /** Name of the profile; the `x-heatherarch-profile` header goes first. */
+  /** Name of the profile. The `x-heatherarch-profile` header overrides it. */
   profile: z.string().max(63).nullish(),
 };
 
@@ -37,10 +37,10 @@
   prompt: z.union([z.string().min(1), z.array(z.string().min(1)).length(1)]),
 });
 
-/** Which of the two generating endpoints was called. */
+/** Endpoint that was called: chat completions or text completions. */
 export type GenerationKind = "chat" | "text";
 
-/** A request to generate, whichever endpoint it came by. */
+/** A generation request from either endpoint. */
 export interface GenerationRequest {
   readonly kind: GenerationKind;
   readonly model: string;
@@ -51,14 +51,14 @@
   readonly profile: string | undefined;
 }
 
-/** Token counts of an answer. */
+/** Token counts of a response. */
 export interface Usage {
   readonly promptTokens: number;
   readonly outputTokens: number;
   readonly cachedTokens: number;
 }
 
-/** Reads the JSON body of `POST /v1/chat/completions`. */
+/** Parses the JSON body of `POST /v1/chat/completions`. */
 export function parseChatRequest(
   body: unknown,
 ): Result<GenerationRequest, ServeError> {
@@ -76,7 +76,7 @@
   });
 }
 
-/** Reads the JSON body of `POST /v1/completions`. */
+/** Parses the JSON body of `POST /v1/completions`. */
 export function parseTextRequest(
   body: unknown,
 ): Result<GenerationRequest, ServeError> {
@@ -110,7 +110,7 @@
   return `${lines.join("")}<|assistant|>\n`;
 }
 
-/** Builds the text of streamed chunks for one answer. */
+/** Builds the streamed chunks of one response. */
 export class ChunkBuilder {
   readonly #chunkPrefix: string;
   readonly #chunkSuffix: string;
@@ -141,7 +141,7 @@
     this.#chunkSuffix = `${isChat ? "}" : ""},"finish_reason":null}]}\n\n`;
   }
 
-  /** The first chunk of a chat answer; empty for text. */
+  /** Builds the first chunk of a chat response. Returns an empty string for text completions. */
   buildFirstChunk(): string {
     if (this.#request.kind !== "chat") return "";
     const choice = {
@@ -152,7 +152,7 @@
     return buildSseEvent({ ...this.#commonFields, choices: [choice] });
   }
 
-  /** Chunks for tokens that arrived together, one a token. */
+  /** Builds one chunk for each of the tokens that arrived together. */
   buildTokenChunks(texts: readonly string[]): string {
     let output = "";
     for (const text of texts) {
@@ -161,7 +161,7 @@
     return output;
   }
 
-  /** The last chunks of a whole answer. */
+  /** Builds the last chunks of a complete response. */
   buildFinalChunks(reason: string, usage: Usage): string {
     const choice = this.#request.kind === "chat"
       ? { index: 0, delta: {}, finish_reason: reason }
@@ -178,15 +178,15 @@
   }
 }
 
-/** One server-sent event. */
+/** Builds one server-sent event. */
 export function buildSseEvent(value: unknown): string {
   return `data: ${JSON.stringify(value)}\n\n`;
 }
 
-/** Builds a whole answer. */
+/** Builds a response that is not streamed. */
 export function buildCompletion(
   request: GenerationRequest,
-  answer: {
+  completion: {
     requestId: string;
     createdMs: number;
     text: string;
@@ -198,22 +198,22 @@
   const choice = chat
     ? {
       index: 0,
-      message: { role: "assistant", content: answer.text },
-      finish_reason: answer.reason,
+      message: { role: "assistant", content: completion.text },
+      finish_reason: completion.reason,
     }
     : {
       index: 0,
-      text: answer.text,
+      text: completion.text,
       logprobs: null,
-      finish_reason: answer.reason,
+      finish_reason: completion.reason,
     };
   return {
-    id: answer.requestId,
+    id: completion.requestId,
     object: chat ? "chat.completion" : "text_completion",
-    created: Math.floor(answer.createdMs / 1000),
+    created: Math.floor(completion.createdMs / 1000),
     model: request.model,
     choices: [choice],
-    usage: buildUsage(answer.usage),
+    usage: buildUsage(completion.usage),
   };
 }
 
--- a/packages/heatherarch-gateway/plain_call.ts
+++ b/packages/heatherarch-gateway/plain_call.ts
@@ -1,6 +1,7 @@
 /**
- * The life of a call on a plain service: retried where it is idempotent or proven not run,
- * claimed where it carries an idempotency key, handed over once otherwise.
+ * Handles a call to a plain service. The call is retried if its method is idempotent or if it
+ * provably did not run. A call with an idempotency key claims the key first. Any other call is sent
+ * to a target at most once.
  *
  * @module
  */
@@ -16,37 +17,37 @@
 } from "./gateway_host.ts";
 import type { AdmittedRequest } from "./request_watch.ts";
 
-/** A call as the caller made it. */
+/** A call as the client made it. */
 export interface PlainRequest {
   readonly service: PlainService;
   readonly profile: Profile;
   readonly method: string;
   /** Path and query on the target. */
   readonly path: string;
-  /** Headers to pass on. */
+  /** Headers that are forwarded to the target. */
   readonly headers: Record<string, string>;
   readonly body: Buffer | undefined;
-  /** Monotonic time by which the answer must be there. */
+  /** Monotonic time by which the response must have arrived. */
   readonly deadlineAtMs: number;
   readonly admitted: AdmittedRequest;
-  /** Idempotency key with its account and service, where the caller sent one. */
+  /** Idempotency key, scoped to client account and service, if the client sent one. */
   readonly key:
     | { text: string; madeAtMs: number; fingerprint: string }
     | undefined;
 }
 
-/** An answer to pass to the caller. */
+/** A response to the client. */
 export interface PlainResponse {
   readonly status: number;
   readonly headers: Record<string, string>;
   readonly body: Buffer;
-  /** The answer was given before, to the first call with the key. */
+  /** Whether the response is that of an earlier call with the same key. */
   readonly replayed: boolean;
 }
 
 /**
- * Pauses between claims of a key whose first call is in progress, milliseconds: a booking takes
- * some 60 ms, and each claim is an entry in the log.
+ * First and longest delay between claims of a key whose first call is still in progress. A booking
+ * takes about 60 ms, and each claim adds an entry to the log.
  */
 const INITIAL_CLAIM_DELAY_MS = 100;
 const MAX_CLAIM_DELAY_MS = 800;
@@ -60,14 +61,14 @@
   "x-try-id",
 ]);
 
-/** One answer of one target, judged. */
+/** Classified result of one attempt at one target. */
 type AttemptResult =
-  | { readonly kind: "answer"; readonly answer: PlainResponse }
-  /** No byte that could start the work was handed over. */
+  | { readonly kind: "answer"; readonly response: PlainResponse }
+  /** No byte that could start the work was sent. */
   | { readonly kind: "notRun"; readonly withheld: boolean }
   | { readonly kind: "unknown"; readonly error: ServeError };
 
-/** Makes the call. Throws {@linkcode ServeError}. */
+/** Makes the call. Throws {@linkcode ServeError} if it fails. */
 export async function callPlainService(
   host: GatewayHost,
   request: PlainRequest,
@@ -79,7 +80,7 @@
   if (key === undefined) {
     if (service.keyRequired) {
       const message =
-        `${method} on ${service.name} needs an Idempotency-Key header`;
+        `${method} on ${service.name} requires an Idempotency-Key header`;
       throw new ServeError("keyRequired", message);
     }
     return await callOnce(host, request, undefined);
@@ -88,7 +89,7 @@
   return await callWithClaimResult(host, request, claimResult);
 }
 
-/** Claims the key; while another call with it is in progress, waits for that one's answer. */
+/** Claims the key. If another call with the key is in progress, waits for that call's response. */
 async function claimBeforeDeadline(
   host: GatewayHost,
   request: PlainRequest,
@@ -129,7 +130,7 @@
   }
 }
 
-/** Hands the call over at most once; tries further targets only where nothing was sent. */
+/** Sends the call at most once. Tries another target only if nothing was sent. */
 async function callOnce(
   host: GatewayHost,
   request: PlainRequest,
@@ -142,7 +143,7 @@
     const candidate = pickTarget(host, request, failedTargets);
     if (candidate === undefined) {
       claim?.release();
-      throw new ServeError("noTarget", "no target took the call", {
+      throw new ServeError("noTarget", "no target accepted the call", {
         run: "no",
       });
     }
@@ -150,12 +151,12 @@
     const guard = currentClaim && (() => currentClaim.isValid());
     const attempt = await sendAttempt(host, request, candidate, guard);
     if (attempt.kind === "answer") {
-      claim?.conclude(buildStoredResponse(attempt.answer));
-      return attempt.answer;
+      claim?.conclude(buildStoredResponse(attempt.response));
+      return attempt.response;
     }
     if (attempt.kind === "unknown") throw attempt.error;
     if (attempt.withheld && claim !== undefined && !hasRenewed) {
-      // The shard has a new owner, or the permission was too old; nothing was sent.
+      // The shard has a new owner or the permission expired, and nothing was sent.
       hasRenewed = true;
       const renewal = await claim.renew();
       if (renewal.kind === "refused") throw renewal.error;
@@ -166,7 +167,7 @@
     if (attempt.withheld) {
       claim?.release();
       const message =
-        "the permission to run the call lapsed before it was handed over";
+        "the permission to run the call expired before the call was sent";
       throw new ServeError("platformUnavailable", message, { run: "no" });
     }
     failedTargets.add(candidate.id);
@@ -174,7 +175,7 @@
   }
 }
 
-/** Retries within the budget, and sends a second try early where the profile says so. */
+/** Retries within the retry budget, and hedges if the profile sets a hedge delay. */
 async function callIdempotent(
   host: GatewayHost,
   request: PlainRequest,
@@ -190,14 +191,14 @@
       host.events.recordRetry(lastError?.kind ?? "notSent");
     }
     const attempt = await sendHedged(host, request, candidate, failedTargets);
-    if (attempt.kind === "answer") return attempt.answer;
+    if (attempt.kind === "answer") return attempt.response;
     failedTargets.add(candidate.id);
     if (attempt.kind === "unknown") lastError = attempt.error;
     if (!request.admitted.mayRetry()) break;
     if (host.clock.readMonotonicMs() >= request.deadlineAtMs) break;
   }
   throw lastError ??
-    new ServeError("noTarget", "no target took the call", { run: "no" });
+    new ServeError("noTarget", "no target accepted the call", { run: "no" });
 }
 
 async function sendHedged(
@@ -302,7 +303,7 @@
     ? service.echoesTryId
     : echoedTryId !== tryId;
   if (isMismatched) {
-    const message = "the answer belongs to another call";
+    const message = "the response belongs to another call";
     return {
       kind: "unknown",
       error: new ServeError("answerIncomplete", message),
@@ -310,7 +311,10 @@
   }
   const headers = copyHeaders(response.headers);
   const { status, body } = response;
-  return { kind: "answer", answer: { status, headers, body, replayed: false } };
+  return {
+    kind: "answer",
+    response: { status, headers, body, replayed: false },
+  };
 }
 
 function copyHeaders(
@@ -332,8 +336,7 @@
 
 function restoreResponse(stored: StoredResponse): PlainResponse {
   if (stored.body === undefined) {
-    const message =
-      "the call ran and was answered; its answer was too large to keep";
+    const message = "the call ran, but its response was too large to store";
     throw new ServeError("outcomeUnknown", message);
   }
   const body = Buffer.from(stored.body, "base64");
--- a/packages/heatherarch-gateway/request_body.ts
+++ b/packages/heatherarch-gateway/request_body.ts
@@ -1,18 +1,18 @@
 /**
- * Reading of request bodies within limits of size and time.
+ * Reads request bodies within limits of size and time.
  *
  * @module
  */
 import type { IncomingMessage } from "node:http";
 import { Err, Ok, type Result, ServeError } from "heatherarch-core";
 
-/** Limits of a body. */
+/** Limits of a request body. */
 export interface BodyLimits {
   readonly maxBodyBytes: number;
   readonly bodyTimeoutMs: number;
 }
 
-/** Reads a whole body. Throws {@linkcode ServeError}. */
+/** Reads a complete body. Rejects with {@linkcode ServeError} if it is too large, too slow or incomplete. */
 export function readRequestBody(
   req: IncomingMessage,
   limits: BodyLimits,
@@ -46,11 +46,11 @@
     req.on("end", () => finish());
     req.on(
       "error",
-      () => finish(new ServeError("badRequest", "the body broke off")),
+      () => finish(new ServeError("badRequest", "the body ended prematurely")),
     );
     req.on(
       "aborted",
-      () => finish(new ServeError("badRequest", "the body broke off")),
+      () => finish(new ServeError("badRequest", "the body ended prematurely")),
     );
   });
 }
--- a/packages/heatherarch-gateway/request_params.ts
+++ b/packages/heatherarch-gateway/request_params.ts
@@ -1,5 +1,5 @@
 /**
- * What the gateway reads from a caller's request: who asks, what for, and within which bounds.
+ * Reads the parameters of a client's request: credentials, model, token limits and headers.
  *
  * @module
  */
@@ -10,7 +10,7 @@
 import type { Credentials } from "./account_directory.ts";
 import type { GenerationRequest } from "./openai_format.ts";
 
-/** Headers that end at this hop. */
+/** Headers that are not forwarded to a target. */
 const HOP_BY_HOP_HEADERS = new Set([
   "connection",
   "keep-alive",
@@ -25,7 +25,7 @@
   "authorization",
 ]);
 
-/** Who the caller says it is. */
+/** Reads the credentials of a request. */
 export function readCredentials(ctx: Koa.Context): Credentials {
   return {
     token: /^Bearer (.+)$/i.exec(ctx.get("authorization"))?.[1],
@@ -33,25 +33,28 @@
   };
 }
 
-/** The value of a success; throws the error of a failure. */
+/** Returns the value of a success. Throws the error of a failure. */
 export function unwrap<T>(result: Result<T, ServeError>): T {
   if (!result.ok) throw result.val as ServeError;
   return result.val as T;
 }
 
-/** Whether the answer is to go on without its caller. */
+/** Whether the generation continues after its client has disconnected. */
 export function isResumable(ctx: Koa.Context): boolean {
   return ctx.get("x-heatherarch-resumable") === "true";
 }
 
-/** Refuses other methods than one. */
+/** Throws {@linkcode ServeError} if the request has another method. */
 export function requireMethod(ctx: Koa.Context, method: string): void {
   if (ctx.method === method) return;
   ctx.set("allow", method);
-  throw new ServeError("methodNotAllowed", `${ctx.path} takes ${method}`);
+  throw new ServeError(
+    "methodNotAllowed",
+    `${ctx.path} only accepts ${method}`,
+  );
 }
 
-/** The service that has a model. */
+/** Finds the service that serves a model. */
 export function findModelService(fleet: Fleet, model: string): ModelService {
   for (const service of fleet.services) {
     if (service.kind === "model" && service.models.includes(model)) {
@@ -61,7 +64,7 @@
   throw new ServeError("unknownModel", `no model is named ${model}`);
 }
 
-/** The most tokens of an answer, within the bounds of the profile. */
+/** Computes the maximum number of output tokens, within the limits of the profile. */
 export function computeMaxTokens(
   request: GenerationRequest,
   promptTokens: number,
@@ -69,19 +72,19 @@
 ): number {
   if (promptTokens > profile.maxPromptTokens) {
     const message =
-      `the prompt has about ${promptTokens} tokens; ${profile.maxPromptTokens} are allowed`;
+      `the prompt has about ${promptTokens} tokens; the maximum is ${profile.maxPromptTokens}`;
     throw new ServeError("badRequest", message);
   }
   const maxTokens = request.maxTokens ?? Math.min(256, profile.maxOutputTokens);
   if (maxTokens > profile.maxOutputTokens) {
     const message =
-      `max_tokens is ${maxTokens}; ${profile.maxOutputTokens} are allowed`;
+      `max_tokens is ${maxTokens}; the maximum is ${profile.maxOutputTokens}`;
     throw new ServeError("badRequest", message);
   }
   return maxTokens;
 }
 
-/** Headers that pass on to a target. */
+/** Copies the headers that are forwarded to a target. */
 export function copyRequestHeaders(
   req: IncomingMessage,
 ): Record<string, string> {
--- a/packages/heatherarch-gateway/request_watch.ts
+++ b/packages/heatherarch-gateway/request_watch.ts
@@ -1,5 +1,5 @@
 /**
- * Keeps quarantined requests from being sent, and reports lost tries.
+ * Blocks quarantined requests, and reports lost attempts to the crash detector.
  *
  * @module
  */
@@ -12,19 +12,19 @@
 } from "heatherarch-quarantine";
 import type { Target } from "heatherarch-settings";
 
-/** A request in progress. */
+/** A request that was admitted. */
 export interface AdmittedRequest {
-  /** A try that was sent got no answer. */
+  /** Records that an attempt was sent and lost its response. */
   recordLoss(target: Target, reason: string): void;
-  /** Whether the system may retry the request. */
+  /** Whether the request may be retried. */
   mayRetry(): boolean;
-  /** The request has ended; `isWhole` after a whole answer. To be called once. */
+  /** Ends the request. `succeeded` is set after a complete response. Must be called once. */
   end(succeeded: boolean): void;
 }
 
-/** Admits requests. */
+/** Admits requests and watches their attempts. */
 export interface RequestWatch {
-  /** Throws a {@linkcode ServeError} if the request may not be sent. */
+  /** Admits a request. Throws {@linkcode ServeError} if it may not be sent. */
   admit(content: RequestContent, requestId: string): AdmittedRequest;
 }
 
@@ -37,7 +37,7 @@
 
 const TRIAL_RETRY_AFTER_MS = 1000;
 
-/** Watches requests by the quarantine. */
+/** Admits requests as the quarantine allows. */
 export class QuarantineWatch implements RequestWatch {
   readonly #options: QuarantineWatchOptions;
   /** Current incarnation of each target, as named by this VM. */
@@ -86,7 +86,7 @@
     };
   }
 
-  /** A target crashed; later losses there belong to its next incarnation. */
+  /** Ends an incarnation after its target crashed. Later losses belong to the next incarnation. */
   endIncarnation(incarnation: string): void {
     this.#incarnations.delete(getTargetId(incarnation));
   }
@@ -104,7 +104,7 @@
 
 const INCARNATION_SEPARATOR = "#";
 
-/** Id of the target of an incarnation. */
+/** Returns the id of the target of an incarnation. */
 export function getTargetId(incarnation: string): string {
   return incarnation.slice(0, incarnation.lastIndexOf(INCARNATION_SEPARATOR));
 }
--- a/packages/heatherarch-gateway/tests/unit/account_directory_test.ts
+++ b/packages/heatherarch-gateway/tests/unit/account_directory_test.ts
@@ -28,7 +28,7 @@
   return error instanceof ServeError && error.kind === "unauthenticated";
 }
 
-test("a token leads to its account, a name only to one without a token", () => {
+test("a token selects its account, and a name only an account without a token", () => {
   const directory = new AccountDirectory();
   const fleet = buildFleet(false);
   assert.equal(directory.find({ token: TOKEN, name: "" }, fleet).name, "desk");
@@ -42,7 +42,7 @@
   );
 });
 
-test("strangers are served only where the fleet says so", () => {
+test("requests without an account are served only if the fleet allows it", () => {
   const directory = new AccountDirectory();
   assert.throws(
     () => directory.find({ token: "x", name: "" }, buildFleet(false)),
--- a/packages/heatherarch-targets/tests/unit/dispatch_test.ts
+++ b/packages/heatherarch-targets/tests/unit/dispatch_test.ts
@@ -25,9 +25,9 @@
   server.close();
 });
 
-function send(path: string, guard?: () => boolean, to = url) {
-  const client = new Client(to, { connect: { timeout: 500 } });
-  const sent = dispatchBuffered(client, {
+function send(path: string, guard?: () => boolean, origin = url) {
+  const client = new Client(origin, { connect: { timeout: 500 } });
+  const response = dispatchBuffered(client, {
     path,
     method: "POST",
     body: "x",
@@ -35,14 +35,14 @@
     gapMs: 1000,
     guard,
   });
-  return sent.finally(() => void client.destroy());
+  return response.finally(() => void client.destroy());
 }
 
 test("a withheld request is not sent to the server", async () => {
-  const before = requests;
+  const requestsBefore = requests;
   assert.equal((await send("/", () => false)).kind, "withheld");
   await new Promise((resolve) => setTimeout(resolve, 50));
-  assert.equal(requests, before);
+  assert.equal(requests, requestsBefore);
 });
 
 test("a refused connection is reported as notSent, a broken response as broken", async () => {
@@ -58,6 +58,6 @@
 });
 
 test("a complete response is buffered", async () => {
-  const answer = await send("/");
-  assert.equal(answer.kind === "answer" && answer.body.toString(), "done");
+  const response = await send("/");
+  assert.equal(response.kind === "answer" && response.body.toString(), "done");
 });
