--- a/packages/heatherarch-daemon/entry_vm.ts
+++ b/packages/heatherarch-daemon/entry_vm.ts
@@ -1,5 +1,5 @@
 /**
- * One entry VM: builds all parts from its settings, starts them, and shuts them down
+ * One entry VM: builds all components from the settings, starts them, and shuts them down
  * gracefully.
  *
  * @module
@@ -59,10 +59,10 @@
 const REPORT_LAG_MS = 300;
 const METRICS_INTERVAL_MS = 1000;
 const FLUSH_TIMEOUT_MS = 5000;
-/** How long a VM waits for a first sight of targets before it calls itself ready. */
+/** A VM reports itself ready without a usable target of each service after this time. */
 const DISCOVERY_GRACE_MS = 5000;
 
-/** The process. */
+/** The process of one entry VM. */
 export class EntryVm {
   readonly #container: AwilixContainer<Components>;
   readonly #timers: NodeJS.Timeout[] = [];
@@ -70,7 +70,7 @@
   #leaving = false;
   #rejectsRequests = false;
   #stopping: Promise<void> | undefined;
-  /** Monotonic time from which there was a configuration to serve by. */
+  /** Monotonic time of the first readiness check with a usable configuration. */
   #servingFromMs: number | undefined;
 
   constructor(options: EntryVmOptions) {
@@ -84,7 +84,7 @@
     return this.#container.cradle;
   }
 
-  /** Starts all parts. */
+  /** Starts all components. */
   async start(): Promise<void> {
     const {
       settings,
@@ -96,7 +96,7 @@
       watcher,
       metrics,
     } = this.#components;
-    const { logger, gateway, operatorServer: operators } = this.#components;
+    const { logger, gateway, operatorServer } = this.#components;
     this.#unregisterViolationListener = registerViolationListener((error) =>
       logger.error(INVARIANT_VIOLATED, {
         invariant: error.invariant,
@@ -126,10 +126,10 @@
     void this.#superviseComponent("executor", executor.run());
     watcher.start();
     void this.#pollVmList();
-    const { operators: operatorsAt, callers } = settings.listen;
-    await operators.listen(
-      splitAddress(operatorsAt).host,
-      splitAddress(operatorsAt).port,
+    const { operators: operatorsAddress, callers } = settings.listen;
+    await operatorServer.listen(
+      splitAddress(operatorsAddress).host,
+      splitAddress(operatorsAddress).port,
     );
     await gateway.listen(
       splitAddress(callers).host,
@@ -141,12 +141,12 @@
     metrics.members.set(1);
     logger.info("started", {
       callers,
-      operators: operatorsAt,
+      operators: operatorsAddress,
       mesh: settings.listen.mesh,
     });
   }
 
-  /** Shuts down gracefully. A second call changes nothing. */
+  /** Shuts down gracefully. Further calls return the promise of the first one. */
   stop(): Promise<void> {
     this.#stopping ??= this.#stop();
     return this.#stopping;
@@ -170,8 +170,8 @@
     await sleep(settings.shutdown.noticeMs);
     this.#rejectsRequests = true;
     const drained = await gateway.drain(settings.shutdown.drainTimeoutMs);
-    const until = performance.now() + FLUSH_TIMEOUT_MS;
-    while (executor.isBusy && performance.now() < until) await sleep(20);
+    const deadlineMs = performance.now() + FLUSH_TIMEOUT_MS;
+    while (executor.isBusy && performance.now() < deadlineMs) await sleep(20);
     await control.resign();
     await claims.flush(FLUSH_TIMEOUT_MS);
     for (const timer of this.#timers) clearInterval(timer);
@@ -219,29 +219,29 @@
       quarantineWatch: asFunction(buildQuarantineWatch).singleton(),
       executor: asFunction(buildOrderExecutor).singleton(),
       watcher: asFunction(buildTargetWatcher).singleton(),
-      heartbeatBuilder: asFunction((parts: Components) =>
-        this.#buildHeartbeatBuilder(parts)
+      heartbeatBuilder: asFunction((components: Components) =>
+        this.#buildHeartbeatBuilder(components)
       )
         .singleton(),
-      gateway: asFunction((parts: Components) =>
-        buildGateway(parts, () => this.#readRefusal())
+      gateway: asFunction((components: Components) =>
+        buildGateway(components, () => this.#readRefusal())
       ).singleton(),
-      operatorServer: asFunction((parts: Components) =>
-        this.#buildOperatorServer(parts)
+      operatorServer: asFunction((components: Components) =>
+        this.#buildOperatorServer(components)
       )
         .singleton(),
     });
   }
 
-  #buildHeartbeatBuilder(parts: Components): HeartbeatBuilder {
+  #buildHeartbeatBuilder(components: Components): HeartbeatBuilder {
     const { identity, membership, table, config, control, demand, clock } =
-      parts;
+      components;
     return new HeartbeatBuilder({
       vmId: identity.id,
       availabilityZone: identity.availabilityZone,
       membership,
       table,
-      subsetSize: parts.settings.targets.subsetSize,
+      subsetSize: components.settings.targets.subsetSize,
       isPlanner: (vmId) => control.isCandidate(vmId),
       readIntervalMs: () => this.#components.mesh.intervalMs,
       readProgress: () => ({
@@ -252,12 +252,12 @@
       }),
       readDemand: () => demand.read(clock.readMonotonicMs()),
       listCrashReports: (cursor) =>
-        parts.quarantine.listReports(cursor, clock.readMonotonicMs()),
+        components.quarantine.listReports(cursor, clock.readMonotonicMs()),
     });
   }
 
-  #buildOperatorServer(parts: Components): OperatorServer {
-    const { settings, config, table, metrics } = parts;
+  #buildOperatorServer(components: Components): OperatorServer {
+    const { settings, config, table, metrics } = components;
     const tls = settings.listen.operatorsTls;
     return new OperatorServer({
       settings,
@@ -296,7 +296,7 @@
     return undefined;
   }
 
-  /** Why the balancer should send nothing here. */
+  /** Returns why the load balancer should send no requests here; undefined if it should. */
   #readUnreadyReason(): string | undefined {
     if (this.#leaving) return "shutting down";
     const refusal = this.#readRefusal();
@@ -304,20 +304,21 @@
     const { table, clock } = this.#components;
     const nowMs = clock.readMonotonicMs();
     this.#servingFromMs ??= nowMs;
-    // With every target out of reach the VM is as good as any other after a while.
+    // If no target can be reached, this VM is no worse than the others after the grace period.
     if (nowMs - this.#servingFromMs > DISCOVERY_GRACE_MS) return undefined;
-    const unseen = this.#components.config.state.fleet?.services.find((
+    const unseenService = this.#components.config.state.fleet?.services.find((
       service,
     ) => table.listCandidates(service.name).length === 0);
-    return unseen && `no target of ${unseen.name} has been seen yet`;
+    return unseenService &&
+      `no target of ${unseenService.name} has been seen yet`;
   }
 
-  /** One model serves all model services: the first one's speeds are its start. */
+  /** One engine model is used for all model services. It starts from the first one's speeds. */
   #applySpeeds(): void {
     const { config, model } = this.#components;
     const services = config.state.fleet?.services ?? [];
-    const first = services.find((service) => service.kind === "model");
-    if (first?.kind === "model") model.setSpeeds(first.speeds);
+    const modelService = services.find((service) => service.kind === "model");
+    if (modelService?.kind === "model") model.setSpeeds(modelService.speeds);
   }
 
   #handleHeartbeat(heartbeat: Heartbeat, from: LinkIdentity): void {
@@ -354,7 +355,7 @@
         membership.noteListed([...settings.mesh.peers, ...entries]);
         watcher.recordListing(vms);
       } catch {
-        // The list is a hint; membership goes on by what peers answer.
+        // The list is only a hint. Without it, membership relies on the peers that respond.
       }
       await sleep(settings.platform.vmListIntervalMs);
     }
@@ -377,16 +378,16 @@
     gateway.removeIdleAccounts();
   }
 
-  /** A part that ends with an error takes the process down; the platform starts a new one. */
+  /** Shuts the process down if a component's task fails. The platform then starts a new process. */
   async #superviseComponent(
-    part: string,
-    running: Promise<void>,
+    component: string,
+    task: Promise<void>,
   ): Promise<void> {
     try {
-      await running;
+      await task;
     } catch (error) {
-      this.#components.logger.error("part failed", {
-        part,
+      this.#components.logger.error("component failed", {
+        part: component,
         error: String(error),
       });
       process.exitCode = 1;
--- a/packages/heatherarch-daemon/operator_server.ts
+++ b/packages/heatherarch-daemon/operator_server.ts
@@ -1,5 +1,5 @@
 /**
- * The operators' HTTP interface: health, metrics, status, publications and the audit trail.
+ * HTTP interface for operators: health, metrics, status, publications and the audit trail.
  *
  * @module
  */
@@ -25,30 +25,30 @@
 } from "heatherarch-settings";
 import { z } from "zod";
 
-/** What the operators' interface needs from the process. */
+/** Functions of the process that the operator server uses. */
 export interface OperatorHost {
   readonly settings: ProcessSettings;
   readonly readConfig: () => ConfigState;
   readonly readStatus: () => unknown;
   readonly readMetrics: () => Promise<string>;
-  /** Why the balancer should send nothing here; undefined where it should. */
+  /** Returns why the load balancer should send no requests here; undefined if it should. */
   readonly readUnreadyReason: () => string | undefined;
-  /** Publishes a change; resolves with the verdict that the fold gave. */
+  /** Publishes a change. Resolves with the fold's verdict. */
   readonly publish: (request: PublishRequest) => Promise<PublishResult>;
-  /** Takes an operator's direct word that a target is leaving. */
+  /** Marks a target as leaving on this VM and its peers, without the log. */
   readonly markLeaving: (target: string) => void;
 }
 
-/** A publication. */
+/** Request to publish a configuration change. */
 export interface PublishRequest {
-  /** Idempotency id: the same one has one effect. */
+  /** Idempotency id: a repeated id has no further effect. */
   readonly id: string;
   readonly author: string;
   readonly baseRevision: number;
   readonly change: ConfigChange;
 }
 
-/** What became of a publication. */
+/** Result of a publication. */
 export interface PublishResult {
   readonly verdict: "accepted" | "rejected";
   readonly offset: number;
@@ -63,7 +63,7 @@
 const MAX_BODY_BYTES = 8 * 1024 * 1024;
 const LEAVING_DIRECTIVES = ["drain", "replace", "withdraw"];
 
-/** Serves operators, the balancer and the metrics collector. */
+/** Serves operators, the load balancer and the metrics collector. */
 export class OperatorServer {
   readonly #host: OperatorHost;
   readonly #server: Server;
@@ -110,11 +110,11 @@
         ctx.body = { status: "ok" };
         return;
       case "/readyz": {
-        const unready = this.#host.readUnreadyReason();
-        ctx.status = unready === undefined ? 200 : 503;
+        const unreadyReason = this.#host.readUnreadyReason();
+        ctx.status = unreadyReason === undefined ? 200 : 503;
         ctx.body = {
-          ready: unready === undefined,
-          ...(unready ? { reason: unready } : {}),
+          ready: unreadyReason === undefined,
+          ...(unreadyReason ? { reason: unreadyReason } : {}),
         };
         return;
       }
@@ -150,7 +150,7 @@
     return { offset, fleetRevision, fleet, profiles, directives };
   }
 
-  /** The operator's name; without configured operators the caller names itself. */
+  /** Returns the operator's name. Without configured operators, the client states its own name. */
   #authenticate(ctx: Koa.Context): string {
     const { operators } = this.#host.settings;
     if (operators.length === 0) return ctx.get("x-operator") || "local";
@@ -176,22 +176,22 @@
     const { baseRevision, id = createId("pub") } = body.data;
     const change = parseChange(body.data.change);
     try {
-      const answer = await this.#host.publish({
+      const result = await this.#host.publish({
         id,
         author,
         baseRevision,
         change,
       });
-      if (answer.verdict === "rejected") {
-        throw new ServeError("conflict", answer.reason ?? "");
+      if (result.verdict === "rejected") {
+        throw new ServeError("conflict", result.reason ?? "");
       }
-      return { id, ...answer };
+      return { id, ...result };
     } catch (thrown) {
       const error = toServeError(thrown);
-      const leaving = change.kind === "directTarget" &&
+      const isLeaving = change.kind === "directTarget" &&
         LEAVING_DIRECTIVES.includes(change.directive);
-      if (error.kind !== "platformUnavailable" || !leaving) throw error;
-      // A drain also works during an outage: the word spreads from VM to VM.
+      if (error.kind !== "platformUnavailable" || !isLeaving) throw error;
+      // A drain also works during a platform outage: the leaving mark spreads from VM to VM.
       this.#host.markLeaving(change.target);
       return { id, verdict: "spreading", offset: -1, reason: error.message };
     }
@@ -215,17 +215,17 @@
 }
 
 async function readJson(ctx: Koa.Context): Promise<unknown> {
-  const parts: Buffer[] = [];
+  const chunks: Buffer[] = [];
   let size = 0;
-  for await (const part of ctx.req) {
-    size += (part as Buffer).length;
+  for await (const chunk of ctx.req) {
+    size += (chunk as Buffer).length;
     if (size > MAX_BODY_BYTES) {
       throw new ServeError("payloadTooLarge", "the body is too large");
     }
-    parts.push(part as Buffer);
+    chunks.push(chunk as Buffer);
   }
   try {
-    return JSON.parse(Buffer.concat(parts).toString("utf8"));
+    return JSON.parse(Buffer.concat(chunks).toString("utf8"));
   } catch (error) {
     throw new ServeError(
       "badRequest",
--- a/packages/heatherarch-forward/calls/attempt_result.ts
+++ b/packages/heatherarch-forward/calls/attempt_result.ts
@@ -1,5 +1,6 @@
 /**
- * What the end of a try means: whether the target ran it, and what that says of the target.
+ * Classifies the result of an attempt: whether the target ran it, and what this tells about the
+ * target.
  *
  * @module
  */
@@ -13,105 +14,113 @@
 } from "./target_exchange.ts";
 import type { AttemptOutcome } from "../state/target_health.ts";
 
-/** How a try ended, up to the head of its answer. */
+/** Result of an attempt, up to the head of its response. */
 export type AttemptResult =
-  /** An answer to this call; the body follows. */
+  /** The head of a response to this call has arrived; the body follows. */
   | {
     readonly kind: "answer";
     readonly head: ResponseHead;
-    readonly facts: ResponseMetadata;
+    readonly metadata: ResponseMetadata;
   }
-  /** Nothing reached the target; with `isWithheld` it was not tried. */
+  /** Nothing reached the target; with `isWithheld` no connection was attempted. */
   | {
     readonly kind: "notSent";
     readonly reason: string;
     readonly isWithheld: boolean;
   }
-  /** The target refused and will not run it. */
+  /** The target refused the request and will not run it. */
   | {
     readonly kind: "notRun";
     readonly reason: string;
     readonly refusal: RefusalReason;
   }
-  /** The target may have run it, and there is no answer to pass on. */
+  /** The target may have run the request, and there is no response to relay. */
   | { readonly kind: "lost"; readonly reason: string }
-  /** The call ended meanwhile. */
+  /** The call ended in the meantime. */
   | { readonly kind: "over" };
 
-/** Why a target did not run a request: it is full, or not the one that was meant, or in another role. */
+/** Why a target did not run a request: it declined, is another incarnation, or has another role. */
 export type RefusalReason = "declined" | "otherIncarnation" | "otherRole";
 
 /** Options of {@linkcode awaitAttempt}. */
 export interface AwaitAttemptOptions {
-  readonly run: CallContext;
+  readonly context: CallContext;
   readonly target: Target;
   readonly exchange: TargetExchange;
   readonly stage: string;
-  /** Longest wait for the head, milliseconds; undefined waits as long as the call. */
+  /** Longest wait for the head, milliseconds; if undefined, until the call ends. */
   readonly timeoutMs?: number;
-  /** Past the time limit, wait on as long as the target answers other calls. */
+  /** After the timeout, keep waiting while the target answers other calls. */
   readonly extendsWhileAlive?: boolean;
 }
 
-/** A target that has answered another call within this time is alive, milliseconds. */
-const ALIVE_MS = 500;
+/** A target that answered any call within this time is considered alive, milliseconds. */
+const ALIVE_WINDOW_MS = 500;
 /**
- * An engine that refused a request for its role gets no work for this long, milliseconds; by
- * then its entry in the list has told the role (entries are written every 1.2 s).
+ * An engine that refused a request because of its role gets no work for this long, milliseconds. By
+ * then its entry in the target list shows the role (entries are written every 1.2 s).
  */
-const OTHER_ROLE_REST_MS = 1500;
-const SUCCESS = { least: 200, most: 299 };
+const OTHER_ROLE_AVOID_MS = 1500;
+const SUCCESS_STATUS = { min: 200, max: 299 };
 
-/** Whether a status says that all went well. */
+/** Whether an HTTP status means success. */
 export function isSuccessStatus(status: number): boolean {
-  return status >= SUCCESS.least && status <= SUCCESS.most;
+  return status >= SUCCESS_STATUS.min && status <= SUCCESS_STATUS.max;
 }
 
-/** Waits for the head of an answer, judges it, and notes what it says of the target. */
+/** Waits for the head of a response, classifies it, and records what it tells about the target. */
 export async function awaitAttempt(
   options: AwaitAttemptOptions,
 ): Promise<AttemptResult> {
-  const { run, target, exchange, stage } = options;
-  const stopTimer = startTimer(options);
-  let end: AttemptResult;
+  const { context, target, exchange, stage } = options;
+  const stopTimer = startSilenceTimer(options);
+  let result: AttemptResult;
   try {
-    end = judgeHead(run, target, exchange, await exchange.head);
+    result = classifyHead(context, target, exchange, await exchange.head);
   } catch (error) {
     if (!(error instanceof ExchangeError)) throw error;
-    end = judgeError(error);
+    result = classifyError(error);
   } finally {
     stopTimer();
   }
-  if (run.hasEnded) return { kind: "over" };
-  noteEnd(run, target, stage, end);
-  return end;
+  if (context.hasEnded) return { kind: "over" };
+  recordResult(context, target, stage, result);
+  return result;
 }
 
-/** Gives the exchange up when its target stays silent; returns what ends the watch. */
-function startTimer(options: AwaitAttemptOptions): () => void {
+/** Aborts the exchange if its target stays silent. Returns a function that stops the timer. */
+function startSilenceTimer(options: AwaitAttemptOptions): () => void {
   const {
-    run,
+    context,
     target,
     exchange,
     timeoutMs,
-    extendsWhileAlive: isPatient = false,
+    extendsWhileAlive = false,
   } = options;
   if (timeoutMs === undefined) return () => undefined;
-  const sentAtMs = run.nowMs;
+  const sentAtMs = context.nowMs;
   let timer: NodeJS.Timeout;
-  const look = (): void => {
-    const heardAtMs = run.dependencies.health.getLastResponseAtMs(target.id);
-    if (isPatient && run.nowMs - heardAtMs < ALIVE_MS) {
-      timer = setTimeout(look, ALIVE_MS);
+  const checkSilence = (): void => {
+    const lastResponseAtMs = context.dependencies.health.getLastResponseAtMs(
+      target.id,
+    );
+    if (
+      extendsWhileAlive && context.nowMs - lastResponseAtMs < ALIVE_WINDOW_MS
+    ) {
+      timer = setTimeout(checkSilence, ALIVE_WINDOW_MS);
       return;
     }
-    exchange.abort(`silent for ${Math.round(run.nowMs - sentAtMs)} ms`);
+    exchange.abort(
+      `no response for ${Math.round(context.nowMs - sentAtMs)} ms`,
+    );
   };
-  timer = setTimeout(look, timeoutMs);
+  timer = setTimeout(checkSilence, timeoutMs);
   return () => clearTimeout(timer);
 }
 
-function judgeError({ fault, message: reason }: ExchangeError): AttemptResult {
+function classifyError(
+  { fault, message: reason }: ExchangeError,
+): AttemptResult {
   const isWithheld = fault === "withheld";
   if (fault === "notSent" || isWithheld) {
     return { kind: "notSent", reason, isWithheld };
@@ -119,33 +128,36 @@
   return { kind: "lost", reason };
 }
 
-function judgeHead(
-  run: CallContext,
+function classifyHead(
+  context: CallContext,
   target: Target,
   exchange: TargetExchange,
   head: ResponseHead,
 ): AttemptResult {
-  const facts = run.dependencies.codec.decodeResponse(
+  const metadata = context.dependencies.codec.decodeResponse(
     head.status,
     head.headers,
   );
-  if (facts.callId !== undefined && facts.callId !== run.call.id) {
-    exchange.abort("answer to another call");
-    return { kind: "lost", reason: `answer to call ${facts.callId}` };
+  if (metadata.callId !== undefined && metadata.callId !== context.call.id) {
+    exchange.abort("response belongs to another call");
+    return {
+      kind: "lost",
+      reason: `response belongs to call ${metadata.callId}`,
+    };
   }
-  if (facts.misdirected) {
+  if (metadata.misdirected) {
     exchange.abort("misdirected");
-    const { answeredBy } = facts;
+    const { answeredBy } = metadata;
     const isOther = answeredBy !== undefined &&
       answeredBy !== (target.instance ?? target.id);
     return {
       kind: "notRun",
-      reason: `misdirected, answered by ${answeredBy ?? "nobody named"}`,
+      reason: `misdirected, answered by ${answeredBy ?? "an unnamed target"}`,
       refusal: isOther ? "otherIncarnation" : "otherRole",
     };
   }
-  if (facts.notRun) {
-    // The body is of no interest; reading it keeps the connection.
+  if (metadata.notRun) {
+    // The body is discarded, but reading it keeps the connection reusable.
     exchange.setBodyListener({
       onData: ignore,
       onEnd: ignore,
@@ -158,63 +170,65 @@
     };
   }
   if (head.headers["content-encoding"] !== undefined) {
-    exchange.abort("encoded body");
-    return { kind: "lost", reason: "answer in an encoding nobody asked for" };
+    exchange.abort("unexpected content encoding");
+    return { kind: "lost", reason: "unexpected content encoding" };
   }
-  return { kind: "answer", head, facts };
+  return { kind: "answer", head, metadata };
 }
 
 function ignore(): void {
-  // Nothing is done with the rest of a refusal.
+  // The body of a refusal is discarded.
 }
 
-/** Tells the beliefs and the log how a try went. */
-function noteEnd(
-  run: CallContext,
+/** Records the result of an attempt in this VM's state, the metrics and the log. */
+function recordResult(
+  context: CallContext,
   target: Target,
   stage: string,
-  end: AttemptResult,
+  result: AttemptResult,
 ): void {
-  const { health, directory, crashDetector: losses, log, metrics } =
-    run.dependencies;
-  const outcome = end.kind === "answer" ? String(end.head.status) : end.kind;
+  const { health, directory, crashDetector, log, metrics } =
+    context.dependencies;
+  const outcome = result.kind === "answer"
+    ? String(result.head.status)
+    : result.kind;
   metrics.tries.inc({ stage, outcome });
-  const nowMs = run.nowMs;
-  if (end.kind === "notRun" && end.refusal === "otherIncarnation") {
+  const nowMs = context.nowMs;
+  if (result.kind === "notRun" && result.refusal === "otherIncarnation") {
     directory.markReplaced(target.id);
     health.forget(target.id);
-    losses.recordCrash(target.id, "replaced");
+    crashDetector.recordCrash(target.id, "replaced");
   }
-  if (end.kind === "notRun" && end.refusal === "otherRole") {
-    health.avoidUntil(target.id, nowMs + OTHER_ROLE_REST_MS);
+  if (result.kind === "notRun" && result.refusal === "otherRole") {
+    health.avoidUntil(target.id, nowMs + OTHER_ROLE_AVOID_MS);
   }
-  const isWithheld = end.kind === "notSent" && end.isWithheld;
+  const isWithheld = result.kind === "notSent" && result.isWithheld;
   const isNowAvoided = !isWithheld &&
-    health.recordOutcome(target.id, rateEnd(end), nowMs);
+    health.recordOutcome(target.id, rateResult(result), nowMs);
   if (isNowAvoided) {
     log.write("warn", "targetAvoided", {
-      call: run.call.id,
+      call: context.call.id,
       target: target.id,
       address: target.address,
       stage,
-      reason: "reason" in end ? end.reason : outcome,
+      reason: "reason" in result ? result.reason : outcome,
     });
   }
-  if (end.kind === "answer") return;
+  if (result.kind === "answer") return;
   log.write("info", "tryEnded", {
-    call: run.call.id,
+    call: context.call.id,
     target: target.id,
     stage,
-    outcome: end.kind,
-    reason: "reason" in end ? end.reason : undefined,
-    atMs: Math.round(nowMs - run.call.arrivedAtMs),
+    outcome: result.kind,
+    reason: "reason" in result ? result.reason : undefined,
+    atMs: Math.round(nowMs - context.call.arrivedAtMs),
   });
 }
 
-function rateEnd(end: AttemptResult): AttemptOutcome {
-  switch (end.kind) {
+function rateResult(result: AttemptResult): AttemptOutcome {
+  switch (result.kind) {
     case "answer":
-      return end.head.status >= 500 ? "failed" : "answered";
+      return result.head.status >= 500 ? "failed" : "answered";
     case "notSent":
       return "unreachable";
     case "notRun":
--- a/packages/heatherarch-forward/calls/quarantine_guard.ts
+++ b/packages/heatherarch-forward/calls/quarantine_guard.ts
@@ -1,5 +1,5 @@
 /**
- * Keeps a call from being sent when its request is quarantined, and reports its lost exchanges.
+ * Keeps a call from being sent while its request is quarantined, and reports its lost exchanges.
  *
  * @module
  */
@@ -13,55 +13,58 @@
 import type { CallDependencies } from "../call_dependencies.ts";
 import type { TargetExchange } from "./target_exchange.ts";
 
-/** Longest wait for the probe of a target before a retry; a refused connection takes a round trip. */
-const MAX_INQUIRY_MS = 100;
+/**
+ * Longest wait for the probes of targets before a retry. A refused connection takes one round trip.
+ */
+const MAX_PROBE_WAIT_MS = 100;
 
 /** Options of {@linkcode QuarantineGuard}. */
 export interface QuarantineGuardOptions {
   readonly dependencies: CallDependencies;
   readonly call: ForwardedCall;
   /** Called when the request is quarantined while the call is in progress. */
-  readonly onQuarantined: (held: QuarantinedRequest) => void;
+  readonly onQuarantined: (quarantined: QuarantinedRequest) => void;
 }
 
 /** The guard of one call. */
 export class QuarantineGuard {
   readonly #options: QuarantineGuardOptions;
-  readonly #undoListener: () => void;
-  #request: string | undefined;
-  #inquiries: Promise<unknown>[] = [];
-  #hasLost = false;
+  readonly #removeListener: () => void;
+  #digest: string | undefined;
+  #investigations: Promise<unknown>[] = [];
+  #hasLostExchange = false;
   #endTrial: (() => void) | undefined;
 
   constructor(options: QuarantineGuardOptions) {
     this.#options = options;
-    this.#undoListener = options.dependencies.quarantine.registerChangeListener(
-      ({ kind, request }) => {
-        if (kind !== "held" || request !== this.digest) return;
-        const held = this.findQuarantined();
-        if (held !== undefined) options.onQuarantined(held);
-      },
-    );
+    this.#removeListener = options.dependencies.quarantine
+      .registerChangeListener(
+        ({ kind, request }) => {
+          if (kind !== "held" || request !== this.digest) return;
+          const quarantined = this.findQuarantined();
+          if (quarantined !== undefined) options.onQuarantined(quarantined);
+        },
+      );
   }
 
-  /** Digest of the request, which its repeats share. */
+  /** Digest of the request; identical requests share it. */
   get digest(): string {
-    return this.#request ??= hashRequest(this.#options.call);
+    return this.#digest ??= hashRequest(this.#options.call);
   }
 
-  /** Whether the call may be sent for the first time. */
+  /** Decides whether the call may be sent for the first time. */
   admit(): Admission {
     const { quarantine, clock } = this.#options.dependencies;
     if (quarantine.isEmpty) return { kind: "free" };
-    const admission = quarantine.admit(
+    const result = quarantine.admit(
       this.digest,
       clock.readMonotonicMs(),
     );
-    if (admission.kind === "trial") this.#endTrial = admission.end;
-    return admission;
+    if (result.kind === "trial") this.#endTrial = result.end;
+    return result;
   }
 
-  /** The quarantine of the request; undefined where there is none. */
+  /** Returns the quarantine of the request, or undefined if there is none. */
   findQuarantined(): QuarantinedRequest | undefined {
     const { quarantine, clock } = this.#options.dependencies;
     if (quarantine.isEmpty) return undefined;
@@ -72,33 +75,36 @@
   }
 
   /**
-   * Whether the call may be retried. One crash before quarantine the retry is left to the client,
-   * which gives the other VMs time to learn of the crashes.
+   * Returns whether the call may be retried. If one more crash would quarantine the request, the
+   * retry is left to the client, which gives the other VMs time to learn of the crashes.
    */
   async mayRetry(): Promise<boolean> {
-    const inquiries = this.#inquiries;
-    this.#inquiries = [];
-    if (inquiries.length > 0) {
-      await Promise.race([Promise.all(inquiries), sleep(MAX_INQUIRY_MS)]);
+    const investigations = this.#investigations;
+    this.#investigations = [];
+    if (investigations.length > 0) {
+      await Promise.race([
+        Promise.all(investigations),
+        sleep(MAX_PROBE_WAIT_MS),
+      ]);
     }
-    if (!this.#hasLost) return true;
+    if (!this.#hasLostExchange) return true;
     return !this.#options.dependencies.quarantine.isLastTrial(
       this.digest,
     );
   }
 
-  /** Reports how an exchange ends. */
+  /** Reports a lost exchange or a refused connection to the crash detector. */
   trackExchange(target: Target, exchange: TargetExchange): void {
-    const { crashDetector: losses } = this.#options.dependencies;
+    const { crashDetector } = this.#options.dependencies;
     const { id, host } = this.#options.call;
     void exchange.ended.then((end) => {
       if (end === "ended") return;
       if (end.isConnectionRefused) {
-        losses.recordCrash(target.id, "refusedConnection");
+        crashDetector.recordCrash(target.id, "refusedConnection");
       }
       if (end.fault !== "lost") return;
-      this.#hasLost = true;
-      this.#inquiries.push(losses.investigateLoss({
+      this.#hasLostExchange = true;
+      this.#investigations.push(crashDetector.investigateLoss({
         call: id,
         request: this.digest,
         account: host,
@@ -109,9 +115,9 @@
     });
   }
 
-  /** The call has ended; with `isDelivered` by an answer of a target. */
+  /** Ends the guard. With `isDelivered` the call ended with a target's response. */
   end(isDelivered: boolean): void {
-    this.#undoListener();
+    this.#removeListener();
     this.#endTrial?.();
     if (isDelivered) this.#clear();
   }
--- a/packages/heatherarch-forward/forward_vm.ts
+++ b/packages/heatherarch-forward/forward_vm.ts
@@ -1,5 +1,5 @@
 /**
- * One entry VM that forwards calls: builds all parts from its settings, starts them, and shuts
+ * One entry VM that forwards calls. Builds all components from its settings, starts them, and shuts
  * them down gracefully.
  *
  * @module
@@ -24,7 +24,7 @@
 import { type EventLog, formatAge, StdoutEventLog } from "./event_log.ts";
 import { Ingress } from "./tasks/ingress.ts";
 import type { Target } from "./model.ts";
-import { QuarantineKeeper } from "./tasks/quarantine_keeper.ts";
+import { QuarantinePersistence } from "./tasks/quarantine_persistence.ts";
 import { buildCallDependencies, SWEEP_INTERVAL_MS } from "./vm_dependencies.ts";
 import {
   buildMesh,
@@ -45,12 +45,12 @@
 }
 
 const METRICS_PATH = "/metrics";
-/** How often the end of the calls in progress is looked for while stopping, milliseconds. */
-const DRAIN_LOOK_MS = 50;
-/** Time to write the last lines and records before the platform ends the process. */
+/** Interval at which a stopping VM checks for calls in progress, milliseconds. */
+const DRAIN_POLL_MS = 50;
+/** Time reserved for the last log lines and records before the platform kills the process. */
 const EXIT_MARGIN_MS = 400;
-/** Time for which an engine that another VM ordered to change gets no work; told again each heartbeat. */
-const CHANGING_MS = 1500;
+/** Time for which an engine whose role is changing gets no work; renewed with each heartbeat. */
+const ROLE_CHANGE_HOLD_MS = 1500;
 
 /** The process of one entry VM. */
 export class ForwardVm {
@@ -60,12 +60,12 @@
   readonly #log: EventLog;
   readonly #container: AwilixContainer<VmComponents>;
   /**
-   * All parts once they are registered: the container looks a part up anew each time that it is
-   * asked for, which calls and heartbeats do hundreds of times a second.
+   * All components, once they are registered. The container resolves a component again on each
+   * access, and calls and heartbeats access components hundreds of times a second.
    */
-  #resolved: VmComponents | undefined;
+  #resolvedComponents: VmComponents | undefined;
   #sweeper: NodeJS.Timeout | undefined;
-  #undoViolations: (() => void) | undefined;
+  #removeViolationListener: (() => void) | undefined;
   #stopping = false;
   #stopped: Promise<void> | undefined;
   #liveVms = 1;
@@ -80,36 +80,37 @@
     this.#container = createContainer<VmComponents>({
       injectionMode: InjectionMode.PROXY,
     });
-    this.#registerBeliefs();
+    this.#registerCallDependencies();
     this.#registerTasks();
-    this.#resolved = { ...this.#container.cradle };
+    this.#resolvedComponents = { ...this.#container.cradle };
   }
 
-  /** Whether this VM can serve: it knows a configuration and targets, and is not stopping. */
+  /** Whether this VM can serve calls: it has a configuration and targets, and is not stopping. */
   get isReady(): boolean {
-    const { activeConfig: configs, directory } = this.#parts;
-    return !this.#stopping && configs.table !== undefined && directory.size > 0;
+    const { activeConfig, directory } = this.#components;
+    return !this.#stopping && activeConfig.table !== undefined &&
+      directory.size > 0;
   }
 
   async start(): Promise<void> {
     const {
       ingress,
-      statusServer: status,
+      statusServer,
       mesh,
-      roleController: roles,
-      storeReader: reading,
-    } = this.#parts;
+      roleController,
+      storeReader,
+    } = this.#components;
     const {
-      quarantinePersistence: quarantineKeeper,
-      targetListGuard: listGuard,
-    } = this.#parts;
+      quarantinePersistence,
+      targetListGuard,
+    } = this.#components;
     const { listen } = this.#settings;
     this.#log.write("info", "starting", {
       pid: process.pid,
       node: process.version,
       listen,
     });
-    this.#undoViolations = registerViolationListener((error) =>
+    this.#removeViolationListener = registerViolationListener((error) =>
       this.#log.write("error", "invariantViolated", {
         invariant: error.invariant,
         detail: error.message,
@@ -117,22 +118,22 @@
     );
     this.#watchConfig();
     this.#watchQuarantine();
-    this.#surveyOnceListed();
+    this.#surveyCachesOnceListed();
     await Promise.all([
       ingress.start(),
-      this.#listenStatus(status, listen.readiness),
-      this.#listenStatus(status, listen.metrics, true),
+      this.#listenStatus(statusServer, listen.readiness),
+      this.#listenStatus(statusServer, listen.metrics, true),
     ]);
     await mesh.start();
-    reading.start();
-    quarantineKeeper.start();
-    roles.start();
-    listGuard.recordTick();
+    storeReader.start();
+    quarantinePersistence.start();
+    roleController.start();
+    targetListGuard.recordTick();
     this.#sweeper = setInterval(() => this.#sweep(), SWEEP_INTERVAL_MS);
     this.#log.write("info", "started", { address: listen.callers });
   }
 
-  /** Takes over settings that may change while the process runs. */
+  /** Applies the settings that may change while the process runs. */
   applySettings(settings: ForwardSettings): void {
     if (this.#log instanceof StdoutEventLog) {
       this.#log.setLevel(settings.logs.level);
@@ -140,12 +141,12 @@
     this.#log.write("info", "settingsReloaded", { level: settings.logs.level });
   }
 
-  /** Settings were read anew and can't be used: those in force stay. */
+  /** Logs that reloaded settings are invalid; the current settings stay in effect. */
   rejectSettings(faults: string): void {
     this.#log.write("error", "settingsRefused", { faults });
   }
 
-  /** Something threw where nothing catches; the process goes on. */
+  /** Logs an uncaught error; the process continues. */
   reportUncaughtError(error: unknown): void {
     this.#log.write("error", "uncaught", {
       error: String((error as Error)?.stack ?? error),
@@ -153,84 +154,84 @@
   }
 
   /**
-   * Finishes what is in progress, within the time that the platform gives, and ends. Asked again
-   * meanwhile, it settles when the first request does.
+   * Completes the calls in progress within the grace period of the platform, and stops. Further
+   * calls return the promise of the first one.
    */
   stop(): Promise<void> {
     this.#stopped ??= this.#shutDown();
     return this.#stopped;
   }
 
-  get #parts(): VmComponents {
-    return this.#resolved ?? this.#container.cradle;
+  get #components(): VmComponents {
+    return this.#resolvedComponents ?? this.#container.cradle;
   }
 
-  #registerBeliefs(): void {
-    const serving = buildCallDependencies({
+  #registerCallDependencies(): void {
+    const dependencies = buildCallDependencies({
       settings: this.#settings,
       codec: this.#ports.codec,
       clock: this.#clock,
       log: this.#log,
       countVms: () => this.#liveVms,
-      getListAgeMs: () => this.#parts.storeReader.getKnownAgeMs(),
-      refreshTargetList: () => this.#parts.storeReader.refreshList(),
+      getListAgeMs: () => this.#components.storeReader.getEffectiveListAgeMs(),
+      refreshTargetList: () => this.#components.storeReader.refreshList(),
     });
-    for (const [name, part] of Object.entries(serving)) {
+    for (const [name, part] of Object.entries(dependencies)) {
       this.#container.register(name, asValue(part));
     }
   }
 
   #registerTasks(): void {
-    const parts = this.#parts;
+    const components = this.#components;
     const settings = this.#settings;
     const ports = this.#ports;
-    const wiring: VmTaskOptions = {
+    const options: VmTaskOptions = {
       settings,
       ports,
       incarnation: createId("vm"),
-      getComponents: () => this.#parts,
-      onLiveVms: (count) => this.#shareLimits(count),
-      onChanging: (targets) => this.#noteChanging(targets),
+      getComponents: () => this.#components,
+      onLiveVms: (count) => this.#applyVmCount(count),
+      onChangingRole: (targets) => this.#markChangingRole(targets),
     };
-    const callServer = new CallServer({ ...parts });
+    const callServer = new CallServer({ ...components });
     const callers = splitAddress(settings.listen.callers);
     this.#container.register({
       ingress: asValue(
         new Ingress({
           ...callers,
-          codec: parts.codec,
+          codec: components.codec,
           server: callServer,
-          clock: parts.clock,
-          log: parts.log,
+          clock: components.clock,
+          log: components.log,
         }),
       ),
       statusServer: asValue(
         new StatusServer({
-          metrics: parts.metrics,
+          metrics: components.metrics,
           readinessPath: ports.readinessPath,
           metricsPath: METRICS_PATH,
-          quarantine: parts.quarantine,
-          clock: parts.clock,
+          quarantine: components.quarantine,
+          clock: components.clock,
           isReady: () => this.isReady,
         }),
       ),
-      storeReader: asValue(buildStoreReader(wiring)),
+      storeReader: asValue(buildStoreReader(options)),
       quarantinePersistence: asValue(
-        new QuarantineKeeper({
+        new QuarantinePersistence({
           topic: ports.directory.quarantine,
-          quarantine: parts.quarantine,
-          clock: parts.clock,
-          log: parts.log,
+          quarantine: components.quarantine,
+          clock: components.clock,
+          log: components.log,
         }),
       ),
-      roleController: asValue(buildRoleController(wiring)),
-      mesh: asValue(buildMesh(wiring)),
+      roleController: asValue(buildRoleController(options)),
+      mesh: asValue(buildMesh(options)),
     });
   }
 
   #watchConfig(): void {
-    const { activeConfig: configs, ingress, metrics, clock } = this.#parts;
-    configs.registerListener(({ table, before, source }) => {
+    const { activeConfig, ingress, metrics, clock } = this.#components;
+    activeConfig.registerListener(({ table, before, source }) => {
       ingress.applyLimits(table.config.limits);
       metrics.configVersion.set(table.version);
       this.#log.write("info", "configApplied", {
@@ -238,102 +239,112 @@
         before,
         routes: table.config.routes.length,
         source,
-        // Of what was known of the store before this word.
-        ageMs: formatAge(configs.getAgeMs(clock.readMonotonicMs())),
+        // Age of the last successful read of the store before this update.
+        ageMs: formatAge(activeConfig.getAgeMs(clock.readMonotonicMs())),
       });
     });
   }
 
   #watchQuarantine(): void {
-    const { quarantine, clock } = this.#parts;
+    const { quarantine, clock } = this.#components;
     quarantine.registerChangeListener(({ kind, request, isOwn }) => {
       const source = isOwn ? "own" : "peer";
-      const held = quarantine.findQuarantined(request, clock.readMonotonicMs());
+      const quarantined = quarantine.findQuarantined(
+        request,
+        clock.readMonotonicMs(),
+      );
       if (kind === "cleared") {
         this.#log.write("info", "quarantineLifted", { request, source });
-      } else if (held !== undefined) {
+      } else if (quarantined !== undefined) {
         this.#log.write("warn", "requestQuarantined", {
           request,
           source,
-          account: held.account,
-          endedTargets: held.lives,
-          holdMs: Math.round(held.untilMs - held.sinceMs),
+          account: quarantined.account,
+          endedTargets: quarantined.lives,
+          holdMs: Math.round(quarantined.untilMs - quarantined.sinceMs),
         });
       }
     });
   }
 
-  /** Surveys the engines' caches as soon as they are listed. */
-  #surveyOnceListed(): void {
-    const parts = this.#parts;
-    const listReaders = (): Target[] =>
-      parts.directory.listAll().filter((target) => target.role === "prefill");
+  /** Surveys the KV caches of the engines once the engines and the VMs are listed. */
+  #surveyCachesOnceListed(): void {
+    const components = this.#components;
+    const listEngines = (): Target[] =>
+      components.directory.listAll().filter((target) =>
+        target.role === "prefill"
+      );
     const timer = setInterval(() => {
       if (this.#stopping) return clearInterval(timer);
-      if (listReaders().length === 0 || !parts.mesh.hasList) return;
+      if (listEngines().length === 0 || !components.mesh.hasVmList) return;
       clearInterval(timer);
       const survey = new CacheSurvey({
         vmId: this.#settings.vm.id,
-        clock: parts.clock,
-        codec: parts.codec,
-        prompts: parts.prefixIndex,
-        connections: parts.connections,
-        events: parts.log,
-        listReaders,
-        listLiveVms: () => parts.mesh.listDutyVms(),
+        clock: components.clock,
+        codec: components.codec,
+        prefixIndex: components.prefixIndex,
+        connections: components.connections,
+        events: components.log,
+        listPrefillEngines: listEngines,
+        listParticipants: () => components.mesh.listCoordinators(),
       });
-      void survey.run(() => parts.mesh.hasDuty);
+      void survey.run(() => components.mesh.isCoordinator);
     }, SWEEP_INTERVAL_MS);
   }
 
-  #shareLimits(liveVms: number): void {
-    const { retryBudget: allowance, connections, metrics } = this.#parts;
+  #applyVmCount(liveVms: number): void {
+    const { retryBudget, connections, metrics } = this.#components;
     this.#liveVms = liveVms;
-    allowance.setLiveVms(liveVms);
+    retryBudget.setLiveVms(liveVms);
     connections.setLiveVms(liveVms);
     metrics.liveVms.set(liveVms);
   }
 
-  #noteChanging(targets: readonly string[]): void {
+  #markChangingRole(targets: readonly string[]): void {
     const nowMs = this.#clock.readMonotonicMs();
     for (const id of targets) {
-      this.#parts.directory.markChangingRole(id, nowMs + CHANGING_MS, nowMs);
+      this.#components.directory.markChangingRole(
+        id,
+        nowMs + ROLE_CHANGE_HOLD_MS,
+        nowMs,
+      );
     }
   }
 
   #sweep(): void {
-    const { directory, roleController: roles, targetListGuard: listGuard } =
-      this.#parts;
+    const { directory, roleController, targetListGuard } = this.#components;
     const {
       mesh,
-      storeReader: reading,
+      storeReader,
       metrics,
-      prefillQueue: readQueue,
-      activeConfig: configs,
+      prefillQueue,
+      activeConfig,
       clock,
-    } = this.#parts;
-    listGuard.recordTick();
-    metrics.promptsWaiting.set(readQueue.size);
-    reading.share(mesh.hasToRead(), mesh.hasDuty);
-    mesh.tend();
-    metrics.listAge.set(reading.getKnownAgeMs() / 1000);
-    metrics.configAge.set(configs.getAgeMs(clock.readMonotonicMs()) / 1000);
+    } = this.#components;
+    targetListGuard.recordTick();
+    metrics.promptsWaiting.set(prefillQueue.size);
+    storeReader.setActive(mesh.mustReadStore(), mesh.isCoordinator);
+    mesh.tick();
+    metrics.listAge.set(storeReader.getEffectiveListAgeMs() / 1000);
+    metrics.configAge.set(
+      activeConfig.getAgeMs(clock.readMonotonicMs()) / 1000,
+    );
     this.#sweepQuarantine();
-    reading.forgetDropped("otherIncarnation");
+    storeReader.purgeDroppedTargets("otherIncarnation");
     const gone = directory.dropExpired(this.#clock.readMonotonicMs());
     metrics.targets.set(directory.size);
-    reading.forgetDropped("grace");
+    storeReader.purgeDroppedTargets("grace");
     for (const id of gone) {
       this.#log.write("info", "targetGone", {
         target: id,
         reason: "not listed again after an outage of the store",
       });
     }
-    this.#noteChanging(roles.listChanging());
+    this.#markChangingRole(roleController.listChangingRole());
   }
 
   #sweepQuarantine(): void {
-    const { quarantine, metrics } = this.#parts;
+    const { quarantine, metrics } = this.#components;
     if (quarantine.isEmpty) return;
     const nowMs = this.#clock.readMonotonicMs();
     quarantine.expire(nowMs);
@@ -351,17 +362,17 @@
 
   async #shutDown(): Promise<void> {
     this.#stopping = true;
-    const { ingress, mesh, roleController: roles } = this.#parts;
+    const { ingress, mesh, roleController } = this.#components;
     const { graceSeconds, noticeMs } = this.#settings.shutdown;
     const startedAtMs = this.#clock.readMonotonicMs();
     const untilMs = startedAtMs + graceSeconds * 1000 - EXIT_MARGIN_MS;
     this.#log.write("info", "stopping", { openCalls: ingress.openCalls });
     ingress.beginDrain();
-    await Promise.all([roles.stop(), mesh.leave(), sleep(noticeMs)]);
+    await Promise.all([roleController.stop(), mesh.leave(), sleep(noticeMs)]);
     ingress.closeListener();
     while (
       ingress.openCalls > 0 && this.#clock.readMonotonicMs() < untilMs
-    ) await sleep(DRAIN_LOOK_MS);
+    ) await sleep(DRAIN_POLL_MS);
     this.#log.write("info", "stopped", {
       openCalls: ingress.openCalls,
       tookMs: Math.round(this.#clock.readMonotonicMs() - startedAtMs),
@@ -370,13 +381,13 @@
   }
 
   async #closeAll(): Promise<void> {
-    const { ingress, statusServer: status, mesh, connections } = this.#parts;
+    const { ingress, statusServer, mesh, connections } = this.#components;
     clearInterval(this.#sweeper);
-    this.#undoViolations?.();
-    this.#parts.storeReader.stop();
-    this.#parts.quarantinePersistence.stop();
+    this.#removeViolationListener?.();
+    this.#components.storeReader.stop();
+    this.#components.quarantinePersistence.stop();
     ingress.closeAll();
-    status.close();
+    statusServer.close();
     mesh.stop();
     await connections.close();
   }
--- a/packages/heatherarch-forward/tests/unit/scripted_call.ts
+++ b/packages/heatherarch-forward/tests/unit/scripted_call.ts
@@ -1,6 +1,7 @@
 /**
- * Two targets that may start again under their ids, and one call that meets a scripted end of each
- * try. It keeps what really ran, to judge what the caller was told.
+ * Simulates one call against two targets that may restart under the same ids. A script gives the
+ * result of each attempt. The simulation records which targets really ran the call, so that tests
+ * can check what the client was told.
  *
  * @module
  */
@@ -39,50 +40,50 @@
 } from "../../mod.ts";
 import { buildPrompt, buildRoute, buildTarget, TRAITS } from "./fixtures.ts";
 
-/** How a try ends at the target, and for the one that sent it. */
+/** How an attempt ends, at the target and at the sender. */
 export type ScriptedResult =
   /** No connection. */
   | "notSent"
-  /** Written, and lost before the target ran it. */
+  /** Sent, but lost before the target ran it. */
   | "lostBefore"
-  /** Run, and the answer lost. */
+  /** Run, but the response is lost. */
   | "lostAfter"
-  /** The target says that it did not run it. */
+  /** The target reports that it did not run the request. */
   | "refused"
-  /** Run, with a failure of the target's own. */
+  /** Run, with an error response. */
   | "failed"
-  /** Run, and cut off in the middle of its answer. */
+  /** Run, but the response is truncated. */
   | "cut"
   | "ok";
 
-/** One step of a script: how a try ends, and whether the target then starts again under its id. */
+/** One step of a script: how an attempt ends, and whether the target then restarts under its id. */
 export interface ScriptedAttempt {
   readonly end: ScriptedResult;
   readonly restarts: boolean;
 }
 
-/** What became of the call. */
+/** Outcome of the call. */
 export interface ScriptOutcome {
-  /** Targets' lives that ran the call, in order. */
+  /** Incarnations of targets that ran the call, in order. */
   readonly runs: readonly string[];
-  /** Status that the caller got; undefined where its connection was cut off. */
+  /** Status that the client received; undefined if its connection was closed without one. */
   readonly status: number | undefined;
-  /** The answer was ended as a whole one. */
+  /** Whether the response ended as a complete one. */
   readonly isWhole: boolean;
   readonly body: string;
-  /** Steps of the script that were used. */
+  /** Number of steps of the script that were used. */
   readonly used: number;
 }
 
 const EVENTS = 3;
 
-/** Serves one call of a kind; tries after the end of the script end well. */
+/** Serves one call of a kind. Attempts after the end of the script succeed. */
 export async function runScript(
   kind: CallKind,
   script: readonly ScriptedAttempt[],
 ): Promise<ScriptOutcome> {
-  const world = new ScriptedCall(kind, script);
-  return await world.play();
+  const call = new ScriptedCall(kind, script);
+  return await call.run();
 }
 
 class ScriptedCall {
@@ -90,7 +91,7 @@
   readonly #script: ScriptedAttempt[];
   readonly #length: number;
   readonly #directory = new TargetDirectory();
-  readonly #runs: string[] = [];
+  readonly #executions: string[] = [];
   readonly #starts = new Map([["a", 1], ["b", 1]]);
   #status: number | undefined;
   #isWhole = false;
@@ -106,15 +107,15 @@
     return this.#kind === "stream" || this.#kind === "resumableStream";
   }
 
-  async play(): Promise<ScriptOutcome> {
-    this.#list();
-    const run = this.#buildRun();
+  async run(): Promise<ScriptOutcome> {
+    this.#listTargets();
+    const context = this.#buildContext();
     if (this.#isStream) {
       const prompt = buildPrompt("k", 100, 200);
-      await new GenerationHandler(run, prompt, TRAITS).serve();
-    } else await new PlainCallHandler(run).serve();
+      await new GenerationHandler(context, prompt, TRAITS).serve();
+    } else await new PlainCallHandler(context).serve();
     return {
-      runs: this.#runs,
+      runs: this.#executions,
       status: this.#status,
       isWhole: this.#isWhole,
       body: this.#body,
@@ -122,7 +123,7 @@
     };
   }
 
-  #list(): void {
+  #listTargets(): void {
     const targets = [...this.#starts].map(([instance, start]): Target =>
       buildTarget(`${instance}@${start}`, {
         instance,
@@ -130,7 +131,7 @@
         ...(this.#isStream ? { role: "decode", slots: 64 } : {}),
       })
     );
-    // One engine reads prompts, and its life goes on.
+    // One prefill engine, which never restarts.
     if (this.#isStream) targets.push(buildTarget("r", { role: "prefill" }));
     this.#directory.applyList(
       targets.map((value) => ({ key: value.instance ?? value.id, value })),
@@ -138,10 +139,10 @@
     );
   }
 
-  #buildRun(): CallContext {
+  #buildContext(): CallContext {
     const clock = new RuntimeClock();
     return new CallContext({
-      dependencies: this.#buildServing(clock),
+      dependencies: this.#buildDependencies(clock),
       call: {
         id: "call",
         method: "POST",
@@ -155,14 +156,14 @@
       route: buildRoute({ kind: this.#kind, timeoutMs: 5000 }),
       service: { name: "s", maxConnections: 100 },
       configVersion: 1,
-      clientResponse: this.#buildCaller(),
+      clientResponse: this.#buildClientResponse(),
     });
   }
 
-  #buildServing(clock: RuntimeClock): CallDependencies {
-    const readModel = new PrefillTimeModel();
+  #buildDependencies(clock: RuntimeClock): CallDependencies {
+    const prefillTimeModel = new PrefillTimeModel();
     const connections = new TargetConnections();
-    connections.send = (target, request) => this.#open(target, request);
+    connections.send = (target, request) => this.#send(target, request);
     const log = new MemoryEventLog();
     const metrics = new ForwardMetrics();
     const quarantine = new RequestQuarantine();
@@ -185,12 +186,12 @@
         share: 1,
         windowMs: 10_000,
       }),
-      placer: new PromptPlacer({ model: readModel }),
+      placer: new PromptPlacer({ model: prefillTimeModel }),
       engineJitter: new EngineJitter({ vmId: "vm", drawUnit: () => 0 }),
       prefixIndex: new PrefixIndex(),
       retention: new CacheRetention(),
       countVms: () => 1,
-      prefillTimeModel: readModel,
+      prefillTimeModel,
       prefillQueue: new PrefillQueue({ clock }),
       prefillCandidateCache: new PrefillCandidateCache(),
       log,
@@ -199,14 +200,14 @@
     } as unknown as CallDependencies;
   }
 
-  #buildCaller(): ClientResponse {
-    const caller = {
+  #buildClientResponse(): ClientResponse {
+    const clientResponse = {
       isDisconnected: false,
       isHeadSent: false,
       registerDisconnectListener: () => () => undefined,
       registerDrainListener: () => undefined,
       writeHead: (status: number) => {
-        caller.isHeadSent = true;
+        clientResponse.isHeadSent = true;
         this.#status = status;
       },
       write: (bytes: Buffer) => {
@@ -225,12 +226,12 @@
         this.#isWhole = true;
       },
     };
-    return caller as unknown as ClientResponse;
+    return clientResponse as unknown as ClientResponse;
   }
 
-  #open(target: Target, request: EncodedRequest): TargetExchange {
-    const isReading = request.path === "readPrompt";
-    const step = isReading || request.path === "free"
+  #send(target: Target, request: EncodedRequest): TargetExchange {
+    const isPrefill = request.path === "readPrompt";
+    const step = isPrefill || request.path === "free"
       ? undefined
       : this.#script.shift();
     const end = step?.end ?? "ok";
@@ -239,7 +240,7 @@
       handler: Dispatcher.DispatchHandler,
     ): boolean => {
       setImmediate(() => {
-        this.#answer(target, request, end, handler);
+        this.#respond(target, request, end, handler);
         if (step?.restarts) this.#restart(target);
       });
       return true;
@@ -256,10 +257,10 @@
     const start = this.#starts.get(instance);
     if (start === undefined) return;
     this.#starts.set(instance, start + 1);
-    this.#list();
+    this.#listTargets();
   }
 
-  #answer(
+  #respond(
     target: Target,
     request: EncodedRequest,
     end: ScriptedResult,
@@ -271,13 +272,13 @@
       resume: () => undefined,
       rawHeaders: [],
     } as unknown as Dispatcher.DispatchController;
-    const isReading = request.path === "readPrompt";
+    const isPrefill = request.path === "readPrompt";
     const fail = () => handler.onResponseError?.(controller, new Error(end));
     if (end === "notSent") return void fail();
     handler.onRequestStart?.(controller, {});
     if (end === "lostBefore") return void fail();
-    const isRun = end !== "refused" && !isReading && request.path !== "free";
-    if (isRun) this.#runs.push(target.id);
+    const isRun = end !== "refused" && !isPrefill && request.path !== "free";
+    if (isRun) this.#executions.push(target.id);
     if (end === "lostAfter") return void fail();
     const status = end === "refused" ? 503 : end === "failed" ? 500 : 200;
     const headers = { "x-not-run": String(end === "refused") };
@@ -320,7 +321,7 @@
   } as unknown as CallCodec;
 }
 
-/** A guard whose list is always known. */
+/** Builds a guard whose list is always fresh. */
 function buildIdleGuard(clock: RuntimeClock): TargetListGuard {
   return new TargetListGuard({
     clock,
