--- a/packages/heatherarch-gateway/request_body.ts
+++ b/packages/heatherarch-gateway/request_body.ts
@@ -12,7 +12,10 @@
   readonly bodyTimeoutMs: number;
 }
 
-/** Reads a complete body. Rejects with {@linkcode ServeError} if it is too large, too slow or incomplete. */
+/**
+ * Reads a complete body. Rejects with {@linkcode ServeError} if the body is too large, too slow or
+ * incomplete.
+ */
 export function readRequestBody(
   req: IncomingMessage,
   limits: BodyLimits,
