--- a/packages/heatherarch-gateway/request_watch.ts
+++ b/packages/heatherarch-gateway/request_watch.ts
@@ -49,7 +49,7 @@
 
   admit(content: RequestContent, requestId: string): AdmittedRequest {
     const request = hashRequest(content);
-    const { quarantine, crashDetector: losses, clock } = this.#options;
+    const { quarantine, crashDetector, clock } = this.#options;
     const nowMs = clock.readMonotonicMs();
     const admission = quarantine.admit(request, nowMs);
     if (admission.kind === "quarantined") {
@@ -69,7 +69,7 @@
     return {
       recordLoss: (target, reason) => {
         hasLoss = true;
-        void losses.investigateLoss({
+        void crashDetector.investigateLoss({
           call: requestId,
           request,
           account: content.host,
