--- a/packages/heatherarch-targets/tests/unit/dispatch_test.ts
+++ b/packages/heatherarch-targets/tests/unit/dispatch_test.ts
@@ -25,9 +25,9 @@
   server.close();
 });
 
-function send(path: string, guard?: () => boolean, to = url) {
-  const client = new Client(to, { connect: { timeout: 500 } });
-  const sent = dispatchBuffered(client, {
+function send(path: string, guard?: () => boolean, origin = url) {
+  const client = new Client(origin, { connect: { timeout: 500 } });
+  const response = dispatchBuffered(client, {
     path,
     method: "POST",
     body: "x",
@@ -35,17 +35,17 @@
     gapMs: 1000,
     guard,
   });
-  return sent.finally(() => void client.destroy());
+  return response.finally(() => void client.destroy());
 }
 
-test("a withheld request reaches nobody", async () => {
-  const before = requests;
+test("a withheld request is not sent to the server", async () => {
+  const requestsBefore = requests;
   assert.equal((await send("/", () => false)).kind, "withheld");
   await new Promise((resolve) => setTimeout(resolve, 50));
-  assert.equal(requests, before);
+  assert.equal(requests, requestsBefore);
 });
 
-test("a refused connection is not sent; a broken answer is not called so", async () => {
+test("a refused connection is reported as notSent, a broken response as broken", async () => {
   assert.equal(
     (await send("/", undefined, "http://127.0.0.1:1")).kind,
     "notSent",
@@ -53,11 +53,11 @@
   assert.equal((await send("/break")).kind, "broken");
 });
 
-test("an answer that never comes is silent", async () => {
+test("a response that never arrives is reported as silent", async () => {
   assert.equal((await send("/never")).kind, "silent");
 });
 
-test("a whole answer is gathered", async () => {
-  const answer = await send("/");
-  assert.equal(answer.kind === "answer" && answer.body.toString(), "done");
+test("a complete response is buffered", async () => {
+  const response = await send("/");
+  assert.equal(response.kind === "answer" && response.body.toString(), "done");
 });
