--- a/packages/heatherarch-forward/fleet/config_exchange.ts
+++ b/packages/heatherarch-forward/fleet/config_exchange.ts
@@ -27,16 +27,16 @@
 
 const CONFIG_CALL = "config";
 /** Larger configurations come from the store: a hub's link would be busy with them too long. */
-const MAX_MESH_ROUTES = 100;
+const MAX_ROUTES_OVER_MESH = 100;
 /** Peers that are asked before the store. */
-const MAX_PEERS_ASKED = 3;
+const MAX_PEER_REQUESTS = 3;
 
 /** The exchange of one VM. */
 export class ConfigExchange {
   readonly #options: ConfigExchangeOptions;
   /** Peers that have a newer version than this VM, and which. */
-  readonly #holders = new Map<string, number>();
-  #isAsking = false;
+  readonly #peerVersions = new Map<string, number>();
+  #isFetching = false;
 
   constructor(options: ConfigExchangeOptions) {
     this.#options = options;
@@ -46,109 +46,100 @@
   start(): void {
     this.#options.node.registerCall(
       CONFIG_CALL,
-      (body) => Promise.resolve(this.#answer(body)),
+      (body) => Promise.resolve(this.#handleRequest(body)),
     );
   }
 
   /** A peer has this version: it is fetched if it is newer. */
   handlePeerVersion(peer: string, version: number): void {
-    const {
-      activeConfig,
-      log,
-      mustReadStore,
-    } = this.#options;
+    const { activeConfig, log, mustReadStore } = this.#options;
     if (version <= activeConfig.version) return;
-    this.#holders.set(peer, version);
-    if (this.#isAsking) return;
+    this.#peerVersions.set(peer, version);
+    if (this.#isFetching) return;
     log.write("info", "configHeard", {
       peer,
       version,
       before: activeConfig.version,
       reads: mustReadStore(),
     });
-    void this.#ask();
+    void this.#fetch();
   }
 
   /** The configuration; null for a large one, unless the peer has no other way to it. */
-  #answer(isOnlyWay: unknown): RoutingConfig | null {
+  #handleRequest(isLastResort: unknown): RoutingConfig | null {
     const config = this.#options.activeConfig.table?.config;
     if (config === undefined) return null;
-    const isLarge = config.routes.length > MAX_MESH_ROUTES;
-    return isLarge && isOnlyWay !== true ? null : config;
+    const isLarge = config.routes.length > MAX_ROUTES_OVER_MESH;
+    return isLarge && isLastResort !== true ? null : config;
   }
 
   /** Fetches a configuration that peers have and that the store has not brought in time. */
-  async #ask(): Promise<void> {
-    const {
-      configReadTiming,
-      mustReadStore,
-    } = this.#options;
-    this.#isAsking = true;
+  async #fetch(): Promise<void> {
+    const { configReadTiming, mustReadStore } = this.#options;
+    this.#isFetching = true;
     if (mustReadStore()) await sleep(configReadTiming.askPeerAfterMs);
-    if (!await this.#takeFromPeers(false)) {
-      await this.#load();
-      await this.#takeFromPeers(true);
+    if (!await this.#fetchFromPeers(false)) {
+      await this.#loadFromStore();
+      await this.#fetchFromPeers(true);
     }
-    this.#holders.clear();
-    this.#isAsking = false;
+    this.#peerVersions.clear();
+    this.#isFetching = false;
   }
 
   /** Asks peers one by one; returns whether this VM has as new a version as any of them. */
-  async #takeFromPeers(isOnlyWay: boolean): Promise<boolean> {
-    for (let asked = 0; asked < MAX_PEERS_ASKED; asked++) {
-      const peer = this.#pickHolder();
+  async #fetchFromPeers(isLastResort: boolean): Promise<boolean> {
+    for (let requests = 0; requests < MAX_PEER_REQUESTS; requests++) {
+      const peer = this.#pickNewestPeer();
       if (peer === undefined) break;
-      const hasGiven = await this.#take(peer, isOnlyWay);
+      const isFetched = await this.#fetchFrom(peer, isLastResort);
       // Any peer would withhold a large configuration; others are asked where this one failed.
-      if (hasGiven === false) return false;
-      if (hasGiven === undefined) this.#holders.delete(peer);
+      if (isFetched === false) return false;
+      if (isFetched === undefined) this.#peerVersions.delete(peer);
     }
-    return this.#pickHolder() === undefined;
+    return this.#pickNewestPeer() === undefined;
   }
 
   /** The peer with the newest version; undefined where none is newer than this VM's. */
-  #pickHolder(): string | undefined {
-    let newest = this.#options.activeConfig.version;
-    let holder: string | undefined;
-    for (const [peer, version] of this.#holders) {
-      if (version <= newest) continue;
-      newest = version;
-      holder = peer;
+  #pickNewestPeer(): string | undefined {
+    let newestVersion = this.#options.activeConfig.version;
+    let newestPeer: string | undefined;
+    for (const [peer, version] of this.#peerVersions) {
+      if (version <= newestVersion) continue;
+      newestVersion = version;
+      newestPeer = peer;
     }
-    return holder;
+    return newestPeer;
   }
 
   /** Whether the peer gave its configuration; undefined where it did not answer. */
-  async #take(peer: string, isOnlyWay: boolean): Promise<boolean | undefined> {
-    const {
-      activeConfig,
-      configReadTiming,
-      log,
-      node,
-    } = this.#options;
+  async #fetchFrom(
+    peer: string,
+    isLastResort: boolean,
+  ): Promise<boolean | undefined> {
+    const { activeConfig, configReadTiming, log, node } = this.#options;
     try {
       const config = await node.call(
         peer,
         CONFIG_CALL,
-        isOnlyWay,
+        isLastResort,
         configReadTiming.peerTimeoutMs,
       );
       if (config === null) return false;
       const { version } = config as RoutingConfig;
       activeConfig.applyConfig(config as RoutingConfig, `peer ${peer}`);
-      this.#holders.set(peer, version);
+      this.#peerVersions.set(peer, version);
       return true;
     } catch (error) {
       log.write("warn", "configNotFetched", {
         peer,
-        version: this.#holders.get(peer),
+        version: this.#peerVersions.get(peer),
         reason: (error as Error).message,
       });
       return undefined;
     }
   }
 
-  async #load(): Promise<void> {
+  async #loadFromStore(): Promise<void> {
     try {
       await this.#options.loadConfig();
     } catch (error) {
--- a/packages/heatherarch-forward/fleet/digest_cache.ts
+++ b/packages/heatherarch-forward/fleet/digest_cache.ts
@@ -16,13 +16,13 @@
   readonly countFleetVms: () => number;
 }
 
-type Sum = Pick<WorkDigest, "vms" | "work">;
+type DigestBody = Pick<WorkDigest, "vms" | "work">;
 
 /** The sums of the round in progress. */
 export class DigestCache {
   readonly #options: DigestCacheOptions;
-  #fleet: Sum | undefined;
-  #zone: Sum | undefined;
+  #fleet: DigestBody | undefined;
+  #zone: DigestBody | undefined;
 
   constructor(options: DigestCacheOptions) {
     this.#options = options;
@@ -35,11 +35,8 @@
   }
 
   /** The work of the hub's zone. */
-  getZoneDigest(nowMs: number): Sum {
-    const {
-      workTracker,
-      countZoneVms,
-    } = this.#options;
+  getZoneDigest(nowMs: number): DigestBody {
+    const { workTracker, countZoneVms } = this.#options;
     this.#zone ??= {
       vms: countZoneVms(),
       work: copyRows(workTracker.sumRows(nowMs, false)),
@@ -48,11 +45,8 @@
   }
 
   /** The work of the fleet. */
-  getFleetDigest(nowMs: number): Sum {
-    const {
-      workTracker,
-      countFleetVms,
-    } = this.#options;
+  getFleetDigest(nowMs: number): DigestBody {
+    const { workTracker, countFleetVms } = this.#options;
     this.#fleet ??= {
       vms: countFleetVms(),
       work: copyRows(workTracker.sumRows(nowMs, true)),
--- a/packages/heatherarch-forward/fleet/feed_source.ts
+++ b/packages/heatherarch-forward/fleet/feed_source.ts
@@ -25,41 +25,41 @@
 }
 
 /** A hub that has told nothing for this long is replaced: four of its heartbeats. */
-const SILENCE_MS = 500;
+const HUB_TIMEOUT_MS = 500;
 
 /** One hub as the source of the list. */
 export class FeedSource {
   readonly id: string;
-  #heardAtMs: number;
-  #hasList = false;
-  #isListLost = false;
+  #lastHeartbeatAtMs: number;
+  #hasFullList = false;
+  #isStale = false;
 
   constructor(options: FeedSourceOptions) {
     this.id = options.id;
-    this.#heardAtMs = options.sinceMs;
+    this.#lastHeartbeatAtMs = options.sinceMs;
   }
 
   /** The whole list has come from it. */
   get hasFullList(): boolean {
-    return this.#hasList;
+    return this.#hasFullList;
   }
 
   /** It said last that it can't read the list. */
   get isStale(): boolean {
-    return this.#isListLost;
+    return this.#isStale;
   }
 
   /** What this VM wants of the hub. */
   get wants(): "changes" | "all" {
-    return this.#hasList ? "changes" : "all";
+    return this.#hasFullList ? "changes" : "all";
   }
 
   recordHeartbeat(nowMs: number): void {
-    this.#heardAtMs = nowMs;
+    this.#lastHeartbeatAtMs = nowMs;
   }
 
-  isSilent(nowMs: number): boolean {
-    return nowMs - this.#heardAtMs > SILENCE_MS;
+  isTimedOut(nowMs: number): boolean {
+    return nowMs - this.#lastHeartbeatAtMs > HUB_TIMEOUT_MS;
   }
 
   /**
@@ -70,16 +70,16 @@
   handleFeed(
     feed: TargetFeed,
     nowMs: number,
-    holdsAtMs = -Infinity,
+    listValidAtMs = -Infinity,
   ): FeedUpdate | undefined {
     const ageMs = readFeedAge(feed);
-    this.#isListLost = ageMs === Infinity;
-    if (this.#isListLost) return undefined;
+    this.#isStale = ageMs === Infinity;
+    if (this.#isStale) return undefined;
     const atMs = nowMs - ageMs;
-    const hasNews = feed.isFull || feed.rows.length > 0;
-    const isOlder = hasNews && atMs < holdsAtMs;
-    if (feed.isFull || isOlder) this.#hasList = !isOlder;
-    if (!this.#hasList) return undefined;
+    const hasChanges = feed.isFull || feed.rows.length > 0;
+    const isOlder = hasChanges && atMs < listValidAtMs;
+    if (feed.isFull || isOlder) this.#hasFullList = !isOlder;
+    if (!this.#hasFullList) return undefined;
     return { validAtMs: atMs, isFull: feed.isFull, entries: decodeFeed(feed) };
   }
 }
--- a/packages/heatherarch-forward/fleet/fleet_gossip.ts
+++ b/packages/heatherarch-forward/fleet/fleet_gossip.ts
@@ -31,7 +31,7 @@
 }
 
 /** No log record takes back a mark that came from the target itself. */
-const NO_LOG = -1;
+const NO_LOG_OFFSET = -1;
 
 /** The gossip of one VM. */
 export class FleetGossip {
@@ -79,10 +79,7 @@
   #buildCrashes(cursors: LinkCursors): GossipFields {
     const { quarantine, clock } = this.#options;
     if (quarantine.isEmpty) return {};
-    const {
-      reports,
-      cursor,
-    } = quarantine.listReports(
+    const { reports, cursor } = quarantine.listReports(
       cursors.crashes,
       clock.readMonotonicMs(),
     );
@@ -92,17 +89,14 @@
   }
 
   #buildLeaving(cursors: LinkCursors): GossipFields {
-    const {
-      targetIds,
-      cursor,
-    } = this.#options.directory
+    const { targetIds, cursor } = this.#options.directory
       .listAnnouncedLeaving(cursors.leaving);
     cursors.leaving = cursor;
     if (targetIds.length === 0) return {};
     return {
       leavingTargets: targetIds.map((target) => ({
         target,
-        sinceOffset: NO_LOG,
+        sinceOffset: NO_LOG_OFFSET,
       })),
     };
   }
--- a/packages/heatherarch-forward/fleet/fleet_mesh.ts
+++ b/packages/heatherarch-forward/fleet/fleet_mesh.ts
@@ -82,19 +82,19 @@
   readonly #membership: Membership;
   readonly #node: MeshNode;
   readonly #hubs: HubExchange;
-  readonly #news: FleetGossip;
-  readonly #list: VmListFollower;
-  readonly #configs: ConfigExchange;
+  readonly #gossip: FleetGossip;
+  readonly #vmList: VmListFollower;
+  readonly #configExchange: ConfigExchange;
   /** Prompt notes told on each link so far. */
-  readonly #told = new WeakMap<Link, number>();
+  readonly #prefixCursors = new WeakMap<Link, number>();
   /** Time of the reading of the list that was last told on each link. */
-  readonly #toldReadAtMs = new WeakMap<Link, number>();
+  readonly #sentReadAtMs = new WeakMap<Link, number>();
   /** Peers that could give orders when they were last heard. */
-  readonly #orderers = new Set<string>();
-  #listed = 0;
-  #hasList = false;
-  #liveVms = 0;
-  #leaving = false;
+  readonly #orderCandidates = new Set<string>();
+  #listedCount = 0;
+  #hasVmList = false;
+  #vmCount = 0;
+  #isLeaving = false;
   readonly #undoListeners: (() => void)[] = [];
 
   constructor(options: FleetMeshOptions) {
@@ -115,14 +115,14 @@
           live: this.#membership.listLive(self.availabilityZone).length,
         }),
     });
-    this.#news = new FleetGossip(options);
-    this.#list = new VmListFollower({
+    this.#gossip = new FleetGossip(options);
+    this.#vmList = new VmListFollower({
       self,
       vms: options.vms,
       clock: options.clock,
       hasFreshFeed: () => !this.mustReadStore(),
-      onList: (listed) => this.#applyList(listed),
-      onFault: (error) => this.#noteListFault(error),
+      onList: (listed) => this.#applyVmList(listed),
+      onError: (error) => this.#logVmListError(error),
     });
     this.#node = new MeshNode({
       self,
@@ -139,11 +139,11 @@
       translate: (address) => address,
       onRound: () => this.#hubs.beginRound(),
       buildHeartbeat: (link, peer) => this.#buildHeartbeat(link, peer),
-      onLate: (standstill) => this.#noteStandstill(standstill),
+      onLate: (standstill) => this.#handleStall(standstill),
       onFault: (fault) =>
         options.log.write("debug", "meshLinkEnded", { fault }),
     });
-    this.#configs = new ConfigExchange({
+    this.#configExchange = new ConfigExchange({
       ...options,
       node: this.#node,
       mustReadStore: () => this.mustReadStore(),
@@ -152,33 +152,31 @@
 
   async start(): Promise<void> {
     this.#node.registerHeartbeatListener((heartbeat, from, waitedMs) =>
-      this.#takeHeartbeat(heartbeat, from, waitedMs)
+      this.#handleHeartbeat(heartbeat, from, waitedMs)
     );
-    this.#configs.start();
+    this.#configExchange.start();
     await this.#node.start();
-    const {
-      workTracker,
-    } = this.#options;
+    const { workTracker } = this.#options;
     this.#undoListeners.push(
       workTracker.registerOwnWorkListener(() => {
         // A hub tells sums of many VMs, which change all the time.
         if (!this.#membership.isHub) this.#node.noteNews();
       }),
-      this.#news.registerListener(() => this.#node.noteNews()),
+      this.#gossip.registerListener(() => this.#node.noteNews()),
     );
-    this.#list.start();
+    this.#vmList.start();
   }
 
   /** Tells peers that this VM is leaving. */
   async leave(): Promise<void> {
-    this.#leaving = true;
+    this.#isLeaving = true;
     this.#node.sendHeartbeats();
-    await this.#list.leave();
+    await this.#vmList.leave();
   }
 
   stop(): void {
     for (const undo of this.#undoListeners) undo();
-    this.#list.stop();
+    this.#vmList.stop();
     this.#node.stop();
   }
 
@@ -189,7 +187,7 @@
 
   /** Whether the list of VMs has been read: from then on duties are known. */
   get hasVmList(): boolean {
-    return this.#hasList;
+    return this.#hasVmList;
   }
 
   /** Whether this VM has to read the store's topics by itself. */
@@ -221,20 +219,20 @@
   listOrderCandidates(): string[] {
     const { self } = this.#options;
     return this.listLive().filter((id) =>
-      id === self.id || this.#orderers.has(id)
+      id === self.id || this.#orderCandidates.has(id)
     );
   }
 
   /** To be called some times a second: counts VMs, and looks at their list when it is time. */
   tick(): void {
     this.updateVmCount();
-    this.#list.tick();
+    this.#vmList.tick();
   }
 
-  #applyList(listed: readonly VmRecord[]): void {
-    this.#listed = listed.length;
+  #applyVmList(listed: readonly VmRecord[]): void {
+    this.#listedCount = listed.length;
     this.#membership.noteListed(listed);
-    this.#hasList = true;
+    this.#hasVmList = true;
     this.updateVmCount();
   }
 
@@ -243,38 +241,36 @@
     const live = this.#membership.hasHubs
       ? this.#hubs.liveVms
       : this.listLive().length;
-    const count = Math.max(this.#listed, live);
-    if (count === this.#liveVms) return;
+    const count = Math.max(this.#listedCount, live);
+    if (count === this.#vmCount) return;
     this.#options.log.write("info", "vmsCounted", {
-      listed: this.#listed,
+      listed: this.#listedCount,
       live,
-      before: this.#liveVms,
+      before: this.#vmCount,
     });
-    this.#liveVms = count;
+    this.#vmCount = count;
     this.#options.onLiveVms(count);
   }
 
   #buildHeartbeat(link: Link, peer: LinkIdentity): Heartbeat | undefined {
-    const {
-      activeConfig,
-      mayOrder,
-    } = this.#options;
-    const parts = this.#membership.hasHubs
+    const { activeConfig, mayOrder } = this.#options;
+    const fields = this.#membership.hasHubs
       ? this.#hubs.buildFields(link, peer)
-      : this.#buildMeshParts(link);
-    const news = this.#news.buildFields(link);
-    const isEmpty = parts === undefined && Object.keys(news).length === 0;
-    if (isEmpty && !this.#leaving) return undefined;
+      : this.#buildMeshFields(link);
+    const gossipFields = this.#gossip.buildFields(link);
+    const isEmpty = fields === undefined &&
+      Object.keys(gossipFields).length === 0;
+    if (isEmpty && !this.#isLeaving) return undefined;
     return {
       kind: "heartbeat",
       configOffset: activeConfig.version,
       controlOffset: -1,
       intervalMs: Math.round(this.#node.intervalMs),
-      leaving: this.#leaving,
+      leaving: this.#isLeaving,
       mayOrder: mayOrder(),
       ...this.#buildListAge(link),
-      ...news,
-      ...parts,
+      ...gossipFields,
+      ...fields,
     };
   }
 
@@ -282,27 +278,19 @@
   #buildListAge(link: Link): Pick<Heartbeat, "listAgeMs"> {
     const { clock, getListReadAtMs } = this.#options;
     const readAtMs = getListReadAtMs();
-    if (readAtMs <= (this.#toldReadAtMs.get(link) ?? -Infinity)) return {};
-    this.#toldReadAtMs.set(link, readAtMs);
+    if (readAtMs <= (this.#sentReadAtMs.get(link) ?? -Infinity)) return {};
+    this.#sentReadAtMs.set(link, readAtMs);
     return { listAgeMs: Math.round(clock.readMonotonicMs() - readAtMs) };
   }
 
   /** What is told on a link of two VMs without hubs: own work, and notes since the last time. */
-  #buildMeshParts(link: Link): Partial<Heartbeat> {
-    const {
-      workTracker,
-      prefixIndex,
-      clock,
-      listChangingRole,
-    } = this.#options;
+  #buildMeshFields(link: Link): Partial<Heartbeat> {
+    const { workTracker, prefixIndex, clock, listChangingRole } = this.#options;
     const changing = listChangingRole();
-    const {
-      updates,
-      cursor,
-    } = prefixIndex.listUpdates(
-      this.#told.get(link) ?? 0,
+    const { updates, cursor } = prefixIndex.listUpdates(
+      this.#prefixCursors.get(link) ?? 0,
     );
-    this.#told.set(link, cursor);
+    this.#prefixCursors.set(link, cursor);
     return {
       work: workTracker.listOwnRows(clock.readMonotonicMs())
         .map((row): [string, number, number, ...number[]] => [...row]),
@@ -313,16 +301,16 @@
     };
   }
 
-  #takeHeartbeat(
+  #handleHeartbeat(
     heartbeat: Heartbeat,
     from: LinkIdentity,
     waitedMs: number,
   ): void {
     if (this.#membership.hasHubs) this.#hubs.handle(heartbeat, from, waitedMs);
-    else this.#takeMeshParts(heartbeat, from);
-    this.#news.handle(heartbeat, waitedMs);
-    if (heartbeat.mayOrder) this.#orderers.add(from.id);
-    else this.#orderers.delete(from.id);
+    else this.#handleMeshFields(heartbeat, from);
+    this.#gossip.handle(heartbeat, waitedMs);
+    if (heartbeat.mayOrder) this.#orderCandidates.add(from.id);
+    else this.#orderCandidates.delete(from.id);
     if (heartbeat.listAgeMs !== undefined) {
       const { clock, onPeerListRead } = this.#options;
       onPeerListRead(clock.readMonotonicMs() - heartbeat.listAgeMs - waitedMs);
@@ -330,15 +318,11 @@
     if (heartbeat.changing !== undefined) {
       this.#options.onChangingRole(heartbeat.changing[1]);
     }
-    this.#configs.handlePeerVersion(from.id, heartbeat.configOffset);
+    this.#configExchange.handlePeerVersion(from.id, heartbeat.configOffset);
   }
 
-  #takeMeshParts(heartbeat: Heartbeat, from: LinkIdentity): void {
-    const {
-      workTracker,
-      prefixIndex,
-      clock,
-    } = this.#options;
+  #handleMeshFields(heartbeat: Heartbeat, from: LinkIdentity): void {
+    const { workTracker, prefixIndex, clock } = this.#options;
     const nowMs = clock.readMonotonicMs();
     if (heartbeat.prompts !== undefined) {
       prefixIndex.applyPeerUpdates(heartbeat.prompts, nowMs);
@@ -349,7 +333,7 @@
   }
 
   /** What was known before a standstill is older by the time that the clock did not count. */
-  #noteStandstill({ lateMs, uncountedMs }: Standstill): void {
+  #handleStall({ lateMs, uncountedMs }: Standstill): void {
     this.#hubs.addUncountedMs(uncountedMs);
     this.#options.onLoopStall(lateMs);
     this.#options.log.write("warn", "loopLate", {
@@ -358,7 +342,7 @@
     });
   }
 
-  #noteListFault(error: unknown): void {
+  #logVmListError(error: unknown): void {
     this.#options.log.write("warn", "vmListFault", {
       reason: (error as Error).message,
     });
--- a/packages/heatherarch-forward/fleet/hub_exchange.ts
+++ b/packages/heatherarch-forward/fleet/hub_exchange.ts
@@ -74,34 +74,34 @@
 }
 
 /** The sum of a zone from a hub that has told none for this long may come from another one. */
-const ZONE_SILENCE_MS = 500;
+const ZONE_TIMEOUT_MS = 500;
 /** Own heartbeats that are remembered until a sum counts them in: some three seconds at least. */
-const MAX_SENT = 64;
-const FLEET = "hub sum of the fleet";
+const MAX_SENT_HEARTBEATS = 64;
+const FLEET_WORK_KEY = "hub sum of the fleet";
 
 /** The exchange of one VM with the hubs, or as a hub. */
 export class HubExchange {
   readonly #options: HubExchangeOptions;
   /** Notes on prompts told on each link so far. */
-  readonly #told = new WeakMap<Link, number>();
-  readonly #peers = new PeerSubscriptions();
-  readonly #zones = new Map<string, ZoneSource>();
-  readonly #relief: ListFallback;
-  readonly #list: TargetListRelay;
-  readonly #sent = new Map<number, readonly WorkRow[]>();
+  readonly #prefixCursors = new WeakMap<Link, number>();
+  readonly #subscriptions = new PeerSubscriptions();
+  readonly #zoneSources = new Map<string, ZoneSource>();
+  readonly #fallback: ListFallback;
+  readonly #listRelay: TargetListRelay;
+  readonly #sentWork = new Map<number, readonly WorkRow[]>();
   #beat = 0;
   #wasHub = false;
   #source: FeedSource | undefined;
-  #fleetVms = 1;
+  #fleetVmCount = 1;
   /** Time for which the heartbeat that is being taken in may have waited, milliseconds. */
   #waitedMs = 0;
-  readonly #sums: DigestCache;
+  readonly #digests: DigestCache;
 
   constructor(options: HubExchangeOptions) {
     this.#options = options;
-    this.#relief = new ListFallback(options);
-    this.#list = new TargetListRelay(options);
-    this.#sums = new DigestCache({
+    this.#fallback = new ListFallback(options);
+    this.#listRelay = new TargetListRelay(options);
+    this.#digests = new DigestCache({
       workTracker: options.workTracker,
       countZoneVms: () => this.#countZoneVms(),
       countFleetVms: () => this.liveVms,
@@ -110,9 +110,9 @@
 
   /** Live VMs of the fleet as far as this VM can tell. */
   get liveVms(): number {
-    if (!this.#options.membership.isHub) return this.#fleetVms;
+    if (!this.#options.membership.isHub) return this.#fleetVmCount;
     let count = this.#countZoneVms();
-    for (const { vms } of this.#zones.values()) count += vms;
+    for (const { vms } of this.#zoneSources.values()) count += vms;
     return count;
   }
 
@@ -125,79 +125,82 @@
   hasFreshFeed(nowMs: number): boolean {
     const { membership } = this.#options;
     if (membership.isHub || this.#source?.hasFullList !== true) return false;
-    return this.#list.isFresh(nowMs);
+    return this.#listRelay.isFresh(nowMs);
   }
 
   /** Monotonic time for which a hub's word on the list of targets held. */
   get feedValidAtMs(): number {
-    return this.#list.validAtMs;
+    return this.#listRelay.validAtMs;
   }
 
   /** The monotonic clock did not count so many milliseconds: a hub's word is as much older. */
   addUncountedMs(uncountedMs: number): void {
-    this.#list.addUncountedMs(uncountedMs);
+    this.#listRelay.addUncountedMs(uncountedMs);
   }
 
   /** To be called once before each round of heartbeats. */
   beginRound(): void {
     const nowMs = this.#nowMs;
     const { membership } = this.#options;
-    this.#sums.invalidate();
-    this.#dropSilentPeers(nowMs);
+    this.#digests.invalidate();
+    this.#dropExpiredPeers(nowMs);
     const { isHub } = membership;
-    if (isHub !== this.#wasHub) this.#noteDuty(isHub);
-    if (isHub) this.#relief.tick(nowMs);
-    else this.#tendSource(nowMs);
+    if (isHub !== this.#wasHub) this.#handleHubChange(isHub);
+    if (isHub) this.#fallback.tick(nowMs);
+    else this.#updateSource(nowMs);
     this.#beat++;
-    this.#sent.set(this.#beat, this.#options.workTracker.listOwnRows(nowMs));
-    this.#sent.delete(this.#beat - MAX_SENT);
+    this.#sentWork.set(
+      this.#beat,
+      this.#options.workTracker.listOwnRows(nowMs),
+    );
+    this.#sentWork.delete(this.#beat - MAX_SENT_HEARTBEATS);
   }
 
   /** What a heartbeat tells one peer; undefined where it tells nothing. */
   buildFields(link: Link, peer: LinkIdentity): HubFields | undefined {
-    const parts = this.#buildParts(link, peer);
-    if (parts === undefined) return undefined;
+    const fields = this.#buildWorkFields(link, peer);
+    if (fields === undefined) return undefined;
     const { directory, listChangingRole } = this.#options;
     // Two hubs that passed on to each other what they hear would never forget it.
-    const changing = parts.digest?.scope === "fleet"
+    const changing = fields.digest?.scope === "fleet"
       ? directory.listChangingRole(this.#nowMs)
       : listChangingRole();
     return changing.length === 0
-      ? parts
-      : { ...parts, changing: [0, [...changing]] };
+      ? fields
+      : { ...fields, changing: [0, [...changing]] };
   }
 
-  #buildParts(link: Link, peer: LinkIdentity): HubFields | undefined {
+  #buildWorkFields(link: Link, peer: LinkIdentity): HubFields | undefined {
     const { self, membership } = this.#options;
-    const isNear = peer.availabilityZone === self.availabilityZone;
+    const isSameZone = peer.availabilityZone === self.availabilityZone;
     if (!membership.isHub) {
       const wants = this.#source?.id === peer.id
         ? this.#source.wants
         : "nothing";
-      return { ...this.#buildOwn(link), wants };
+      return { ...this.#buildOwnFields(link), wants };
     }
-    const state = this.#peers.find(peer.incarnation);
+    const state = this.#subscriptions.find(peer.incarnation);
     const isServed = state !== undefined && state.wants !== "nothing";
-    if (isNear && isServed) return this.#buildFleet(link, state);
-    if (isNear && !this.#isHubPeer(peer)) return undefined;
-    const parts = isNear
-      ? this.#buildOwn(link)
-      : { ...this.#buildZone(link, isServed), wants: "changes" as const };
-    return { ...parts, ...this.#buildRelief(link, peer, state) };
+    if (isSameZone && isServed) return this.#buildFleetFields(link, state);
+    if (isSameZone && !this.#isHubPeer(peer)) return undefined;
+    const fields = isSameZone
+      ? this.#buildOwnFields(link)
+      : { ...this.#buildZoneFields(link, isServed), wants: "changes" as const };
+    return { ...fields, ...this.#buildFallbackFields(link, peer, state) };
   }
 
   /** What a hub asks of another one for itself, and tells one that asks. */
-  #buildRelief(
+  #buildFallbackFields(
     link: Link,
     peer: LinkIdentity,
     state: PeerSubscription | undefined,
   ): HubFields {
-    const asked = this.#relief.findSource(peer.id);
+    const fallback = this.#fallback.findSource(peer.id);
     const wanted = state?.listWanted;
     return {
-      ...(asked === undefined ? {} : { listWanted: asked.wants }),
+      ...(fallback === undefined ? {} : { listWanted: fallback.wants }),
       ...(wanted === undefined ? {} : {
-        targets: this.#list.buildFeed(
+        targets: this.#listRelay.buildFeed(
           link,
           this.#options.getListAgeMs(),
           wanted === "all",
@@ -211,149 +214,159 @@
     const nowMs = this.#nowMs;
     this.#waitedMs = waitedMs;
     const { self, membership } = this.#options;
-    const isNear = from.availabilityZone === self.availabilityZone;
-    this.#sums.invalidate();
-    this.#peers.handleHeartbeat(heartbeat, from, isNear, nowMs);
-    if (membership.isHub) this.#takeAsHub(heartbeat, from, isNear, nowMs);
+    const isSameZone = from.availabilityZone === self.availabilityZone;
+    this.#digests.invalidate();
+    this.#subscriptions.handleHeartbeat(heartbeat, from, isSameZone, nowMs);
+    if (membership.isHub) this.#handleAsHub(heartbeat, from, isSameZone, nowMs);
     else if (this.#source?.id === from.id) {
-      this.#takeFromSource(this.#source, heartbeat, nowMs);
+      this.#handleFromSource(this.#source, heartbeat, nowMs);
     }
   }
 
-  #takeAsHub(
+  #handleAsHub(
     heartbeat: Heartbeat,
     from: LinkIdentity,
-    isNear: boolean,
+    isSameZone: boolean,
     nowMs: number,
   ): void {
-    const {
-      workTracker,
-      prefixIndex,
-    } = this.#options;
-    const relief = this.#relief.findSource(from.id);
-    if (relief !== undefined && heartbeat.targets !== undefined) {
-      relief.recordHeartbeat(nowMs);
+    const { workTracker, prefixIndex } = this.#options;
+    const fallback = this.#fallback.findSource(from.id);
+    if (fallback !== undefined && heartbeat.targets !== undefined) {
+      fallback.recordHeartbeat(nowMs);
       // One that asks the hubs in turn would tell of each loss again and again.
-      this.#list.handleFeed(relief, heartbeat.targets, nowMs - this.#waitedMs);
+      this.#listRelay.handleFeed(
+        fallback,
+        heartbeat.targets,
+        nowMs - this.#waitedMs,
+      );
     }
     if (heartbeat.prompts !== undefined) {
       prefixIndex.applyPeerUpdates(
         heartbeat.prompts,
         nowMs,
-        isNear ? "zone" : "fleet",
+        isSameZone ? "zone" : "fleet",
       );
     }
-    if (!isNear) {
+    if (!isSameZone) {
       if (heartbeat.digest !== undefined) {
-        this.#takeZone(heartbeat.digest, from, nowMs);
+        this.#handleZoneDigest(heartbeat.digest, from, nowMs);
       }
       return;
     }
     if (heartbeat.work === undefined) return;
     workTracker.setPeerWork(from.id, heartbeat.work, nowMs);
-    this.#peers.setCounted(from.incarnation, heartbeat.beat);
+    this.#subscriptions.setCounted(from.incarnation, heartbeat.beat);
   }
 
   /** The sum of another zone; of its hubs the one that covers more VMs is heard. */
-  #takeZone(digest: WorkDigest, from: LinkIdentity, nowMs: number): void {
+  #handleZoneDigest(
+    digest: WorkDigest,
+    from: LinkIdentity,
+    nowMs: number,
+  ): void {
     const zone = from.availabilityZone;
-    const known = this.#zones.get(zone);
+    const known = this.#zoneSources.get(zone);
     const isStale = known === undefined ||
-      nowMs - known.atMs > ZONE_SILENCE_MS;
-    const isBetter = isStale || known.peer === from.id ||
+      nowMs - known.atMs > ZONE_TIMEOUT_MS;
+    const isPreferred = isStale || known.peer === from.id ||
       digest.vms > known.vms;
-    if (!isBetter) return;
-    this.#zones.set(zone, { peer: from.id, vms: digest.vms, atMs: nowMs });
+    if (!isPreferred) return;
+    this.#zoneSources.set(zone, {
+      peer: from.id,
+      vms: digest.vms,
+      atMs: nowMs,
+    });
     this.#options.workTracker.setPeerWork(
-      nameZone(zone),
+      buildZoneWorkKey(zone),
       digest.work,
       nowMs,
       "gathered",
     );
   }
 
-  #takeFromSource(
+  #handleFromSource(
     source: FeedSource,
     heartbeat: Heartbeat,
     nowMs: number,
   ): void {
-    const {
-      workTracker,
-      prefixIndex,
-    } = this.#options;
+    const { workTracker, prefixIndex } = this.#options;
     source.recordHeartbeat(nowMs);
     if (heartbeat.prompts !== undefined) {
       prefixIndex.applyPeerUpdates(heartbeat.prompts, nowMs);
     }
     const { digest, targets } = heartbeat;
     if (digest !== undefined) {
-      this.#fleetVms = digest.vms;
-      const own = this.#sent.get(digest.counted) ?? [];
+      this.#fleetVmCount = digest.vms;
+      const own = this.#sentWork.get(digest.counted) ?? [];
       const rows = subtractRows(digest.work, own);
-      workTracker.setPeerWork(FLEET, rows, nowMs, "gathered");
+      workTracker.setPeerWork(FLEET_WORK_KEY, rows, nowMs, "gathered");
     }
     if (targets === undefined) return;
-    const wasLost = source.isStale;
-    this.#list.handleFeed(source, targets, nowMs - this.#waitedMs);
-    if (source.isStale && !wasLost) this.#options.onListStale(source.id);
+    const wasStale = source.isStale;
+    this.#listRelay.handleFeed(source, targets, nowMs - this.#waitedMs);
+    if (source.isStale && !wasStale) this.#options.onListStale(source.id);
   }
 
   /** This VM's own work and notes, as every VM tells them. */
-  #buildOwn(link: Link): HubFields {
+  #buildOwnFields(link: Link): HubFields {
     return {
       beat: this.#beat,
-      work: copyRows(this.#sent.get(this.#beat) ?? []),
-      ...this.#buildNotes(link, "own"),
+      work: copyRows(this.#sentWork.get(this.#beat) ?? []),
+      ...this.#buildPrefixUpdates(link, "own"),
     };
   }
 
   /** The sum of this hub's zone, for a hub of another zone. */
-  #buildZone(link: Link, isServed: boolean): HubFields {
+  #buildZoneFields(link: Link, isServed: boolean): HubFields {
     if (!isServed) return {};
     return {
       digest: {
         scope: "zone",
         counted: NO_HEARTBEAT,
-        ...this.#sums.getZoneDigest(this.#nowMs),
+        ...this.#digests.getZoneDigest(this.#nowMs),
       },
-      ...this.#buildNotes(link, "zone"),
+      ...this.#buildPrefixUpdates(link, "zone"),
     };
   }
 
   /** The sum over the fleet and the list of targets, for a VM of this zone. */
-  #buildFleet(link: Link, peer: PeerSubscription): HubFields {
-    const isWhole = peer.wants === "all";
-    if (isWhole) peer.wants = "changes";
+  #buildFleetFields(link: Link, peer: PeerSubscription): HubFields {
+    const isFull = peer.wants === "all";
+    if (isFull) peer.wants = "changes";
     return {
       digest: {
         scope: "fleet",
         counted: peer.counted,
-        ...this.#sums.getFleetDigest(this.#nowMs),
+        ...this.#digests.getFleetDigest(this.#nowMs),
       },
-      targets: this.#list.buildFeed(link, this.#list.getAgeMs(), isWhole),
-      ...this.#buildNotes(link, "fleet"),
+      targets: this.#listRelay.buildFeed(
+        link,
+        this.#listRelay.getAgeMs(),
+        isFull,
+      ),
+      ...this.#buildPrefixUpdates(link, "fleet"),
     };
   }
 
-  #buildNotes(link: Link, scope: UpdateScope): Pick<HubFields, "prompts"> {
-    const {
-      updates,
-      cursor,
-    } = this.#options.prefixIndex
-      .listUpdates(this.#told.get(link) ?? 0, scope);
-    this.#told.set(link, cursor);
-    return updates.length === 0 ? {} : { prompts: updates.map(copyNote) };
+  #buildPrefixUpdates(
+    link: Link,
+    scope: UpdateScope,
+  ): Pick<HubFields, "prompts"> {
+    const { updates, cursor } = this.#options.prefixIndex
+      .listUpdates(this.#prefixCursors.get(link) ?? 0, scope);
+    this.#prefixCursors.set(link, cursor);
+    return updates.length === 0 ? {} : { prompts: updates.map(copyUpdate) };
   }
 
   /** Keeps the source while it tells, and takes the next hub when it does not. */
-  #tendSource(nowMs: number): void {
+  #updateSource(nowMs: number): void {
     const { membership, self } = this.#options;
     const live = new Set(membership.listLive(self.availabilityZone));
     const hubs = membership.pickLinkPeers()
       .map((member) => member.id)
       .filter((id) => live.has(id));
     const source = this.#source;
-    const isKept = source !== undefined && !source.isSilent(nowMs) &&
+    const isKept = source !== undefined && !source.isTimedOut(nowMs) &&
       hubs.includes(source.id);
     if (isKept) return;
     const others = hubs.filter((id) => id !== source?.id);
@@ -369,26 +382,24 @@
   }
 
   /** Sums that others keep for this VM are not mixed with those that it keeps itself. */
-  #noteDuty(isHub: boolean): void {
-    const {
-      workTracker,
-    } = this.#options;
+  #handleHubChange(isHub: boolean): void {
+    const { workTracker } = this.#options;
     this.#wasHub = isHub;
     if (isHub) {
-      workTracker.forgetPeer(FLEET);
+      workTracker.forgetPeer(FLEET_WORK_KEY);
       this.#source = undefined;
       return;
     }
     workTracker.forgetAllPeers();
-    this.#zones.clear();
-    this.#relief.clear();
+    this.#zoneSources.clear();
+    this.#fallback.clear();
   }
 
-  #dropSilentPeers(nowMs: number): void {
+  #dropExpiredPeers(nowMs: number): void {
     const { membership } = this.#options;
-    membership.noteServing(this.#peers.dropSilent(nowMs));
-    for (const [zone, { atMs }] of this.#zones) {
-      if (nowMs - atMs > PEER_TIMEOUT_MS) this.#zones.delete(zone);
+    membership.noteServing(this.#subscriptions.dropExpired(nowMs));
+    for (const [zone, { atMs }] of this.#zoneSources) {
+      if (nowMs - atMs > PEER_TIMEOUT_MS) this.#zoneSources.delete(zone);
     }
   }
 
@@ -402,10 +413,10 @@
   }
 }
 
-function nameZone(zone: string): string {
+function buildZoneWorkKey(zone: string): string {
   return `hub sum of zone ${zone}`;
 }
 
-function copyNote(note: PrefixUpdate): [string, string, number] {
-  return [...note];
+function copyUpdate(update: PrefixUpdate): [string, string, number] {
+  return [...update];
 }
--- a/packages/heatherarch-forward/fleet/list_fallback.ts
+++ b/packages/heatherarch-forward/fleet/list_fallback.ts
@@ -41,7 +41,7 @@
     if (getListAgeMs() <= maxListAgeMs) return this.clear();
     const source = this.#source;
     const isKept = source !== undefined && !source.isStale &&
-      !source.isSilent(nowMs);
+      !source.isTimedOut(nowMs);
     if (isKept) return;
     const hubs = this.#listOtherHubs();
     const next = hubs.findIndex((id) => id === source?.id) + 1;
@@ -61,11 +61,11 @@
     const { membership, self } = this.#options;
     const hubs = membership.pickLinkPeers()
       .filter((member) => member.status === "live");
-    const isNear = (hub: { availabilityZone: string }): boolean =>
+    const isSameZone = (hub: { availabilityZone: string }): boolean =>
       hub.availabilityZone === self.availabilityZone;
     return [
-      ...hubs.filter(isNear),
-      ...hubs.filter((hub) => !isNear(hub)),
+      ...hubs.filter(isSameZone),
+      ...hubs.filter((hub) => !isSameZone(hub)),
     ].map(({ id }) => id);
   }
 }
--- a/packages/heatherarch-forward/fleet/peer_subscriptions.ts
+++ b/packages/heatherarch-forward/fleet/peer_subscriptions.ts
@@ -23,10 +23,10 @@
 
 /** Peers by incarnation. */
 export class PeerSubscriptions {
-  readonly #peers = new Map<string, PeerSubscription>();
+  readonly #subscriptions = new Map<string, PeerSubscription>();
 
   find(incarnation: string): PeerSubscription | undefined {
-    return this.#peers.get(incarnation);
+    return this.#subscriptions.get(incarnation);
   }
 
   /** Takes in what a heartbeat asks for. */
@@ -36,7 +36,7 @@
     isNear: boolean,
     nowMs: number,
   ): void {
-    this.#peers.set(from.incarnation, {
+    this.#subscriptions.set(from.incarnation, {
       wants: heartbeat.wants ?? "nothing",
       listWanted: heartbeat.listWanted,
       counted: this.find(from.incarnation)?.counted ?? NO_HEARTBEAT,
@@ -47,16 +47,16 @@
 
   /** The work that a peer told with its heartbeat `beat` is counted in. */
   setCounted(incarnation: string, beat: number | undefined): void {
-    const state = this.find(incarnation);
-    if (state !== undefined) state.counted = beat ?? NO_HEARTBEAT;
+    const subscription = this.find(incarnation);
+    if (subscription !== undefined) subscription.counted = beat ?? NO_HEARTBEAT;
   }
 
   /** Drops peers that are silent; returns whether one of this zone takes this VM for its hub. */
-  dropSilent(nowMs: number): boolean {
+  dropExpired(nowMs: number): boolean {
     let isServing = false;
-    for (const [incarnation, peer] of this.#peers) {
+    for (const [incarnation, peer] of this.#subscriptions) {
       if (nowMs - peer.heardAtMs > PEER_TIMEOUT_MS) {
-        this.#peers.delete(incarnation);
+        this.#subscriptions.delete(incarnation);
       } else if (peer.isSameZone && peer.wants !== "nothing") isServing = true;
     }
     return isServing;
--- a/packages/heatherarch-forward/fleet/target_list_relay.ts
+++ b/packages/heatherarch-forward/fleet/target_list_relay.ts
@@ -32,7 +32,7 @@
   readonly #options: TargetListRelayOptions;
   /** Cursors behind what was told on each link; none until it was given the whole list. */
   readonly #cursors = new WeakMap<Link, number>();
-  #atMs = -Infinity;
+  #validAtMs = -Infinity;
 
   constructor(options: TargetListRelayOptions) {
     this.#options = options;
@@ -40,40 +40,40 @@
 
   /** Monotonic time for which a hub's word on the list held. */
   get validAtMs(): number {
-    return this.#atMs;
+    return this.#validAtMs;
   }
 
   /** Whether a hub's word is young enough to rely on. */
   isFresh(nowMs: number): boolean {
-    return nowMs - this.#atMs <= this.#options.maxListAgeMs;
+    return nowMs - this.#validAtMs <= this.#options.maxListAgeMs;
   }
 
   /** The monotonic clock did not count so many milliseconds: a hub's word is as much older. */
   addUncountedMs(uncountedMs: number): void {
-    this.#atMs -= uncountedMs;
+    this.#validAtMs -= uncountedMs;
   }
 
   /** Age of the list, read by this VM itself or told by a hub, milliseconds. */
   getAgeMs(): number {
     const { clock, getListAgeMs } = this.#options;
-    return Math.min(getListAgeMs(), clock.readMonotonicMs() - this.#atMs);
+    return Math.min(getListAgeMs(), clock.readMonotonicMs() - this.#validAtMs);
   }
 
   /** Takes in the list as `source` told it at `toldAtMs`. */
-  handleFeed(source: FeedSource, feed: TargetFeed, toldAtMs: number): void {
+  handleFeed(source: FeedSource, feed: TargetFeed, sentAtMs: number): void {
     const { directory, applyTargets } = this.#options;
-    const news = source.handleFeed(feed, toldAtMs, directory.validAtMs);
-    if (news === undefined) return;
-    this.#atMs = news.validAtMs;
-    if (news.isFull || news.entries.length > 0) {
-      applyTargets(news.entries, news.isFull);
+    const update = source.handleFeed(feed, sentAtMs, directory.validAtMs);
+    if (update === undefined) return;
+    this.#validAtMs = update.validAtMs;
+    if (update.isFull || update.entries.length > 0) {
+      applyTargets(update.entries, update.isFull);
     }
   }
 
   /** The list, all of it or what changed since the last time; nothing of one that is too old. */
-  buildFeed(link: Link, ageMs: number, isWhole: boolean): TargetFeed {
+  buildFeed(link: Link, ageMs: number, isFull: boolean): TargetFeed {
     const { directory, maxListAgeMs } = this.#options;
-    if (isWhole) this.#cursors.delete(link);
+    if (isFull) this.#cursors.delete(link);
     if (ageMs > maxListAgeMs) return encodeFeed(Infinity, undefined);
     const changes = directory.listChanges(this.#cursors.get(link));
     this.#cursors.set(link, changes.cursor);
--- a/packages/heatherarch-forward/fleet/vm_list_follower.ts
+++ b/packages/heatherarch-forward/fleet/vm_list_follower.ts
@@ -16,25 +16,25 @@
   /** Whether hubs tell this VM of the fleet: it has little use for the list then. */
   readonly hasFreshFeed: () => boolean;
   readonly onList: (listed: readonly VmRecord[]) => void;
-  readonly onFault: (error: unknown) => void;
+  readonly onError: (error: unknown) => void;
 }
 
 /** All VMs start together: the list is looked at again soon, then rarely. */
-const EARLY_LOOKS_MS = [1000, 2500, 4000];
-const LOOK_MS = 12_000;
-const FED_LOOK_MS = 60_000;
+const STARTUP_POLL_INTERVALS_MS = [1000, 2500, 4000];
+const POLL_INTERVAL_MS = 12_000;
+const FED_POLL_INTERVAL_MS = 60_000;
 /** Peers don't know a VM that is not listed: it tries again soon. */
-const UNLISTED_LOOK_MS = 1000;
+const UNLISTED_POLL_INTERVAL_MS = 1000;
 
 /** The task that follows the list of VMs. */
 export class VmListFollower {
   readonly #options: VmListFollowerOptions;
   #stopped = false;
   #isAnnounced = false;
-  #looks = 0;
-  #lookedAtMs = 0;
+  #pollCount = 0;
+  #polledAtMs = 0;
   /** Ends the rest before the next look. */
-  #endRest: (() => void) | undefined;
+  #endPause: (() => void) | undefined;
 
   constructor(options: VmListFollowerOptions) {
     this.#options = options;
@@ -46,19 +46,19 @@
 
   stop(): void {
     this.#stopped = true;
-    this.#endRest?.();
+    this.#endPause?.();
   }
 
   /** To be called some times a second: looks when it is time. */
   tick(): void {
-    const restedMs = this.#options.clock.readMonotonicMs() - this.#lookedAtMs;
+    const pausedMs = this.#options.clock.readMonotonicMs() - this.#polledAtMs;
     // A VM that hubs tell no more looks soon, although it had put that off.
-    if (restedMs >= this.#pickRestMs()) this.#endRest?.();
+    if (pausedMs >= this.#pickPauseMs()) this.#endPause?.();
   }
 
   /** Takes this VM off the list. */
   async leave(): Promise<void> {
-    const { vms, self, onFault } = this.#options;
+    const { vms, self, onError: onFault } = this.#options;
     try {
       await vms.put(self.id, undefined);
     } catch (error) {
@@ -69,15 +69,15 @@
   async #run(): Promise<void> {
     while (!this.#stopped) {
       try {
-        await this.#look();
+        await this.#poll();
       } catch (error) {
-        this.#options.onFault(error);
+        this.#options.onError(error);
       }
-      await this.#rest();
+      await this.#pause();
     }
   }
 
-  async #look(): Promise<void> {
+  async #poll(): Promise<void> {
     const { vms, self, onList } = this.#options;
     if (!this.#isAnnounced) await vms.put(self.id, self);
     this.#isAnnounced = true;
@@ -85,19 +85,19 @@
     onList(entries.map(({ value }) => value).filter((vm) => vm !== undefined));
   }
 
-  async #rest(): Promise<void> {
+  async #pause(): Promise<void> {
     if (this.#stopped) return;
-    this.#lookedAtMs = this.#options.clock.readMonotonicMs();
+    this.#polledAtMs = this.#options.clock.readMonotonicMs();
     await new Promise<void>((resolve) => {
-      this.#endRest = resolve;
+      this.#endPause = resolve;
     });
-    this.#endRest = undefined;
-    this.#looks++;
+    this.#endPause = undefined;
+    this.#pollCount++;
   }
 
-  #pickRestMs(): number {
-    if (!this.#isAnnounced) return UNLISTED_LOOK_MS;
-    if (this.#options.hasFreshFeed()) return FED_LOOK_MS;
-    return EARLY_LOOKS_MS[this.#looks] ?? LOOK_MS;
+  #pickPauseMs(): number {
+    if (!this.#isAnnounced) return UNLISTED_POLL_INTERVAL_MS;
+    if (this.#options.hasFreshFeed()) return FED_POLL_INTERVAL_MS;
+    return STARTUP_POLL_INTERVALS_MS[this.#pollCount] ?? POLL_INTERVAL_MS;
   }
 }
--- a/packages/heatherarch-forward/tasks/cache_survey.ts
+++ b/packages/heatherarch-forward/tasks/cache_survey.ts
@@ -29,7 +29,7 @@
 }
 
 /** Time for the first links to peers, which may know already, milliseconds. */
-const SETTLE_MS = 400;
+const STARTUP_DELAY_MS = 400;
 /** Time for an answer and for telling it to the VMs whose turn comes later, milliseconds. */
 const TURN_MS = 200;
 const MAX_TURNS = 5;
@@ -45,42 +45,38 @@
 
   /** Asks the engines that no VM has surveyed, when this VM's turn comes, if it takes part. */
   async run(isCoordinator: () => boolean = () => true): Promise<void> {
-    await sleep(SETTLE_MS);
+    await sleep(STARTUP_DELAY_MS);
     if (!isCoordinator()) return;
     await Promise.all(
       this.#options.listPrefillEngines().map((engine) =>
-        this.#askInTurn(engine)
+        this.#surveyInTurn(engine)
       ),
     );
   }
 
-  async #askInTurn(engine: Target): Promise<void> {
-    const {
-      listParticipants,
-      vmId,
-      prefixIndex,
-    } = this.#options;
-    const order = pickRendezvous(engine.id, listParticipants(), MAX_TURNS);
-    const turn = order.indexOf(vmId);
+  async #surveyInTurn(engine: Target): Promise<void> {
+    const { listParticipants, vmId, prefixIndex } = this.#options;
+    const ranking = pickRendezvous(engine.id, listParticipants(), MAX_TURNS);
+    const turn = ranking.indexOf(vmId);
     await sleep((turn < 0 ? MAX_TURNS : turn) * TURN_MS);
     if (prefixIndex.isSurveyed(engine.id)) return;
-    await this.#ask(engine);
+    await this.#survey(engine);
   }
 
-  async #ask(engine: Target): Promise<void> {
+  async #survey(engine: Target): Promise<void> {
     const { codec, prefixIndex, events, clock } = this.#options;
     const request = codec.encodeCacheListRequest(engine);
-    const answer = await sendEngineRequest(this.#options, engine, request);
-    if (answer?.status !== HTTP_OK) return;
-    const ids = codec.decodeCacheList(answer.body);
+    const response = await sendEngineRequest(this.#options, engine, request);
+    if (response?.status !== HTTP_OK) return;
+    const prefixIds = codec.decodeCacheList(response.body);
     prefixIndex.markSurveyed(engine.id);
     const nowMs = clock.readMonotonicMs();
-    for (const id of ids ?? []) {
+    for (const id of prefixIds ?? []) {
       prefixIndex.recordHolder(id, engine.id, "read", nowMs);
     }
     events.write("info", "cacheSurveyed", {
       target: engine.id,
-      parts: ids?.length,
+      parts: prefixIds?.length,
     });
   }
 }
--- a/packages/heatherarch-forward/tasks/engine_request.ts
+++ b/packages/heatherarch-forward/tasks/engine_request.ts
@@ -22,26 +22,26 @@
 }
 
 /** An engine answers such a request without a slot; a second is hundreds of times its usual time. */
-const TIMEOUT_MS = 1000;
+const REQUEST_TIMEOUT_MS = 1000;
 const MAX_BODY_BYTES = 1024 * 1024;
 
 /** Asks an engine; undefined where there was no answer. */
 export async function sendEngineRequest(
-  means: EngineRequestContext,
+  context: EngineRequestContext,
   target: Target,
   request: EncodedRequest,
 ): Promise<EngineResponse | undefined> {
-  const exchange = means.connections.send(target, request);
+  const exchange = context.connections.send(target, request);
   const timer = setTimeout(
     () => exchange.abort("no answer of the engine"),
-    TIMEOUT_MS,
+    REQUEST_TIMEOUT_MS,
   );
   try {
     const { status } = await exchange.head;
     return { status, body: await exchange.readBody(MAX_BODY_BYTES) };
   } catch (error) {
     if (!(error instanceof ExchangeError)) throw error;
-    means.events.write("warn", "engineUnanswered", {
+    context.events.write("warn", "engineUnanswered", {
       target: target.id,
       path: request.path,
       reason: error.message,
--- a/packages/heatherarch-forward/tasks/ingress.ts
+++ b/packages/heatherarch-forward/tasks/ingress.ts
@@ -36,11 +36,11 @@
   idleTimeoutMs: 15_000,
 };
 /** Head size that the parser takes at most; the configured limit is checked besides. */
-const PARSER_HEADER_BYTES = 64 * 1024;
+const MAX_PARSER_HEADER_BYTES = 64 * 1024;
 /** How often slow heads are looked for, milliseconds. */
-const SLOW_CHECK_MS = 500;
+const SLOW_HEAD_CHECK_INTERVAL_MS = 500;
 /** Connections that may wait to be accepted; a burst of callers must not lose its SYNs. */
-const BACKLOG = 1024;
+const ACCEPT_BACKLOG = 1024;
 
 /** Accepts calls. */
 export class Ingress {
@@ -48,34 +48,34 @@
   readonly #http: Server;
   #limits = INITIAL_LIMITS;
   #draining = false;
-  #open = 0;
+  #openCalls = 0;
 
   constructor(options: IngressOptions) {
     this.#options = options;
     this.#http = createServer({
-      maxHeaderSize: PARSER_HEADER_BYTES,
-      connectionsCheckingInterval: SLOW_CHECK_MS,
+      maxHeaderSize: MAX_PARSER_HEADER_BYTES,
+      connectionsCheckingInterval: SLOW_HEAD_CHECK_INTERVAL_MS,
       noDelay: true,
     });
     this.#http.on("request", (request, response) => {
-      void this.#take(request, response);
+      void this.#handleRequest(request, response);
     });
     this.#http.on("clientError", (error, socket) => {
-      this.#refuseBytes(error as NodeJS.ErrnoException, socket as Socket);
+      this.#handleClientError(error as NodeJS.ErrnoException, socket as Socket);
     });
     this.applyLimits(INITIAL_LIMITS);
   }
 
   /** Calls whose answer is not out yet. */
   get openCalls(): number {
-    return this.#open;
+    return this.#openCalls;
   }
 
   async start(): Promise<void> {
     const { host, port } = this.#options;
     await new Promise<void>((resolve, reject) => {
       this.#http.once("error", reject);
-      this.#http.listen({ host, port, backlog: BACKLOG }, resolve);
+      this.#http.listen({ host, port, backlog: ACCEPT_BACKLOG }, resolve);
     });
   }
 
@@ -103,22 +103,27 @@
     this.#http.closeAllConnections();
   }
 
-  async #take(
+  async #handleRequest(
     request: IncomingMessage,
     response: ServerResponse,
   ): Promise<void> {
-    this.#open++;
-    response.once("close", () => this.#open--);
+    this.#openCalls++;
+    response.once("close", () => this.#openCalls--);
     if (this.#draining) response.setHeader("Connection", "close");
     const arrivedAtMs = this.#options.clock.readMonotonicMs();
-    const caller = new ClientResponse(response);
+    const clientResponse = new ClientResponse(response);
     try {
       const head = this.#readHead(request, arrivedAtMs);
       const body = await readBody(request, this.#limits.maxBodyBytes);
       if (body === undefined) return;
-      await this.#options.server.serve({ ...head, body }, caller);
+      await this.#options.server.serve({ ...head, body }, clientResponse);
     } catch (error) {
-      this.#rejectHead(request, response, caller, toServeError(error));
+      this.#rejectRequest(
+        request,
+        response,
+        clientResponse,
+        toServeError(error),
+      );
     }
   }
 
@@ -140,15 +145,15 @@
     });
   }
 
-  #rejectHead(
+  #rejectRequest(
     request: IncomingMessage,
     response: ServerResponse,
-    caller: ClientResponse,
+    clientResponse: ClientResponse,
     error: ServeError,
   ): void {
     // What is left of the request can't be told from a next one.
     if (!request.complete) response.setHeader("Connection", "close");
-    caller.fail(error, "");
+    clientResponse.fail(error, "");
     this.#options.log.write("warn", "callRejected", {
       kind: error.kind,
       reason: error.message,
@@ -157,7 +162,7 @@
   }
 
   /** Answers bytes that are no request, or one that came too slowly. */
-  #refuseBytes(error: NodeJS.ErrnoException, socket: Socket): void {
+  #handleClientError(error: NodeJS.ErrnoException, socket: Socket): void {
     const status = CLIENT_ERROR_STATUS[error.code ?? ""] ?? "400 Bad Request";
     if (socket.writable && socket.bytesWritten === 0) {
       socket.end(
--- a/packages/heatherarch-forward/tasks/quarantine_persistence.ts
+++ b/packages/heatherarch-forward/tasks/quarantine_persistence.ts
@@ -22,12 +22,12 @@
 }
 
 /** First delay of the exponential backoff, milliseconds. */
-const RETRY_MS = 500;
+const INITIAL_RETRY_MS = 500;
 const MAX_WRITE_RETRY_MS = 8000;
 /** After a restart of all VMs nobody else tells what is held back. */
 const MAX_LOAD_RETRY_MS = 1000;
 /** Tries of a write; running VMs know the request without it. */
-const MAX_WRITES = 5;
+const MAX_WRITE_ATTEMPTS = 5;
 
 /** The task that loads and stores quarantined requests. */
 export class QuarantinePersistence {
@@ -56,7 +56,7 @@
 
   async #load(): Promise<void> {
     const { topic, quarantine, clock } = this.#options;
-    await this.#retry("load", Infinity, async () => {
+    await this.#runWithRetry("load", Infinity, async () => {
       const { entries } = await topic.load();
       const notes = entries.flatMap(({ key, value }) =>
         value === undefined ? [] : this.#buildNotes(key, value)
@@ -70,44 +70,52 @@
     { account, lives, atUnixMs }: QuarantineRecord,
   ): CrashReport[] {
     const ageMs = Math.max(0, this.#options.clock.readWallMs() - atUnixMs);
-    return lives.map((life): CrashReport => [request, account, life, 1, ageMs]);
+    return lives.map((
+      incarnation,
+    ): CrashReport => [request, account, incarnation, 1, ageMs]);
   }
 
   async #write({ kind, request }: QuarantineChange): Promise<void> {
     const { topic, quarantine, clock } = this.#options;
     const nowMs = clock.readMonotonicMs();
-    const held = quarantine.findQuarantined(request, nowMs);
+    const entry = quarantine.findQuarantined(request, nowMs);
     // Cleared in the meantime; that change removes the record.
-    if (kind === "held" && held === undefined) return;
-    const record = held === undefined ? undefined : {
-      account: held.account,
-      lives: held.lives,
-      atUnixMs: clock.readWallMs() - (nowMs - held.sinceMs),
+    if (kind === "held" && entry === undefined) return;
+    const record = entry === undefined ? undefined : {
+      account: entry.account,
+      lives: entry.lives,
+      atUnixMs: clock.readWallMs() - (nowMs - entry.sinceMs),
     };
-    await this.#retry("write", MAX_WRITES, () => topic.put(request, record));
+    await this.#runWithRetry(
+      "write",
+      MAX_WRITE_ATTEMPTS,
+      () => topic.put(request, record),
+    );
   }
 
-  async #retry(
+  async #runWithRetry(
     action: "load" | "write",
-    maxTries: number,
+    maxAttempts: number,
     run: () => Promise<void>,
   ): Promise<void> {
-    for (let tries = 1; !this.#isStopped; tries++) {
+    for (let attempt = 1; !this.#isStopped; attempt++) {
       try {
         await run();
         return;
       } catch (error) {
-        const isLast = tries >= maxTries;
+        const isLast = attempt >= maxAttempts;
         this.#options.log.write(isLast ? "warn" : "info", "quarantineNotKept", {
           action,
-          tries,
+          tries: attempt,
           reason: (error as Error).message,
         });
         if (isLast) return;
         const maxRetryMs = action === "load"
           ? MAX_LOAD_RETRY_MS
           : MAX_WRITE_RETRY_MS;
-        await sleep(Math.min(maxRetryMs, RETRY_MS * 2 ** (tries - 1)));
+        await sleep(
+          Math.min(maxRetryMs, INITIAL_RETRY_MS * 2 ** (attempt - 1)),
+        );
       }
     }
   }
--- a/packages/heatherarch-forward/tasks/role_controller.ts
+++ b/packages/heatherarch-forward/tasks/role_controller.ts
@@ -54,14 +54,14 @@
 
 const CONTROL_STREAM = "control.roles";
 /** Pause between looks at the plan, milliseconds. */
-const LOOK_MS = 300;
+const POLL_INTERVAL_MS = 300;
 /** The same for a VM that usually gives no orders: it waits some seconds for those that do. */
-const IDLE_LOOK_MS = 1000;
+const SPARE_POLL_INTERVAL_MS = 1000;
 /**
  * No engine has come for this long before orders are given: each one reports every 1.2 s, so the
  * list fills up for that long.
  */
-const SETTLE_MS = 1500;
+const LIST_SETTLE_MS = 1500;
 /**
  * A VM leaves this much time to each VM before it: a look, a claim, the orders, and a heartbeat
  * that tells of them. Should two act at once, the lease decides.
@@ -70,17 +70,17 @@
 /** Further wait of a VM that usually gives no orders: all that do must have failed. */
 const SPARE_TURN_MS = 6000;
 /** A lease without anything to do is given up after this time, milliseconds. */
-const IDLE_MS = 2000;
+const MAX_IDLE_LEASE_MS = 2000;
 /** Two reports of a target, so that its new role has been listed. */
-const REPORT_MS = 2600;
+const REPORT_WAIT_MS = 2600;
 /** Drift of monotonic clocks within a lease, milliseconds. */
 const DRIFT_MS = 200;
 /** Wall and monotonic time that part by more than this hint at a suspended machine. */
-const MAX_CLOCK_PART_MS = 150;
+const MAX_CLOCK_DIVERGENCE_MS = 150;
 const HTTP_OK = 200;
 const HTTP_FENCED = 412;
 
-interface Campaign {
+interface LeaseSession {
   readonly machine: LeaseStateMachine;
   readAtMs: number;
   idleSinceMs: number;
@@ -92,14 +92,14 @@
   /** Engines whose change has been ordered, with the role and the end of the wait for it. */
   readonly #pending = new Map<string, { role: TargetRole; untilMs: number }>();
   #state = EMPTY_CONTROL_STATE;
-  #campaign: Campaign | undefined;
+  #session: LeaseSession | undefined;
   #wantedSinceMs = Infinity;
   #engineCount = -1;
-  #countSinceMs = 0;
+  #countGrewAtMs = 0;
   #stopped = false;
-  #campaigns = 0;
+  #sessionCount = 0;
   /** Wall minus monotonic time when the campaign began. */
-  #clockPartMs = 0;
+  #clockOffsetMs = 0;
 
   constructor(options: RoleControllerOptions) {
     this.#options = options;
@@ -112,7 +112,7 @@
   /** Ends the task and gives the lease up. */
   async stop(): Promise<void> {
     this.#stopped = true;
-    await this.#resign("stopping").catch((error) => this.#noteFault(error));
+    await this.#resign("stopping").catch((error) => this.#logError(error));
   }
 
   /**
@@ -131,12 +131,10 @@
       try {
         await this.#step();
       } catch (error) {
-        this.#noteFault(error);
+        this.#logError(error);
       }
-      const {
-        isCoordinator = () => true,
-      } = this.#options;
-      await sleep(isCoordinator() ? LOOK_MS : IDLE_LOOK_MS);
+      const { isCoordinator = () => true } = this.#options;
+      await sleep(isCoordinator() ? POLL_INTERVAL_MS : SPARE_POLL_INTERVAL_MS);
     }
   }
 
@@ -145,28 +143,23 @@
     const changes = this.#plan(nowMs);
     if (changes.length === 0) {
       this.#wantedSinceMs = Infinity;
-      await this.#restIfIdle(nowMs);
+      await this.#resignIfIdle(nowMs);
       return;
     }
     this.#wantedSinceMs = Math.min(this.#wantedSinceMs, nowMs);
-    if (nowMs - this.#wantedSinceMs < this.#computeTurnMs()) return;
-    const campaign = this.#campaign ?? this.#begin();
-    campaign.idleSinceMs = nowMs;
-    await this.#readControl(campaign);
-    await this.#appendAll(campaign);
-    await this.#readControl(campaign);
+    if (nowMs - this.#wantedSinceMs < this.#computeTurnDelayMs()) return;
+    const session = this.#session ?? this.#beginSession();
+    session.idleSinceMs = nowMs;
+    await this.#readControlStream(session);
+    await this.#appendLeaseRecords(session);
+    await this.#readControlStream(session);
     for (const change of changes) {
-      if (!(await this.#order(campaign, change))) return;
+      if (!(await this.#sendOrder(session, change))) return;
     }
   }
 
   #plan(nowMs: number): RoleChange[] {
-    const {
-      activeConfig,
-      directory,
-      health,
-      isListCurrent,
-    } = this.#options;
+    const { activeConfig, directory, health, isListCurrent } = this.#options;
     const { table } = activeConfig;
     if (table === undefined || !isListCurrent()) return [];
     const changes: RoleChange[] = [];
@@ -183,14 +176,14 @@
       }));
     }
     // Engines that go are replaced at once; those that come may be followed by more.
-    if (count > this.#engineCount) this.#countSinceMs = nowMs;
+    if (count > this.#engineCount) this.#countGrewAtMs = nowMs;
     this.#engineCount = count;
-    return nowMs - this.#countSinceMs < SETTLE_MS ? [] : changes;
+    return nowMs - this.#countGrewAtMs < LIST_SETTLE_MS ? [] : changes;
   }
 
   #applyPending(target: Target, nowMs: number): Target {
     const pending = this.#pending.get(target.id);
-    if (pending === undefined) return this.#applyChanging(target, nowMs);
+    if (pending === undefined) return this.#applyPeerOrder(target, nowMs);
     if (target.role === pending.role || nowMs > pending.untilMs) {
       this.#pending.delete(target.id);
       return target;
@@ -199,7 +192,7 @@
   }
 
   /** An engine that another VM has ordered to change counts in its new role. */
-  #applyChanging(target: Target, nowMs: number): Target {
+  #applyPeerOrder(target: Target, nowMs: number): Target {
     if (!this.#options.directory.hasRoleChange(target.id, nowMs)) return target;
     return {
       ...target,
@@ -208,7 +201,7 @@
   }
 
   /** Time to wait for the VMs whose turn comes first. */
-  #computeTurnMs(): number {
+  #computeTurnDelayMs(): number {
     const { vmId, listOrderCandidates, isCoordinator = () => true } =
       this.#options;
     const ownWeight = computeRendezvousWeight(CONTROL_STREAM, vmId);
@@ -218,30 +211,30 @@
     return before.length * TURN_MS + (isCoordinator() ? 0 : SPARE_TURN_MS);
   }
 
-  #begin(): Campaign {
+  #beginSession(): LeaseSession {
     const { vmId, incarnation, leaseMs } = this.#options;
-    this.#clockPartMs = this.#readClockPart();
+    this.#clockOffsetMs = this.#computeClockOffsetMs();
     const machine = new LeaseStateMachine({
       vm: vmId,
       // A claim of an earlier campaign is another's claim, whose silence is waited for.
-      incarnation: `${incarnation}.${this.#campaigns++}`,
+      incarnation: `${incarnation}.${this.#sessionCount++}`,
       durationMs: leaseMs,
       driftMs: DRIFT_MS,
       renewMs: leaseMs / 3,
       createId: () => createId("order"),
     });
     machine.loadState(this.#state, this.#nowMs);
-    const campaign = { machine, readAtMs: -Infinity, idleSinceMs: this.#nowMs };
-    this.#campaign = campaign;
+    const session = { machine, readAtMs: -Infinity, idleSinceMs: this.#nowMs };
+    this.#session = session;
     this.#options.events.write("info", "leaseSought", {
       stream: CONTROL_STREAM,
       offset: this.#state.offset,
     });
-    return campaign;
+    return session;
   }
 
-  async #readControl(campaign: Campaign): Promise<void> {
-    const { machine } = campaign;
+  async #readControlStream(session: LeaseSession): Promise<void> {
+    const { machine } = session;
     while (true) {
       const sentAtMs = this.#nowMs;
       const from = machine.state.offset + 1;
@@ -260,13 +253,13 @@
       }
       this.#state = machine.state;
       if (!verdict.current) continue;
-      campaign.readAtMs = sentAtMs;
+      session.readAtMs = sentAtMs;
       return;
     }
   }
 
-  async #appendAll(campaign: Campaign): Promise<void> {
-    const actions = campaign.machine.tick(this.#nowMs, campaign.readAtMs);
+  async #appendLeaseRecords(session: LeaseSession): Promise<void> {
+    const actions = session.machine.tick(this.#nowMs, session.readAtMs);
     for (const { record } of actions) await this.#append(record);
   }
 
@@ -275,26 +268,29 @@
   }
 
   /** Gives one order; false where no further one may be given now. */
-  async #order(campaign: Campaign, change: RoleChange): Promise<boolean> {
+  async #sendOrder(
+    session: LeaseSession,
+    change: RoleChange,
+  ): Promise<boolean> {
     const { target, role } = change;
     const { codec, vmId, activeConfig } = this.#options;
     const report = await this.#readReport(target);
     if (report === undefined || report.isChangingRole) return true;
     // The list is older than the engine's start: its count of orders is not this life's.
-    if (isOtherLife(report, target)) return true;
+    if (isOtherIncarnation(report, target)) return true;
     if (report.role === role) return true;
-    if (!this.#hasAuthority(campaign)) return false;
-    const { fencing } = campaign.machine;
+    if (!this.#hasAuthority(session)) return false;
+    const { fencing } = session.machine;
     const { ordersTaken } = report;
     const order = { target, role, holder: vmId, fencing, ordersTaken };
     const traits = activeConfig.table?.findService(target.service)?.engine;
-    const untilMs = this.#nowMs + (traits?.roleChangeMs ?? 0) + REPORT_MS;
+    const untilMs = this.#nowMs + (traits?.roleChangeMs ?? 0) + REPORT_WAIT_MS;
     this.#pending.set(target.id, { role, untilMs });
     const request = codec.encodeRoleOrder(order);
-    const answer = await sendEngineRequest(this.#options, target, request);
+    const response = await sendEngineRequest(this.#options, target, request);
     // Without an answer it may have been accepted: the expected count makes a repetition harmless.
-    this.#noteOrder(order, answer?.status ?? "unanswered");
-    if (answer?.status !== HTTP_FENCED) return true;
+    this.#logOrder(order, response?.status ?? "unanswered");
+    if (response?.status !== HTTP_FENCED) return true;
     // Another VM holds the lease now; this token is never used again.
     this.#pending.delete(target.id);
     await this.#resign("fenced");
@@ -303,16 +299,16 @@
 
   async #readReport(target: Target): Promise<EngineReport | undefined> {
     const { codec } = this.#options;
-    const answer = await sendEngineRequest(
+    const response = await sendEngineRequest(
       this.#options,
       target,
       codec.encodeReportRequest(target),
     );
-    if (answer?.status !== HTTP_OK) return undefined;
-    return codec.decodeReport(answer.body);
+    if (response?.status !== HTTP_OK) return undefined;
+    return codec.decodeReport(response.body);
   }
 
-  #noteOrder(order: RoleOrder, outcome: number | string): void {
+  #logOrder(order: RoleOrder, outcome: number | string): void {
     this.#options.metrics.orders.inc({ outcome: String(outcome) });
     this.#options.events.write("info", "roleOrdered", {
       target: order.target.id,
@@ -324,40 +320,42 @@
   }
 
   /** A suspended machine's monotonic clock stands still, so a lease could outlive its time. */
-  #hasAuthority(campaign: Campaign): boolean {
-    const parted = Math.abs(this.#readClockPart() - this.#clockPartMs);
-    if (parted > MAX_CLOCK_PART_MS) {
-      this.#campaign = undefined;
+  #hasAuthority(session: LeaseSession): boolean {
+    const divergenceMs = Math.abs(
+      this.#computeClockOffsetMs() - this.#clockOffsetMs,
+    );
+    if (divergenceMs > MAX_CLOCK_DIVERGENCE_MS) {
+      this.#session = undefined;
       this.#options.events.write("warn", "leaseDropped", {
         reason: "wall and monotonic time parted",
-        partedMs: Math.round(parted),
+        partedMs: Math.round(divergenceMs),
       });
       return false;
     }
-    return campaign.machine.hasAuthority(this.#nowMs);
+    return session.machine.hasAuthority(this.#nowMs);
   }
 
-  async #restIfIdle(nowMs: number): Promise<void> {
-    const campaign = this.#campaign;
-    if (campaign === undefined) return;
-    if (nowMs - campaign.idleSinceMs < IDLE_MS) return;
+  async #resignIfIdle(nowMs: number): Promise<void> {
+    const session = this.#session;
+    if (session === undefined) return;
+    if (nowMs - session.idleSinceMs < MAX_IDLE_LEASE_MS) return;
     await this.#resign("nothing to change");
   }
 
   async #resign(reason: string): Promise<void> {
-    const campaign = this.#campaign;
-    if (campaign === undefined) return;
-    this.#campaign = undefined;
+    const session = this.#session;
+    if (session === undefined) return;
+    this.#session = undefined;
     this.#options.events.write("info", "leaseGivenUp", {
       reason,
-      fencing: campaign.machine.fencing,
+      fencing: session.machine.fencing,
     });
-    for (const { record } of campaign.machine.resign()) {
+    for (const { record } of session.machine.resign()) {
       await this.#append(record);
     }
   }
 
-  #readClockPart(): number {
+  #computeClockOffsetMs(): number {
     const { clock } = this.#options;
     return clock.readWallMs() - clock.readMonotonicMs();
   }
@@ -366,7 +364,7 @@
     return this.#options.clock.readMonotonicMs();
   }
 
-  #noteFault(error: unknown): void {
+  #logError(error: unknown): void {
     this.#options.events.write("warn", "roleKeeperFault", {
       reason: (error as Error).message,
     });
@@ -374,7 +372,7 @@
 }
 
 /** Whether an engine's report is of another life than the list's; unknown starts tell nothing. */
-function isOtherLife(report: EngineReport, target: Target): boolean {
+function isOtherIncarnation(report: EngineReport, target: Target): boolean {
   const isKnown = report.startedAtMs !== undefined &&
     target.startedAtMs !== undefined;
   return isKnown && report.startedAtMs !== target.startedAtMs;
--- a/packages/heatherarch-forward/tasks/status_server.ts
+++ b/packages/heatherarch-forward/tasks/status_server.ts
@@ -33,7 +33,7 @@
 
   constructor(options: StatusServerOptions) {
     this.#options = options;
-    this.#app.use((context) => this.#answer(context));
+    this.#app.use((context) => this.#handleRequest(context));
     this.#app.silent = true;
   }
 
@@ -58,7 +58,7 @@
     }
   }
 
-  async #answer(context: Context): Promise<void> {
+  async #handleRequest(context: Context): Promise<void> {
     const { metrics, readinessPath, metricsPath, isReady } = this.#options;
     const isForOperators = this.#operatorPorts.has(
       context.req.socket.localPort,
@@ -70,18 +70,22 @@
       context.type = metrics.registry.contentType;
       context.body = await metrics.registry.metrics();
     } else if (isForOperators && context.path.startsWith(QUARANTINE_PATH)) {
-      this.#answerQuarantine(context);
+      this.#handleQuarantine(context);
     }
   }
 
-  #answerQuarantine(context: Context): void {
+  #handleQuarantine(context: Context): void {
     const { quarantine, clock } = this.#options;
     const nowMs = clock.readMonotonicMs();
     const request = context.path.slice(QUARANTINE_PATH.length + 1);
     if (context.method === "GET" && request === "") {
-      const unixMs = clock.readWallMs() - nowMs;
-      const held = quarantine.listQuarantined(nowMs);
-      context.body = { quarantined: held.map((one) => describe(one, unixMs)) };
+      const unixOffsetMs = clock.readWallMs() - nowMs;
+      const entries = quarantine.listQuarantined(nowMs);
+      context.body = {
+        quarantined: entries.map((entry) =>
+          formatQuarantined(entry, unixOffsetMs)
+        ),
+      };
     } else if (context.method === "DELETE" && request !== "") {
       context.status = quarantine.clear(request, nowMs) ? 204 : 404;
     }
@@ -89,15 +93,15 @@
 }
 
 /** A quarantine with its times as a clock on the wall shows them. */
-function describe(
+function formatQuarantined(
   { request, account, lives, sinceMs, untilMs }: QuarantinedRequest,
-  unixMs: number,
+  unixOffsetMs: number,
 ) {
   return {
     request,
     account,
     endedTargets: lives,
-    since: new Date(unixMs + sinceMs).toISOString(),
-    until: new Date(unixMs + untilMs).toISOString(),
+    since: new Date(unixOffsetMs + sinceMs).toISOString(),
+    until: new Date(unixOffsetMs + untilMs).toISOString(),
   };
 }
--- a/packages/heatherarch-forward/tasks/store_reader.ts
+++ b/packages/heatherarch-forward/tasks/store_reader.ts
@@ -31,7 +31,7 @@
   /** Monotonic time for which a hub's word on the list held; -Infinity without one. */
   readonly getFeedValidAtMs: () => number;
   /** Whether the process has stood still since a monotonic time. */
-  readonly hasStoodStillSince: (atMs: number) => boolean;
+  readonly hasStalledSince: (atMs: number) => boolean;
   readonly clock: Clock;
   readonly log: EventLog;
   readonly metrics: ForwardMetrics;
@@ -52,33 +52,33 @@
 /** Follows the two topics of the store. */
 export class StoreReader {
   readonly #options: StoreReaderOptions;
-  readonly #configs: TopicFollower<RoutingConfig>;
-  readonly #targets: TopicFollower<Target>;
+  readonly #configFollower: TopicFollower<RoutingConfig>;
+  readonly #targetFollower: TopicFollower<Target>;
 
   constructor(options: StoreReaderOptions) {
     this.#options = options;
-    this.#configs = this.#buildConfigFollower();
-    this.#targets = this.#buildTargetFollower();
+    this.#configFollower = this.#buildConfigFollower();
+    this.#targetFollower = this.#buildTargetFollower();
   }
 
   start(): void {
-    this.#configs.start();
-    this.#targets.start();
+    this.#configFollower.start();
+    this.#targetFollower.start();
   }
 
   stop(): void {
-    this.#configs.stop();
-    this.#targets.stop();
+    this.#configFollower.stop();
+    this.#targetFollower.stop();
   }
 
   /** Whether this VM itself reads the list of targets without fault. */
   get isListCurrent(): boolean {
-    return this.#targets.isCurrent;
+    return this.#targetFollower.isCurrent;
   }
 
   /** Monotonic time at which this VM itself last read the list without fault. */
   get listReadAtMs(): number {
-    return this.#targets.readAtMs;
+    return this.#targetFollower.readAtMs;
   }
 
   /** Age of what this VM knows of the list, by its own reading or a hub's, milliseconds. */
@@ -90,38 +90,38 @@
 
   /** Age of what this VM itself has read of the list of targets, milliseconds. */
   getListAgeMs(): number {
-    return this.#targets.getAgeMs(this.#options.clock.readMonotonicMs());
+    return this.#targetFollower.getAgeMs(this.#options.clock.readMonotonicMs());
   }
 
   /** Reads or rests; {@linkcode TopicFollower.setCoordinator} says what a VM without duty does. */
-  setActive(isActive: boolean, hasDuty: boolean): void {
-    if (isActive !== this.#targets.isActive) {
+  setActive(isActive: boolean, isCoordinator: boolean): void {
+    if (isActive !== this.#targetFollower.isActive) {
       this.#options.log.write("info", "storeReading", { isActive });
     }
-    for (const follower of [this.#configs, this.#targets]) {
-      follower.setCoordinator(hasDuty);
+    for (const follower of [this.#configFollower, this.#targetFollower]) {
+      follower.setCoordinator(isCoordinator);
       follower.setActive(isActive);
     }
   }
 
   /** Reads the list of targets now, where this VM reads it. */
   refreshList(): void {
-    this.#targets.refresh();
+    this.#targetFollower.refresh();
   }
 
   /** Reads the configuration once. Throws where the store does not answer. */
   async loadConfig(): Promise<void> {
     const { configTopic, clock } = this.#options;
-    const askedAtMs = clock.readMonotonicMs();
+    const sentAtMs = clock.readMonotonicMs();
     const { entries } = await configTopic.load();
-    this.#applyConfigs(entries, askedAtMs);
+    this.#applyConfigs(entries, sentAtMs);
   }
 
   /** Takes in what a hub tells of the list of targets. */
   applyTargets(entries: readonly KeyedEntry<Target>[], isFull: boolean): void {
     const { directory, getFeedValidAtMs } = this.#options;
     directory.applyFeed(entries, isFull, getFeedValidAtMs());
-    this.#noteTargets(entries, "hub");
+    this.#recordTargets(entries, "hub");
   }
 
   /** A hub that this VM relied on can't read the store, which says nothing of the store. */
@@ -132,12 +132,15 @@
     });
   }
 
-  #applyList(entries: readonly KeyedEntry<Target>[], askedAtMs: number): void {
+  #applyList(
+    entries: readonly KeyedEntry<Target>[],
+    sentAtMs: number,
+  ): void {
     const { directory, clock } = this.#options;
     const before = new Set(directory.listMissing());
-    directory.applyList(entries, clock.readMonotonicMs(), askedAtMs);
+    directory.applyList(entries, clock.readMonotonicMs(), sentAtMs);
     const kept = directory.listMissing().filter((id) => !before.has(id));
-    this.#noteTargets(
+    this.#recordTargets(
       [...entries, ...kept.map((key) => ({ key }))],
       "store",
     );
@@ -145,17 +148,17 @@
 
   #applyChanges(
     entries: readonly KeyedEntry<Target>[],
-    askedAtMs: number,
+    sentAtMs: number,
   ): void {
     const { directory, clock } = this.#options;
-    directory.applyChanges(entries, clock.readMonotonicMs(), askedAtMs);
-    this.#noteTargets(entries, "store");
+    directory.applyChanges(entries, clock.readMonotonicMs(), sentAtMs);
+    this.#recordTargets(entries, "store");
   }
 
   /** A reading that timed out while the process stood still says nothing of the store. */
-  #noteFailure(askedAtMs: number): void {
-    const { directory, log, hasStoodStillSince } = this.#options;
-    if (hasStoodStillSince(askedAtMs) || !directory.recordReadFailure()) return;
+  #handleReadFailure(sentAtMs: number): void {
+    const { directory, log, hasStalledSince } = this.#options;
+    if (hasStalledSince(sentAtMs) || !directory.recordReadFailure()) return;
     log.write("warn", "listNotRead", {
       ageMs: Math.round(this.getEffectiveListAgeMs()),
     });
@@ -166,8 +169,8 @@
       this.#options;
     const apply = (
       entries: readonly KeyedEntry<RoutingConfig>[],
-      askedAtMs: number,
-    ): void => this.#applyConfigs(entries, askedAtMs);
+      sentAtMs: number,
+    ): void => this.#applyConfigs(entries, sentAtMs);
     return new TopicFollower({
       name: "configs",
       clock,
@@ -190,24 +193,22 @@
       log,
       pollMs: targetPollMs,
       waitMs: 0,
-      onList: (entries, askedAtMs) => this.#applyList(entries, askedAtMs),
-      onChanges: (entries, askedAtMs) => this.#applyChanges(entries, askedAtMs),
+      onList: (entries, sentAtMs) => this.#applyList(entries, sentAtMs),
+      onChanges: (entries, sentAtMs) => this.#applyChanges(entries, sentAtMs),
       onUnreadable: () => metrics.entriesUnreadable.inc(),
-      onFailed: (askedAtMs) => this.#noteFailure(askedAtMs),
+      onFailed: (sentAtMs) => this.#handleReadFailure(sentAtMs),
     });
   }
 
   #applyConfigs(
     entries: readonly KeyedEntry<RoutingConfig>[],
-    askedAtMs: number,
+    sentAtMs: number,
   ): void {
-    const {
-      activeConfig,
-    } = this.#options;
+    const { activeConfig } = this.#options;
     for (const { value } of entries) {
       if (value !== undefined) activeConfig.applyConfig(value, "store");
     }
-    activeConfig.recordStoreRead(askedAtMs);
+    activeConfig.recordStoreRead(sentAtMs);
   }
 
   /** Drops what was learned of targets that are gone, with a line for each. */
@@ -216,7 +217,7 @@
     const dropped = directory.takeDropped();
     if (dropped.length === 0) return;
     for (const id of dropped) {
-      this.#forget(id);
+      this.#forgetTarget(id);
       this.#logLeaving("targetLeaving", id, source);
     }
     connections.closeAllExcept(
@@ -224,14 +225,9 @@
     );
   }
 
-  #forget(target: string): void {
-    const {
-      prefixIndex,
-      health,
-      backoffs,
-      prefillTimeModel,
-      engineJitter,
-    } = this.#options;
+  #forgetTarget(target: string): void {
+    const { prefixIndex, health, backoffs, prefillTimeModel, engineJitter } =
+      this.#options;
     backoffs.forget(target);
     prefixIndex.forgetTarget(target);
     health.forget(target);
@@ -240,7 +236,7 @@
   }
 
   /** A line for each target that leaves, or that is used although it is listed no more. */
-  #noteTargets(
+  #recordTargets(
     entries: readonly KeyedEntry<Target>[],
     source: LeavingSource,
   ): void {
--- a/packages/heatherarch-forward/tasks/topic_follower.ts
+++ b/packages/heatherarch-forward/tasks/topic_follower.ts
@@ -24,16 +24,16 @@
   /** Called with what a read told, and the monotonic time at which it was asked for. */
   readonly onList: (
     entries: readonly KeyedEntry<T>[],
-    askedAtMs: number,
+    sentAtMs: number,
   ) => void;
   readonly onChanges: (
     entries: readonly KeyedEntry<T>[],
-    askedAtMs: number,
+    sentAtMs: number,
   ) => void;
   /** Called for each entry that can't be understood from now on. */
   readonly onUnreadable?: () => void;
   /** Called for each read that failed, with the monotonic time at which it was asked for. */
-  readonly onFailed?: (askedAtMs: number) => void;
+  readonly onFailed?: (sentAtMs: number) => void;
   /** Pause after a failed read, milliseconds. */
   readonly retryMs?: number;
   /** The same on a VM without duty. */
@@ -48,14 +48,14 @@
 /** The same on a VM without duty: many of them try at once. */
 const SPARE_RETRY_MS = 1000;
 /** Least part of the usual pause: short after a standstill, long enough for a store that is slow. */
-const LEAST_PAUSE_PART = 0.25;
+const MIN_PAUSE_SHARE = 0.25;
 /**
  * Pauses are jittered by this part of them, either way. Readers in step would stay so: a hub whose
  * readings always come right before a VM's own never tells it anything newer.
  */
-const JITTER_PART = 0.25;
+const JITTER_SHARE = 0.25;
 /** Keys come from other writers: longer ones are cut in the log. */
-const MAX_LOGGED_KEY = 80;
+const MAX_LOGGED_KEY_CHARS = 80;
 
 /** A long poll has failed. */
 class LongPollError extends Error {
@@ -68,20 +68,20 @@
 /** A task that follows one topic. */
 export class TopicFollower<T> {
   readonly #options: TopicFollowerOptions<T>;
-  #next: number | undefined;
+  #nextOffset: number | undefined;
   /** Monotonic time of the first of the reads that have failed since the last good one. */
-  #lostAtMs: number | undefined;
+  #failingSinceMs: number | undefined;
   #stopped = false;
   #isActive = true;
   /** Ends the rest of a follower that is not needed. */
-  #endRest: (() => void) | undefined;
+  #resume: (() => void) | undefined;
   /** Ends the pause between two reads. */
   #endPause: (() => void) | undefined;
   /** The read in progress is to be followed by another one at once. */
   #isRefreshDue = false;
-  #hasDuty = true;
+  #isCoordinator = true;
   /** A long poll got no answer: the next read is answered at once, whether there is a change or not. */
-  #isLongPollLost = false;
+  #isLongPollFailed = false;
   #readAtMs = -Infinity;
   /** Keys whose newest record can't be understood. */
   #unreadable = new Set<string>();
@@ -92,8 +92,8 @@
 
   /** Whether the last read succeeded and the topic has been loaded. */
   get isCurrent(): boolean {
-    return this.#isActive && this.#next !== undefined &&
-      this.#lostAtMs === undefined;
+    return this.#isActive && this.#nextOffset !== undefined &&
+      this.#failingSinceMs === undefined;
   }
 
   /** Whether the topic is being read. */
@@ -111,20 +111,22 @@
 
   /** Time since the last read without fault; Infinity where the store does not answer. */
   getAgeMs(nowMs: number): number {
-    return this.#lostAtMs === undefined ? nowMs - this.#readAtMs : Infinity;
+    return this.#failingSinceMs === undefined
+      ? nowMs - this.#readAtMs
+      : Infinity;
   }
 
   /** Rests while others read the topic, and goes on from a whole list. */
   setActive(isActive: boolean): void {
     if (isActive === this.#isActive) return;
     this.#isActive = isActive;
-    this.#next = undefined;
-    if (isActive) this.#endRest?.();
+    this.#nextOffset = undefined;
+    if (isActive) this.#resume?.();
   }
 
   /** A VM without duty is patient after a failed read, as many of them try at once. */
-  setCoordinator(hasDuty: boolean): void {
-    this.#hasDuty = hasDuty;
+  setCoordinator(isCoordinator: boolean): void {
+    this.#isCoordinator = isCoordinator;
   }
 
   start(): void {
@@ -133,35 +135,35 @@
 
   stop(): void {
     this.#stopped = true;
-    this.#endRest?.();
+    this.#resume?.();
   }
 
   /** Settles when the topic is to be read again, or never more. */
-  #rest(): Promise<void> {
+  #waitUntilActive(): Promise<void> {
     return new Promise((resolve) => {
-      this.#endRest = resolve;
+      this.#resume = resolve;
     });
   }
 
   async #run(): Promise<void> {
     while (!this.#stopped) {
       if (!this.#isActive) {
-        await this.#rest();
+        await this.#waitUntilActive();
         continue;
       }
-      const askedAtMs = this.#nowMs;
+      const sentAtMs = this.#nowMs;
       try {
-        await this.#step(askedAtMs);
-        this.#readAtMs = askedAtMs;
-        this.#isLongPollLost = false;
-        this.#noteBack();
+        await this.#readOnce(sentAtMs);
+        this.#readAtMs = sentAtMs;
+        this.#isLongPollFailed = false;
+        this.#handleRecovery();
         if (this.#options.pollMs > 0) await this.#pause(this.#computePauseMs());
       } catch (error) {
         if (error instanceof LongPollError) {
-          this.#noteLongPollFailed(error, askedAtMs);
+          this.#handleLongPollFailure(error, sentAtMs);
           continue;
         }
-        this.#noteLost(error, askedAtMs);
+        this.#handleFailure(error, sentAtMs);
         await this.#pause(this.#pickRetryMs());
       }
     }
@@ -189,35 +191,35 @@
 
   #pickRetryMs(): number {
     const { retryMs = RETRY_MS, spareRetryMs = SPARE_RETRY_MS } = this.#options;
-    return this.#hasDuty ? retryMs : spareRetryMs;
+    return this.#isCoordinator ? retryMs : spareRetryMs;
   }
 
   /** Counts from the request, so that a slow store does not make what is known older by as much. */
   #computePauseMs(): number {
     const { pollMs, drawUnit = Math.random } = this.#options;
-    const jitter = 1 + JITTER_PART * (2 * drawUnit() - 1);
+    const jitter = 1 + JITTER_SHARE * (2 * drawUnit() - 1);
     const leftMs = pollMs * jitter - (this.#nowMs - this.#readAtMs);
-    return Math.max(leftMs, pollMs * LEAST_PAUSE_PART);
+    return Math.max(leftMs, pollMs * MIN_PAUSE_SHARE);
   }
 
   get #nowMs(): number {
     return this.#options.clock.readMonotonicMs();
   }
 
-  async #step(askedAtMs: number): Promise<void> {
-    if (this.#next === undefined) return await this.#load(askedAtMs);
-    const slice = await this.#readChanges(this.#next);
-    if (slice === undefined) return await this.#load(askedAtMs);
+  async #readOnce(sentAtMs: number): Promise<void> {
+    if (this.#nextOffset === undefined) return await this.#load(sentAtMs);
+    const slice = await this.#readChanges(this.#nextOffset);
+    if (slice === undefined) return await this.#load(sentAtMs);
     if (this.#stopped || !this.#isActive) return;
-    this.#next = slice.next;
-    this.#noteUnreadable(slice.entries);
-    this.#options.onChanges(slice.entries, askedAtMs);
+    this.#nextOffset = slice.next;
+    this.#updateUnreadable(slice.entries);
+    this.#options.onChanges(slice.entries, sentAtMs);
   }
 
   /** Throws {@linkcode LongPollError} where a long poll fails, which says little of the store. */
   async #readChanges(from: number): Promise<TopicSlice<T> | undefined> {
     const { port, timeoutMs, answerMs = timeoutMs } = this.#options;
-    const waitMs = this.#isLongPollLost ? 0 : this.#drawWaitMs();
+    const waitMs = this.#isLongPollFailed ? 0 : this.#drawWaitMs();
     if (waitMs === 0) return await port.readChanges(from, 0, timeoutMs);
     try {
       return await port.readChanges(from, waitMs, answerMs);
@@ -229,21 +231,21 @@
   /** A change answers all long polls at once, so readers would stay in step without jitter. */
   #drawWaitMs(): number {
     const { waitMs, drawUnit = Math.random } = this.#options;
-    return Math.round(waitMs * (1 - JITTER_PART * drawUnit()));
+    return Math.round(waitMs * (1 - JITTER_SHARE * drawUnit()));
   }
 
-  async #load(askedAtMs: number): Promise<void> {
+  async #load(sentAtMs: number): Promise<void> {
     const { port, timeoutMs } = this.#options;
     const slice = await port.load(timeoutMs);
     if (this.#stopped || !this.#isActive) return;
-    this.#next = slice.next;
+    this.#nextOffset = slice.next;
     this.#dropUnlisted(slice.entries);
-    this.#noteUnreadable(slice.entries);
-    this.#options.onList(slice.entries, askedAtMs);
+    this.#updateUnreadable(slice.entries);
+    this.#options.onList(slice.entries, sentAtMs);
   }
 
   /** A line where an entry begins or ends to be unreadable, however often it is read. */
-  #noteUnreadable(entries: readonly KeyedEntry<T>[]): void {
+  #updateUnreadable(entries: readonly KeyedEntry<T>[]): void {
     for (const { key, isUnreadable = false } of entries) {
       if (isUnreadable === this.#unreadable.has(key)) continue;
       if (isUnreadable) {
@@ -253,7 +255,7 @@
       this.#options.log.write(
         isUnreadable ? "warn" : "info",
         isUnreadable ? "entryUnreadable" : "entryReadable",
-        { topic: this.#options.name, key: key.slice(0, MAX_LOGGED_KEY) },
+        { topic: this.#options.name, key: key.slice(0, MAX_LOGGED_KEY_CHARS) },
       );
     }
   }
@@ -262,43 +264,43 @@
   #dropUnlisted(entries: readonly KeyedEntry<T>[]): void {
     const listed = new Set(entries.map(({ key }) => key));
     for (const key of this.#unreadable) {
-      if (!listed.has(key)) this.#noteUnreadable([{ key }]);
+      if (!listed.has(key)) this.#updateUnreadable([{ key }]);
     }
   }
 
   /** The topic is read again at once: the store may be back, or only the connection lost. */
-  #noteLongPollFailed(error: Error, askedAtMs: number): void {
-    this.#isLongPollLost = true;
+  #handleLongPollFailure(error: Error, sentAtMs: number): void {
+    this.#isLongPollFailed = true;
     const { name, log } = this.#options;
     log.write("info", "longPollFailed", {
       dependency: `store topic ${name}`,
       reason: error.message,
-      tookMs: Math.round(this.#nowMs - askedAtMs),
+      tookMs: Math.round(this.#nowMs - sentAtMs),
       ageMs: formatAge(this.#nowMs - this.#readAtMs),
     });
   }
 
-  #noteLost(error: unknown, askedAtMs: number): void {
-    this.#options.onFailed?.(askedAtMs);
-    if (this.#lostAtMs !== undefined) return;
-    this.#lostAtMs = askedAtMs;
+  #handleFailure(error: unknown, sentAtMs: number): void {
+    this.#options.onFailed?.(sentAtMs);
+    if (this.#failingSinceMs !== undefined) return;
+    this.#failingSinceMs = sentAtMs;
     const { name, log } = this.#options;
     log.write("warn", "dependencyLost", {
       dependency: `store topic ${name}`,
       reason: (error as Error).message,
-      tookMs: Math.round(this.#nowMs - askedAtMs),
+      tookMs: Math.round(this.#nowMs - sentAtMs),
       ageMs: formatAge(this.#nowMs - this.#readAtMs),
     });
   }
 
-  #noteBack(): void {
-    if (this.#lostAtMs === undefined) return;
+  #handleRecovery(): void {
+    if (this.#failingSinceMs === undefined) return;
     const { name, log } = this.#options;
     log.write("info", "dependencyRegained", {
       dependency: `store topic ${name}`,
-      next: this.#next,
-      lostForMs: Math.round(this.#nowMs - this.#lostAtMs),
+      next: this.#nextOffset,
+      lostForMs: Math.round(this.#nowMs - this.#failingSinceMs),
     });
-    this.#lostAtMs = undefined;
+    this.#failingSinceMs = undefined;
   }
 }
--- a/packages/heatherarch-forward/tests/unit/store_reader_test.ts
+++ b/packages/heatherarch-forward/tests/unit/store_reader_test.ts
@@ -30,7 +30,7 @@
     configReadTiming: READS,
     targetPollMs: 700,
     getFeedValidAtMs: () => -Infinity,
-    hasStoodStillSince: () => true,
+    hasStalledSince: () => true,
     clock: new ManualClock(),
     log: { write: () => undefined },
     metrics: new ForwardMetrics(),
--- a/packages/heatherarch-forward/tests/unit/vm_list_follower_test.ts
+++ b/packages/heatherarch-forward/tests/unit/vm_list_follower_test.ts
@@ -36,7 +36,7 @@
       readChanges: () => Promise.resolve({ entries: [], next: 0 }),
     },
     onList: () => undefined,
-    onFault: () => undefined,
+    onError: () => undefined,
   });
   follower.start();
   while (clock.readMonotonicMs() - startMs < OUTAGE_MS + LISTED_MS) {
--- a/packages/heatherarch-forward/vm_tasks.ts
+++ b/packages/heatherarch-forward/vm_tasks.ts
@@ -122,7 +122,7 @@
     configReadTiming: planConfigReads(store),
     targetPollMs: store.targetPollMs,
     getFeedValidAtMs: () => getParts().mesh.feedValidAtMs,
-    hasStoodStillSince: (atMs) => parts.targetListGuard.hasStalledSince(atMs),
+    hasStalledSince: (atMs) => parts.targetListGuard.hasStalledSince(atMs),
     clock: parts.clock,
     log: parts.log,
     metrics: parts.metrics,
