--- a/packages/heatherarch-forward/fleet/config_exchange.ts
+++ b/packages/heatherarch-forward/fleet/config_exchange.ts
@@ -1,5 +1,5 @@
 /**
- * Newer configurations that VMs fetch from each other where the store does not bring them in time.
+ * Fetches newer configurations from other VMs when the store does not deliver them in time.
  *
  * @module
  */
@@ -19,22 +19,22 @@
     ConfigReadTiming,
     "askPeerAfterMs" | "peerTimeoutMs"
   >;
-  /** Whether this VM reads the store's topics by itself. */
+  /** Whether this VM reads the store's topics itself. */
   readonly mustReadStore: () => boolean;
-  /** Reads the configuration from the store, once. */
+  /** Reads the configuration from the store once. */
   readonly loadConfig: () => Promise<void>;
 }
 
 const CONFIG_CALL = "config";
-/** Larger configurations come from the store: a hub's link would be busy with them too long. */
+/** Larger configurations are read from the store, since sending them would block a hub's link. */
 const MAX_ROUTES_OVER_MESH = 100;
-/** Peers that are asked before the store. */
+/** Number of requests to peers before the store is read. */
 const MAX_PEER_REQUESTS = 3;
 
-/** The exchange of one VM. */
+/** Serves the configuration of one VM to its peers and fetches newer ones from them. */
 export class ConfigExchange {
   readonly #options: ConfigExchangeOptions;
-  /** Peers that have a newer version than this VM, and which. */
+  /** Newer versions that peers have announced, by peer. */
   readonly #peerVersions = new Map<string, number>();
   #isFetching = false;
 
@@ -42,7 +42,7 @@
     this.#options = options;
   }
 
-  /** Answers peers from now on. */
+  /** Starts serving requests from peers. */
   start(): void {
     this.#options.node.registerCall(
       CONFIG_CALL,
@@ -50,7 +50,7 @@
     );
   }
 
-  /** A peer has this version: it is fetched if it is newer. */
+  /** Fetches the version that a peer announced if it is newer than this VM's. */
   handlePeerVersion(peer: string, version: number): void {
     const { activeConfig, log, mustReadStore } = this.#options;
     if (version <= activeConfig.version) return;
@@ -65,7 +65,7 @@
     void this.#fetch();
   }
 
-  /** The configuration; null for a large one, unless the peer has no other way to it. */
+  /** Returns the configuration; null for a large one, unless the store failed the peer. */
   #handleRequest(isLastResort: unknown): RoutingConfig | null {
     const config = this.#options.activeConfig.table?.config;
     if (config === undefined) return null;
@@ -73,7 +73,7 @@
     return isLarge && isLastResort !== true ? null : config;
   }
 
-  /** Fetches a configuration that peers have and that the store has not brought in time. */
+  /** Fetches a configuration that peers have and that the store has not delivered in time. */
   async #fetch(): Promise<void> {
     const { configReadTiming, mustReadStore } = this.#options;
     this.#isFetching = true;
@@ -86,20 +86,20 @@
     this.#isFetching = false;
   }
 
-  /** Asks peers one by one; returns whether this VM has as new a version as any of them. */
+  /** Requests it from one peer after another; returns whether this VM is now up to date. */
   async #fetchFromPeers(isLastResort: boolean): Promise<boolean> {
     for (let requests = 0; requests < MAX_PEER_REQUESTS; requests++) {
       const peer = this.#pickNewestPeer();
       if (peer === undefined) break;
       const isFetched = await this.#fetchFrom(peer, isLastResort);
-      // Any peer would withhold a large configuration; others are asked where this one failed.
+      // Every peer withholds a large configuration. Other peers are tried only after a failure.
       if (isFetched === false) return false;
       if (isFetched === undefined) this.#peerVersions.delete(peer);
     }
     return this.#pickNewestPeer() === undefined;
   }
 
-  /** The peer with the newest version; undefined where none is newer than this VM's. */
+  /** Returns the peer with the newest version; undefined if none is newer than this VM's. */
   #pickNewestPeer(): string | undefined {
     let newestVersion = this.#options.activeConfig.version;
     let newestPeer: string | undefined;
@@ -111,7 +111,7 @@
     return newestPeer;
   }
 
-  /** Whether the peer gave its configuration; undefined where it did not answer. */
+  /** Returns whether the peer sent its configuration; undefined if the request failed. */
   async #fetchFrom(
     peer: string,
     isLastResort: boolean,
--- a/packages/heatherarch-forward/fleet/digest_cache.ts
+++ b/packages/heatherarch-forward/fleet/digest_cache.ts
@@ -1,6 +1,6 @@
 /**
- * What a hub tells many peers in one round, summed once: made anew for each VM that is told, the
- * work would grow with the square of a zone's VMs.
+ * Digests that a hub sends to many peers in one heartbeat round, computed once per round. Computing
+ * them for each receiver would cost time quadratic in the number of VMs of a zone.
  *
  * @module
  */
@@ -10,15 +10,15 @@
 /** Options of {@linkcode DigestCache}. */
 export interface DigestCacheOptions {
   readonly workTracker: WorkTracker;
-  /** Live VMs of the hub's zone, itself included. */
+  /** Counts the live VMs of the hub's zone, itself included. */
   readonly countZoneVms: () => number;
-  /** Live VMs of the fleet. */
+  /** Counts the live VMs of the fleet. */
   readonly countFleetVms: () => number;
 }
 
 type DigestBody = Pick<WorkDigest, "vms" | "work">;
 
-/** The sums of the round in progress. */
+/** The digests of the current round. */
 export class DigestCache {
   readonly #options: DigestCacheOptions;
   #fleet: DigestBody | undefined;
@@ -28,13 +28,13 @@
     this.#options = options;
   }
 
-  /** A round begins, or something was heard: what was summed is old. */
+  /** Drops the digests at the start of a round and when a heartbeat arrives. */
   invalidate(): void {
     this.#fleet = undefined;
     this.#zone = undefined;
   }
 
-  /** The work of the hub's zone. */
+  /** Returns the work in progress of the hub's zone. */
   getZoneDigest(nowMs: number): DigestBody {
     const { workTracker, countZoneVms } = this.#options;
     this.#zone ??= {
@@ -44,7 +44,7 @@
     return this.#zone;
   }
 
-  /** The work of the fleet. */
+  /** Returns the work in progress of the fleet. */
   getFleetDigest(nowMs: number): DigestBody {
     const { workTracker, countFleetVms } = this.#options;
     this.#fleet ??= {
@@ -55,7 +55,7 @@
   }
 }
 
-/** Rows as a message carries them. */
+/** Copies rows into the mutable form that a message has. */
 export function copyRows(rows: readonly WorkRow[]): WorkDigest["work"] {
   return rows.map((row): WorkDigest["work"][number] => [...row]);
 }
--- a/packages/heatherarch-forward/fleet/feed_source.ts
+++ b/packages/heatherarch-forward/fleet/feed_source.ts
@@ -1,5 +1,5 @@
 /**
- * A hub that tells this VM the list of targets, and what has come from it.
+ * A hub that sends this VM the target list, and the state of its feed.
  *
  * @module
  */
@@ -12,22 +12,22 @@
 export interface FeedSourceOptions {
   /** The hub. */
   readonly id: string;
-  /** Monotonic time from which on it is asked, milliseconds. */
+  /** Monotonic time at which the hub was selected, milliseconds. */
   readonly sinceMs: number;
 }
 
-/** What one heartbeat told of the list. */
+/** The target list update of one heartbeat. */
 export interface FeedUpdate {
-  /** Monotonic time for which the word holds. */
+  /** Monotonic time as of which the update is valid, milliseconds. */
   readonly validAtMs: number;
   readonly isFull: boolean;
   readonly entries: readonly KeyedEntry<Target>[];
 }
 
-/** A hub that has told nothing for this long is replaced: four of its heartbeats. */
+/** A hub that sends no heartbeat for this long, four of its intervals, is replaced. */
 const HUB_TIMEOUT_MS = 500;
 
-/** One hub as the source of the list. */
+/** One hub as the source of the target list. */
 export class FeedSource {
   readonly id: string;
   #lastHeartbeatAtMs: number;
@@ -39,17 +39,17 @@
     this.#lastHeartbeatAtMs = options.sinceMs;
   }
 
-  /** The whole list has come from it. */
+  /** Whether the hub has sent the full list. */
   get hasFullList(): boolean {
     return this.#hasFullList;
   }
 
-  /** It said last that it can't read the list. */
+  /** Whether the hub's last feed said that it can't read the list. */
   get isStale(): boolean {
     return this.#isStale;
   }
 
-  /** What this VM wants of the hub. */
+  /** What this VM requests from the hub. */
   get wants(): "changes" | "all" {
     return this.#hasFullList ? "changes" : "all";
   }
@@ -63,9 +63,10 @@
   }
 
   /**
-   * Takes in a feed; undefined where it can't be relied on. What it tells may be newer than its
-   * date, which is that of a request. So a feed with news that is dated before the time for which
-   * this VM's own list holds can be neither applied nor passed over: the whole list is asked for.
+   * Returns the update in a feed; undefined if the feed can't be used. A feed carries the time at
+   * which the hub sent its read request, so its content may be newer than that. A feed with changes
+   * whose time is before `listValidAtMs`, the time as of which this VM's own list is valid, can
+   * therefore be neither applied nor ignored. The full list is requested instead.
    */
   handleFeed(
     feed: TargetFeed,
--- a/packages/heatherarch-forward/fleet/fleet_gossip.ts
+++ b/packages/heatherarch-forward/fleet/fleet_gossip.ts
@@ -19,18 +19,18 @@
   readonly log: EventLog;
 }
 
-/** The parts of a heartbeat that this module fills. */
+/** The heartbeat fields that this module fills. */
 export type GossipFields = Pick<Heartbeat, "crashes" | "leavingTargets">;
 
 type CrashMessage = NonNullable<Heartbeat["crashes"]>[number];
 
-/** How far each link is up to date. */
+/** Positions up to which one link has been sent everything. */
 interface LinkCursors {
   crashes: number | undefined;
   leaving: number;
 }
 
-/** No log record takes back a mark that came from the target itself. */
+/** Offset of a mark that came from the target itself, which no log record takes back. */
 const NO_LOG_OFFSET = -1;
 
 /** The gossip of one VM. */
@@ -42,7 +42,7 @@
     this.#options = options;
   }
 
-  /** Registers a listener for what is new to this VM and returns its undo. */
+  /** Registers a listener for reports that are new to this VM; returns its removal. */
   registerListener(listener: () => void): () => void {
     const { quarantine, directory } = this.#options;
     const undos = [
@@ -54,7 +54,7 @@
     };
   }
 
-  /** What is new since the last heartbeat on a link. */
+  /** Builds what is new since the last heartbeat on a link. */
   buildFields(link: Link): GossipFields {
     let cursors = this.#links.get(link);
     if (cursors === undefined) {
@@ -64,7 +64,7 @@
     return { ...this.#buildCrashes(cursors), ...this.#buildLeaving(cursors) };
   }
 
-  /** Merges a peer's heartbeat, which may have waited here for `waitedMs`. */
+  /** Merges a peer's heartbeat, which may have waited here for `waitedMs` milliseconds. */
   handle({ crashes, leavingTargets }: Heartbeat, waitedMs: number): void {
     const { quarantine, directory, clock, log } = this.#options;
     if (crashes !== undefined) {
--- a/packages/heatherarch-forward/fleet/fleet_mesh.ts
+++ b/packages/heatherarch-forward/fleet/fleet_mesh.ts
@@ -1,5 +1,5 @@
 /**
- * What the VMs of a fleet tell each other: work in progress, and newer configurations.
+ * The mesh between the VMs of a fleet, which shares work in progress, gossip and configurations.
  *
  * @module
  */
@@ -45,9 +45,9 @@
   readonly silenceMs: number;
   readonly hubHeartbeatMs: number;
   readonly idleHeartbeatMs: number;
-  /** Links to each other availability zone where there are no hubs. */
+  /** Links to each other availability zone if there are no hubs. */
   readonly linksPerZone: number;
-  /** Known VMs from which on links run over hubs. */
+  /** Number of known VMs from which on links run over hubs. */
   readonly hubsFromVms: number;
   readonly hubsPerZone: number;
   readonly vms: WritableTopicPort<VmRecord>;
@@ -58,25 +58,25 @@
   readonly quarantine: RequestQuarantine;
   readonly activeConfig: ActiveConfig;
   readonly configReadTiming: ConfigReadTiming;
-  /** Reads the configuration from the store, once. */
+  /** Reads the configuration from the store once. */
   readonly loadConfig: () => Promise<void>;
   /** Called when the number of VMs that share the fleet's limits has changed. */
   readonly onLiveVms: (count: number) => void;
-  /** Called with engines that a peer has ordered to change. */
+  /** Called with engines that a peer has ordered to change their role. */
   readonly onChangingRole: (targets: readonly string[]) => void;
-  /** Monotonic time at which this VM itself last read the list of targets without fault. */
+  /** Returns the monotonic time of this VM's own last successful read of the target list. */
   readonly getListReadAtMs: () => number;
-  /** A peer has read the list of targets at this monotonic time. */
+  /** Called with the monotonic time at which a peer has read the target list. */
   readonly onPeerListRead: (atMs: number) => void;
-  /** This process stood still for so many milliseconds. */
+  /** Called with the duration of a stall of this process, milliseconds. */
   readonly onLoopStall: (lateMs: number) => void;
-  /** Whether this VM could give orders now. */
+  /** Whether this VM could send orders to engines now. */
   readonly mayOrder: () => boolean;
 }
 
 const MAX_FRAME_BYTES = 4 * 1024 * 1024;
 
-/** The mesh of one VM, with what it carries. */
+/** The mesh of one VM and the protocols that run over it. */
 export class FleetMesh {
   readonly #options: FleetMeshOptions;
   readonly #membership: Membership;
@@ -85,11 +85,11 @@
   readonly #gossip: FleetGossip;
   readonly #vmList: VmListFollower;
   readonly #configExchange: ConfigExchange;
-  /** Prompt notes told on each link so far. */
+  /** Position in the prefix updates up to which each link has been sent them. */
   readonly #prefixCursors = new WeakMap<Link, number>();
-  /** Time of the reading of the list that was last told on each link. */
+  /** Time of the target list read that was last announced on each link. */
   readonly #sentReadAtMs = new WeakMap<Link, number>();
-  /** Peers that could give orders when they were last heard. */
+  /** Peers that could send orders to engines according to their last heartbeat. */
   readonly #orderCandidates = new Set<string>();
   #listedCount = 0;
   #hasVmList = false;
@@ -159,7 +159,7 @@
     const { workTracker } = this.#options;
     this.#undoListeners.push(
       workTracker.registerOwnWorkListener(() => {
-        // A hub tells sums of many VMs, which change all the time.
+        // A hub's digests cover many VMs and change all the time.
         if (!this.#membership.isHub) this.#node.noteNews();
       }),
       this.#gossip.registerListener(() => this.#node.noteNews()),
@@ -167,7 +167,7 @@
     this.#vmList.start();
   }
 
-  /** Tells peers that this VM is leaving. */
+  /** Announces to peers that this VM is leaving and removes it from the VM list. */
   async leave(): Promise<void> {
     this.#isLeaving = true;
     this.#node.sendHeartbeats();
@@ -180,33 +180,33 @@
     this.#node.stop();
   }
 
-  /** Ids of the VMs that answer, this one included. */
+  /** Lists the ids of the live VMs, this one included. */
   listLive(): string[] {
     return this.#membership.listLive();
   }
 
-  /** Whether the list of VMs has been read: from then on duties are known. */
+  /** Whether the VM list has been read, from which the coordinators are known. */
   get hasVmList(): boolean {
     return this.#hasVmList;
   }
 
-  /** Whether this VM has to read the store's topics by itself. */
+  /** Whether this VM must read the store's topics itself. */
   mustReadStore(): boolean {
     if (!this.#membership.hasHubs) return true;
     return !this.#hubs.hasFreshFeed(this.#options.clock.readMonotonicMs());
   }
 
-  /** Monotonic time for which a hub's word on the list of targets held. */
+  /** Monotonic time as of which a hub's feed of the target list is valid. */
   get feedValidAtMs(): number {
     return this.#hubs.feedValidAtMs;
   }
 
-  /** Whether this VM is one of those that do what one VM has to do for the fleet. */
+  /** Whether this VM takes part in fleet-wide tasks that a single VM performs at a time. */
   get isCoordinator(): boolean {
     return !this.#membership.hasHubs || this.#membership.isHub;
   }
 
-  /** Ids of the live VMs that share what is done for the whole fleet, this one included. */
+  /** Lists the ids of the live VMs that share fleet-wide tasks, this one included. */
   listCoordinators(): string[] {
     const live = this.listLive();
     if (!this.#membership.hasHubs) return live;
@@ -215,7 +215,7 @@
     return live.filter((id) => id === self || hubs.has(id));
   }
 
-  /** Ids of the live VMs that could give orders, this one included. */
+  /** Lists the ids of the live VMs that could send orders to engines, this one included. */
   listOrderCandidates(): string[] {
     const { self } = this.#options;
     return this.listLive().filter((id) =>
@@ -223,7 +223,7 @@
     );
   }
 
-  /** To be called some times a second: counts VMs, and looks at their list when it is time. */
+  /** Updates the VM count and polls the VM list when due. To be called several times a second. */
   tick(): void {
     this.updateVmCount();
     this.#vmList.tick();
@@ -236,7 +236,7 @@
     this.updateVmCount();
   }
 
-  /** VMs that are listed but do not answer may still spend of what all share. */
+  /** Counts also VMs that are listed but not live, as they may still use the shared limits. */
   updateVmCount(): void {
     const live = this.#membership.hasHubs
       ? this.#hubs.liveVms
@@ -274,7 +274,7 @@
     };
   }
 
-  /** Peers learn from each new reading that the store is there. */
+  /** Announces each new read of the target list once, so that peers know the store is reachable. */
   #buildListAge(link: Link): Pick<Heartbeat, "listAgeMs"> {
     const { clock, getListReadAtMs } = this.#options;
     const readAtMs = getListReadAtMs();
@@ -283,7 +283,7 @@
     return { listAgeMs: Math.round(clock.readMonotonicMs() - readAtMs) };
   }
 
-  /** What is told on a link of two VMs without hubs: own work, and notes since the last time. */
+  /** Builds the fields for a link without hubs: own work, and the prefix updates not yet sent. */
   #buildMeshFields(link: Link): Partial<Heartbeat> {
     const { workTracker, prefixIndex, clock, listChangingRole } = this.#options;
     const changing = listChangingRole();
@@ -332,7 +332,7 @@
     }
   }
 
-  /** What was known before a standstill is older by the time that the clock did not count. */
+  /** Ages the feed by the part of a stall that the monotonic clock did not count. */
   #handleStall({ lateMs, uncountedMs }: Standstill): void {
     this.#hubs.addUncountedMs(uncountedMs);
     this.#options.onLoopStall(lateMs);
--- a/packages/heatherarch-forward/fleet/hub_exchange.ts
+++ b/packages/heatherarch-forward/fleet/hub_exchange.ts
@@ -1,10 +1,10 @@
 /**
- * What a VM and the hubs of the mesh tell each other: work in progress, holders of prompt
- * beginnings, and the list of targets.
+ * Exchange between a VM and the hubs of the mesh: work in progress, holders of prompt prefixes,
+ * and the target list.
  *
- * A VM tells its own work to each hub of its zone and takes the sum over the fleet from one of
- * them, its source. Hubs tell each other the sums of their zones. A sum says which of the
- * receiver's heartbeats is counted in, so that the receiver can take its own part out.
+ * A VM sends its own work to each hub of its zone and receives the digest of the fleet's work from
+ * one of them, its source. Hubs send each other the digests of their zones. A digest names the
+ * receiver's latest heartbeat that it includes, so that the receiver can subtract its own part.
  *
  * @module
  */
@@ -46,15 +46,15 @@
   readonly membership: Membership;
   readonly workTracker: WorkTracker;
   readonly prefixIndex: PrefixIndex;
-  /** Engines that change their role by an order of this VM. */
+  /** Lists the engines that are changing their role on an order of this VM. */
   readonly listChangingRole: () => readonly string[];
-  /** The source says that it can't read the list of targets. */
+  /** Called when the source reports that it can't read the target list. */
   readonly onListStale: (source: string) => void;
-  /** A VM gets its sums from another hub now. */
+  /** Called when this VM has selected another hub as its source, or has none. */
   readonly onSourceChange: (source: string | undefined) => void;
 }
 
-/** The parts of a heartbeat that this module fills. */
+/** The heartbeat fields that this module fills. */
 export type HubFields = Pick<
   Heartbeat,
   | "work"
@@ -73,16 +73,16 @@
   readonly atMs: number;
 }
 
-/** The sum of a zone from a hub that has told none for this long may come from another one. */
+/** Time without a zone's digest after which any of its hubs may replace the source, milliseconds. */
 const ZONE_TIMEOUT_MS = 500;
-/** Own heartbeats that are remembered until a sum counts them in: some three seconds at least. */
+/** Own heartbeats kept until a digest includes them, enough for at least three seconds. */
 const MAX_SENT_HEARTBEATS = 64;
 const FLEET_WORK_KEY = "hub sum of the fleet";
 
-/** The exchange of one VM with the hubs, or as a hub. */
+/** The exchange of one VM with the hubs, or of a hub with its peers. */
 export class HubExchange {
   readonly #options: HubExchangeOptions;
-  /** Notes on prompts told on each link so far. */
+  /** Position in the prefix updates up to which each link has been sent them. */
   readonly #prefixCursors = new WeakMap<Link, number>();
   readonly #subscriptions = new PeerSubscriptions();
   readonly #zoneSources = new Map<string, ZoneSource>();
@@ -93,7 +93,7 @@
   #wasHub = false;
   #source: FeedSource | undefined;
   #fleetVmCount = 1;
-  /** Time for which the heartbeat that is being taken in may have waited, milliseconds. */
+  /** How long the heartbeat that is being handled may have waited here, milliseconds. */
   #waitedMs = 0;
   readonly #digests: DigestCache;
 
@@ -108,7 +108,7 @@
     });
   }
 
-  /** Live VMs of the fleet as far as this VM can tell. */
+  /** Number of live VMs of the fleet as far as this VM knows. */
   get liveVms(): number {
     if (!this.#options.membership.isHub) return this.#fleetVmCount;
     let count = this.#countZoneVms();
@@ -121,24 +121,24 @@
     return membership.listLive(self.availabilityZone).length;
   }
 
-  /** Whether a hub tells this VM the list of targets, lately enough to rely on it. */
+  /** Whether this VM has a feed of the target list from a hub that is recent enough to use. */
   hasFreshFeed(nowMs: number): boolean {
     const { membership } = this.#options;
     if (membership.isHub || this.#source?.hasFullList !== true) return false;
     return this.#listRelay.isFresh(nowMs);
   }
 
-  /** Monotonic time for which a hub's word on the list of targets held. */
+  /** Monotonic time as of which a hub's feed of the target list is valid. */
   get feedValidAtMs(): number {
     return this.#listRelay.validAtMs;
   }
 
-  /** The monotonic clock did not count so many milliseconds: a hub's word is as much older. */
+  /** Ages the feed by time that the monotonic clock did not count. */
   addUncountedMs(uncountedMs: number): void {
     this.#listRelay.addUncountedMs(uncountedMs);
   }
 
-  /** To be called once before each round of heartbeats. */
+  /** Prepares a round of heartbeats. To be called once before each. */
   beginRound(): void {
     const nowMs = this.#nowMs;
     const { membership } = this.#options;
@@ -156,12 +156,12 @@
     this.#sentWork.delete(this.#beat - MAX_SENT_HEARTBEATS);
   }
 
-  /** What a heartbeat tells one peer; undefined where it tells nothing. */
+  /** Builds the fields of a heartbeat to one peer; undefined if there is nothing to send. */
   buildFields(link: Link, peer: LinkIdentity): HubFields | undefined {
     const fields = this.#buildWorkFields(link, peer);
     if (fields === undefined) return undefined;
     const { directory, listChangingRole } = this.#options;
-    // Two hubs that passed on to each other what they hear would never forget it.
+    // Hubs forward received marks to VMs only: between hubs, the marks would never expire.
     const changing = fields.digest?.scope === "fleet"
       ? directory.listChangingRole(this.#nowMs)
       : listChangingRole();
@@ -189,7 +189,7 @@
     return { ...fields, ...this.#buildFallbackFields(link, peer, state) };
   }
 
-  /** What a hub asks of another one for itself, and tells one that asks. */
+  /** Builds a hub's request for the target list to another hub, and the reply to such a request. */
   #buildFallbackFields(
     link: Link,
     peer: LinkIdentity,
@@ -209,7 +209,7 @@
     };
   }
 
-  /** Takes in what a peer told, which may have waited here for so many milliseconds. */
+  /** Handles a peer's heartbeat, which may have waited here for `waitedMs` milliseconds. */
   handle(heartbeat: Heartbeat, from: LinkIdentity, waitedMs = 0): void {
     const nowMs = this.#nowMs;
     this.#waitedMs = waitedMs;
@@ -233,7 +233,7 @@
     const fallback = this.#fallback.findSource(from.id);
     if (fallback !== undefined && heartbeat.targets !== undefined) {
       fallback.recordHeartbeat(nowMs);
-      // One that asks the hubs in turn would tell of each loss again and again.
+      // No `onListStale`: the fallback tries hubs in turn, so each would be reported repeatedly.
       this.#listRelay.handleFeed(
         fallback,
         heartbeat.targets,
@@ -258,7 +258,7 @@
     this.#subscriptions.setCounted(from.incarnation, heartbeat.beat);
   }
 
-  /** The sum of another zone; of its hubs the one that covers more VMs is heard. */
+  /** Stores another zone's digest. Of its hubs, the one whose digest covers more VMs is used. */
   #handleZoneDigest(
     digest: WorkDigest,
     from: LinkIdentity,
@@ -307,7 +307,7 @@
     if (source.isStale && !wasStale) this.#options.onListStale(source.id);
   }
 
-  /** This VM's own work and notes, as every VM tells them. */
+  /** Builds this VM's own work and prefix updates, which every VM sends. */
   #buildOwnFields(link: Link): HubFields {
     return {
       beat: this.#beat,
@@ -316,7 +316,7 @@
     };
   }
 
-  /** The sum of this hub's zone, for a hub of another zone. */
+  /** Builds the digest of this hub's zone for a hub of another zone. */
   #buildZoneFields(link: Link, isServed: boolean): HubFields {
     if (!isServed) return {};
     return {
@@ -329,7 +329,7 @@
     };
   }
 
-  /** The sum over the fleet and the list of targets, for a VM of this zone. */
+  /** Builds the digest of the fleet and the target list for a VM of this zone. */
   #buildFleetFields(link: Link, peer: PeerSubscription): HubFields {
     const isFull = peer.wants === "all";
     if (isFull) peer.wants = "changes";
@@ -358,7 +358,7 @@
     return updates.length === 0 ? {} : { prompts: updates.map(copyUpdate) };
   }
 
-  /** Keeps the source while it tells, and takes the next hub when it does not. */
+  /** Keeps the source while it sends heartbeats, and otherwise selects another hub. */
   #updateSource(nowMs: number): void {
     const { membership, self } = this.#options;
     const live = new Set(membership.listLive(self.availabilityZone));
@@ -381,7 +381,7 @@
       : new FeedSource({ id, sinceMs: nowMs });
   }
 
-  /** Sums that others keep for this VM are not mixed with those that it keeps itself. */
+  /** Drops the work received in the previous role, so that none of it is counted twice. */
   #handleHubChange(isHub: boolean): void {
     const { workTracker } = this.#options;
     this.#wasHub = isHub;
--- a/packages/heatherarch-forward/fleet/list_fallback.ts
+++ b/packages/heatherarch-forward/fleet/list_fallback.ts
@@ -1,10 +1,10 @@
 /**
- * Where a hub takes the list of targets from while the store turns it away: another hub, of its
- * zone if one can read the store. It tells it on with the age that it has.
+ * Selects another hub as a hub's source of the target list while the store refuses its reads,
+ * preferably one of its own zone. The hub forwards that list with its actual age.
  *
- * Without it, hubs that were turned away called targets for up to seven seconds after they had
- * left, and 18 VMs of 80 that they told of the list began to read the store themselves (a release
- * of engines while the store refused two hubs).
+ * Without this fallback, when engines were released while the store refused two hubs, those hubs
+ * called targets for up to seven seconds after these had left. Of the 80 VMs, 18 that received the
+ * list from them began to read the store themselves.
  *
  * @module
  */
@@ -15,13 +15,13 @@
 export interface ListFallbackOptions {
   readonly self: LinkIdentity;
   readonly membership: Membership;
-  /** Age of what this VM itself has read of the list of targets, milliseconds. */
+  /** Returns the age of the target list as read by this VM itself, milliseconds. */
   readonly getListAgeMs: () => number;
-  /** Age up to which a list is relied on, milliseconds. */
+  /** Age up to which a list is used, milliseconds. */
   readonly maxListAgeMs: number;
 }
 
-/** The choice of that hub. */
+/** The fallback source of one hub. */
 export class ListFallback {
   readonly #options: ListFallbackOptions;
   #source: FeedSource | undefined;
@@ -30,12 +30,12 @@
     this.#options = options;
   }
 
-  /** The hub that is asked, if it is this one. */
+  /** Returns the fallback source if it is this peer. */
   findSource(peer: string): FeedSource | undefined {
     return this.#source?.id === peer ? this.#source : undefined;
   }
 
-  /** Asks while it is needed, and asks the next hub where one can't tell or is silent. */
+  /** Keeps a source while one is needed, and switches hubs if it is stale or timed out. */
   tick(nowMs: number): void {
     const { getListAgeMs, maxListAgeMs } = this.#options;
     if (getListAgeMs() <= maxListAgeMs) return this.clear();
@@ -51,12 +51,12 @@
       : new FeedSource({ id, sinceMs: nowMs });
   }
 
-  /** Asks nobody any more. */
+  /** Drops the fallback source. */
   clear(): void {
     this.#source = undefined;
   }
 
-  /** Live hubs besides this VM, those of its zone first. */
+  /** Lists the live hubs besides this VM, those of its zone first. */
   #listOtherHubs(): string[] {
     const { membership, self } = this.#options;
     const hubs = membership.pickLinkPeers()
--- a/packages/heatherarch-forward/fleet/peer_subscriptions.ts
+++ b/packages/heatherarch-forward/fleet/peer_subscriptions.ts
@@ -1,27 +1,27 @@
 /**
- * What the peers of a VM, as a hub, have asked for.
+ * What peers have requested from this VM as a hub.
  *
  * @module
  */
 import type { Heartbeat, LinkIdentity } from "heatherarch-mesh";
 
-/** What a peer has asked for, and which of its heartbeats is counted in. */
+/** A peer's request, and the latest of its heartbeats that the digest includes. */
 export interface PeerSubscription {
   wants: "nothing" | "changes" | "all";
-  /** What a hub that can't read the store wants of the list. */
+  /** The part of the target list that a hub which can't read the store requests. */
   readonly listWanted: "changes" | "all" | undefined;
   counted: number;
   readonly heardAtMs: number;
-  /** The peer is of this VM's zone. */
+  /** Whether the peer is in this VM's zone. */
   readonly isSameZone: boolean;
 }
 
-/** A peer that has asked for nothing for this long is served no more, milliseconds. */
+/** A subscription ends this long after the peer's last heartbeat, milliseconds. */
 export const PEER_TIMEOUT_MS = 2000;
-/** No heartbeat of a peer is counted in. */
+/** The digest includes no heartbeat of the peer. */
 export const NO_HEARTBEAT = -1;
 
-/** Peers by incarnation. */
+/** Subscriptions by incarnation of the peer. */
 export class PeerSubscriptions {
   readonly #subscriptions = new Map<string, PeerSubscription>();
 
@@ -29,7 +29,7 @@
     return this.#subscriptions.get(incarnation);
   }
 
-  /** Takes in what a heartbeat asks for. */
+  /** Stores what a heartbeat requests. */
   handleHeartbeat(
     heartbeat: Heartbeat,
     from: LinkIdentity,
@@ -45,13 +45,13 @@
     });
   }
 
-  /** The work that a peer told with its heartbeat `beat` is counted in. */
+  /** Sets `beat` as the latest heartbeat of a peer whose work the digest includes. */
   setCounted(incarnation: string, beat: number | undefined): void {
     const subscription = this.find(incarnation);
     if (subscription !== undefined) subscription.counted = beat ?? NO_HEARTBEAT;
   }
 
-  /** Drops peers that are silent; returns whether one of this zone takes this VM for its hub. */
+  /** Drops peers that timed out; returns whether one of this zone still uses this VM as its hub. */
   dropExpired(nowMs: number): boolean {
     let isServing = false;
     for (const [incarnation, peer] of this.#subscriptions) {
--- a/packages/heatherarch-forward/fleet/target_feed.ts
+++ b/packages/heatherarch-forward/fleet/target_feed.ts
@@ -1,6 +1,6 @@
 /**
- * The platform's list of targets as hubs pass it on to the VMs of their zone, so that reading
- * the store does not grow with the number of VMs.
+ * Encoding of the target list that hubs forward to the VMs of their zone, so that the number of
+ * store reads does not grow with the number of VMs.
  *
  * @module
  */
@@ -9,10 +9,10 @@
 import type { KeyedEntry } from "../ports.ts";
 import type { DirectoryChanges } from "../state/target_directory.ts";
 
-/** Age of a feed whose source can't read the store. */
+/** Encoded age of a feed whose source can't read the store. */
 const LOST_AGE = -1;
 
-/** Builds a feed; one whose source can't read the store says so and holds nothing. */
+/** Encodes a feed. An infinite age marks a source that can't read the store; it has no rows. */
 export function encodeFeed(
   ageMs: number,
   changes: DirectoryChanges | undefined,
@@ -24,12 +24,12 @@
   };
 }
 
-/** Age of what a feed tells, milliseconds; Infinity where its source can't read the store. */
+/** Returns the age of a feed, milliseconds; Infinity if its source can't read the store. */
 export function readFeedAge(feed: TargetFeed): number {
   return feed.ageMs === LOST_AGE ? Infinity : feed.ageMs;
 }
 
-/** Reads the rows of a feed. */
+/** Decodes the rows of a feed. */
 export function decodeFeed(feed: TargetFeed): KeyedEntry<Target>[] {
   return feed.rows.map(decodeRow);
 }
--- a/packages/heatherarch-forward/fleet/target_list_relay.ts
+++ b/packages/heatherarch-forward/fleet/target_list_relay.ts
@@ -1,6 +1,6 @@
 /**
- * The list of targets as it passes from hub to VM, and from hub to hub: what a heartbeat tells of
- * it, and how old what was told is.
+ * Relays the target list from hub to VM and from hub to hub: the list's updates in heartbeats, and
+ * the age of the list that was received.
  *
  * @module
  */
@@ -16,21 +16,21 @@
 export interface TargetListRelayOptions {
   readonly directory: TargetDirectory;
   readonly clock: Clock;
-  /** Age of what this VM itself has read of the list of targets, milliseconds. */
+  /** Returns the age of the target list as read by this VM itself, milliseconds. */
   readonly getListAgeMs: () => number;
-  /** Age up to which a hub's word on the list of targets is relied on, milliseconds. */
+  /** Age up to which a hub's feed of the target list is used, milliseconds. */
   readonly maxListAgeMs: number;
-  /** Takes in what the source told of the list of targets; with `isFull` all of it. */
+  /** Applies the source's updates of the target list; with `isFull` they are the full list. */
   readonly applyTargets: (
     entries: readonly KeyedEntry<Target>[],
     isFull: boolean,
   ) => void;
 }
 
-/** The list at one VM. */
+/** The relay of one VM. */
 export class TargetListRelay {
   readonly #options: TargetListRelayOptions;
-  /** Cursors behind what was told on each link; none until it was given the whole list. */
+  /** Position after the updates sent on each link; none until the full list has been sent. */
   readonly #cursors = new WeakMap<Link, number>();
   #validAtMs = -Infinity;
 
@@ -38,31 +38,31 @@
     this.#options = options;
   }
 
-  /** Monotonic time for which a hub's word on the list held. */
+  /** Monotonic time as of which a hub's feed is valid. */
   get validAtMs(): number {
     return this.#validAtMs;
   }
 
-  /** Whether a hub's word is young enough to rely on. */
+  /** Whether a hub's feed is recent enough to use. */
   isFresh(nowMs: number): boolean {
     return nowMs - this.#validAtMs <= this.#options.maxListAgeMs;
   }
 
-  /** The monotonic clock did not count so many milliseconds: a hub's word is as much older. */
+  /** Ages the feed by time that the monotonic clock did not count. */
   addUncountedMs(uncountedMs: number): void {
     this.#validAtMs -= uncountedMs;
   }
 
-  /** Age of the list, read by this VM itself or told by a hub, milliseconds. */
+  /** Returns the age of the list, as read by this VM or received from a hub, milliseconds. */
   getAgeMs(): number {
     const { clock, getListAgeMs } = this.#options;
     return Math.min(getListAgeMs(), clock.readMonotonicMs() - this.#validAtMs);
   }
 
-  /** Takes in the list as `source` told it at `toldAtMs`. */
-  handleFeed(source: FeedSource, feed: TargetFeed, sentAtMs: number): void {
+  /** Applies a feed from `source` that arrived at the monotonic time `arrivedAtMs` or later. */
+  handleFeed(source: FeedSource, feed: TargetFeed, arrivedAtMs: number): void {
     const { directory, applyTargets } = this.#options;
-    const update = source.handleFeed(feed, sentAtMs, directory.validAtMs);
+    const update = source.handleFeed(feed, arrivedAtMs, directory.validAtMs);
     if (update === undefined) return;
     this.#validAtMs = update.validAtMs;
     if (update.isFull || update.entries.length > 0) {
@@ -70,7 +70,7 @@
     }
   }
 
-  /** The list, all of it or what changed since the last time; nothing of one that is too old. */
+  /** Builds a feed of the full list or its changes; one without rows if the list is too old. */
   buildFeed(link: Link, ageMs: number, isFull: boolean): TargetFeed {
     const { directory, maxListAgeMs } = this.#options;
     if (isFull) this.#cursors.delete(link);
--- a/packages/heatherarch-forward/fleet/vm_list_follower.ts
+++ b/packages/heatherarch-forward/fleet/vm_list_follower.ts
@@ -1,6 +1,6 @@
 /**
- * Announces this VM in the platform's list of VMs, and looks at that list: soon after the start,
- * when all VMs come, and rarely from then on.
+ * Announces this VM in the platform's VM list and polls that list: often after the start, when all
+ * VMs join, and rarely later.
  *
  * @module
  */
@@ -13,27 +13,27 @@
   readonly self: VmRecord;
   readonly vms: WritableTopicPort<VmRecord>;
   readonly clock: Clock;
-  /** Whether hubs tell this VM of the fleet: it has little use for the list then. */
+  /** Whether hubs inform this VM about the fleet, so that it rarely needs the list. */
   readonly hasFreshFeed: () => boolean;
   readonly onList: (listed: readonly VmRecord[]) => void;
   readonly onError: (error: unknown) => void;
 }
 
-/** All VMs start together: the list is looked at again soon, then rarely. */
+/** Pauses between the first polls. VMs that start together appear in the list soon. */
 const STARTUP_POLL_INTERVALS_MS = [1000, 2500, 4000];
 const POLL_INTERVAL_MS = 12_000;
 const FED_POLL_INTERVAL_MS = 60_000;
-/** Peers don't know a VM that is not listed: it tries again soon. */
+/** Peers don't know a VM that is not listed, so it retries soon. */
 const UNLISTED_POLL_INTERVAL_MS = 1000;
 
-/** The task that follows the list of VMs. */
+/** The task that follows the VM list. */
 export class VmListFollower {
   readonly #options: VmListFollowerOptions;
   #stopped = false;
   #isAnnounced = false;
   #pollCount = 0;
   #polledAtMs = 0;
-  /** Ends the rest before the next look. */
+  /** Ends the pause before the next poll. */
   #endPause: (() => void) | undefined;
 
   constructor(options: VmListFollowerOptions) {
@@ -49,14 +49,14 @@
     this.#endPause?.();
   }
 
-  /** To be called some times a second: looks when it is time. */
+  /** Polls the list when due. To be called several times a second. */
   tick(): void {
     const pausedMs = this.#options.clock.readMonotonicMs() - this.#polledAtMs;
-    // A VM that hubs tell no more looks soon, although it had put that off.
+    // The pause is computed anew, since it shortens when hubs no longer inform this VM.
     if (pausedMs >= this.#pickPauseMs()) this.#endPause?.();
   }
 
-  /** Takes this VM off the list. */
+  /** Removes this VM from the list. */
   async leave(): Promise<void> {
     const { vms, self, onError: onFault } = this.#options;
     try {
--- a/packages/heatherarch-forward/tasks/cache_survey.ts
+++ b/packages/heatherarch-forward/tasks/cache_survey.ts
@@ -1,10 +1,10 @@
 /**
- * Finds out what engines keep when a VM starts before a fleet that has been running: each
- * engine is asked by one VM, which tells the others.
+ * Queries which prompt prefixes engines have cached when VMs start while the engines have been
+ * running. One VM queries each engine and shares the result with the others.
  *
- * Pattern of load: all VMs lose power together, the engines keep their caches. Without the
- * survey every beginning counts as cold, its reading is overestimated four times, and prompts
- * are sent away from engines that hold them.
+ * When all VMs lose power together, the engines keep their caches. Without the survey every prefix
+ * counts as not cached, its prefill time is overestimated by a factor of four, and prompts are
+ * routed away from engines that hold their prefixes.
  *
  * @module
  */
@@ -24,18 +24,18 @@
   readonly codec: CallCodec;
   readonly prefixIndex: PrefixIndex;
   readonly listPrefillEngines: () => readonly Target[];
-  /** Ids of the live VMs that take part in surveys, this one included. */
+  /** Lists the ids of the live VMs that take part in surveys, this one included. */
   readonly listParticipants: () => readonly string[];
 }
 
-/** Time for the first links to peers, which may know already, milliseconds. */
+/** Time to connect to peers, which may already know the caches, milliseconds. */
 const STARTUP_DELAY_MS = 400;
-/** Time for an answer and for telling it to the VMs whose turn comes later, milliseconds. */
+/** Time for a response and for sending its result to the VMs next in turn, milliseconds. */
 const TURN_MS = 200;
 const MAX_TURNS = 5;
 const HTTP_OK = 200;
 
-/** Asks engines for their caches, once. */
+/** Queries the engines' caches once. */
 export class CacheSurvey {
   readonly #options: CacheSurveyOptions;
 
@@ -43,7 +43,7 @@
     this.#options = options;
   }
 
-  /** Asks the engines that no VM has surveyed, when this VM's turn comes, if it takes part. */
+  /** Queries, in this VM's turn, the engines that no VM has surveyed; only as a coordinator. */
   async run(isCoordinator: () => boolean = () => true): Promise<void> {
     await sleep(STARTUP_DELAY_MS);
     if (!isCoordinator()) return;
--- a/packages/heatherarch-forward/tasks/engine_request.ts
+++ b/packages/heatherarch-forward/tasks/engine_request.ts
@@ -1,5 +1,5 @@
 /**
- * Requests to engines that belong to no call: reports, orders, lists.
+ * Control requests to engines, which belong to no call: reports, orders and cache lists.
  *
  * @module
  */
@@ -9,23 +9,23 @@
 import type { TargetConnections } from "../calls/target_connections.ts";
 import { ExchangeError } from "../calls/target_exchange.ts";
 
-/** What an inquiry needs. */
+/** What sending a control request requires. */
 export interface EngineRequestContext {
   readonly connections: TargetConnections;
   readonly events: EventLog;
 }
 
-/** An engine's whole answer. */
+/** An engine's complete response. */
 export interface EngineResponse {
   readonly status: number;
   readonly body: Buffer;
 }
 
-/** An engine answers such a request without a slot; a second is hundreds of times its usual time. */
+/** Such a request needs no slot, and its usual duration is hundreds of times shorter. */
 const REQUEST_TIMEOUT_MS = 1000;
 const MAX_BODY_BYTES = 1024 * 1024;
 
-/** Asks an engine; undefined where there was no answer. */
+/** Sends a control request to an engine; returns undefined if there was no response. */
 export async function sendEngineRequest(
   context: EngineRequestContext,
   target: Target,
@@ -33,7 +33,7 @@
 ): Promise<EngineResponse | undefined> {
   const exchange = context.connections.send(target, request);
   const timer = setTimeout(
-    () => exchange.abort("no answer of the engine"),
+    () => exchange.abort("no response from the engine"),
     REQUEST_TIMEOUT_MS,
   );
   try {
--- a/packages/heatherarch-forward/tasks/ingress.ts
+++ b/packages/heatherarch-forward/tasks/ingress.ts
@@ -1,6 +1,6 @@
 /**
- * The callers' HTTP port. `node:http` is used directly: answers of targets pass through with
- * their own headers and framing, which a framework would rewrite.
+ * The HTTP server for clients. It uses `node:http` directly, since a framework would rewrite the
+ * headers and the framing of targets' responses.
  *
  * @module
  */
@@ -28,21 +28,21 @@
   readonly log: EventLog;
 }
 
-/** Limits until a configuration brings its own. */
+/** Limits in force until a configuration is applied. */
 const INITIAL_LIMITS: ClientLimits = {
   maxHeaderBytes: 16 * 1024,
   maxBodyBytes: 4 * 1024 * 1024,
   headerTimeoutMs: 3000,
   idleTimeoutMs: 15_000,
 };
-/** Head size that the parser takes at most; the configured limit is checked besides. */
+/** Largest request head that the parser accepts; the configured limit is checked separately. */
 const MAX_PARSER_HEADER_BYTES = 64 * 1024;
-/** How often slow heads are looked for, milliseconds. */
+/** Interval between checks for slow request heads, milliseconds. */
 const SLOW_HEAD_CHECK_INTERVAL_MS = 500;
-/** Connections that may wait to be accepted; a burst of callers must not lose its SYNs. */
+/** Connections that may wait to be accepted, enough that a burst of clients loses no SYN. */
 const ACCEPT_BACKLOG = 1024;
 
-/** Accepts calls. */
+/** Accepts calls from clients. */
 export class Ingress {
   readonly #options: IngressOptions;
   readonly #http: Server;
@@ -66,7 +66,7 @@
     this.applyLimits(INITIAL_LIMITS);
   }
 
-  /** Calls whose answer is not out yet. */
+  /** Number of calls whose response is not finished. */
   get openCalls(): number {
     return this.#openCalls;
   }
@@ -79,7 +79,7 @@
     });
   }
 
-  /** Takes over the limits of a configuration. */
+  /** Applies the limits of a configuration. */
   applyLimits(limits: ClientLimits): void {
     this.#limits = limits;
     this.#http.headersTimeout = limits.headerTimeoutMs;
@@ -87,18 +87,18 @@
     this.#http.requestTimeout = limits.headerTimeoutMs + limits.idleTimeoutMs;
   }
 
-  /** From now on each answer closes its connection. */
+  /** Makes each further response close its connection. */
   beginDrain(): void {
     this.#draining = true;
   }
 
-  /** Takes no new connections and closes idle ones; calls in progress go on. */
+  /** Stops accepting connections and closes idle ones; calls in progress continue. */
   closeListener(): void {
     this.#http.close();
     this.#http.closeIdleConnections();
   }
 
-  /** Closes everything at once. */
+  /** Closes all connections immediately. */
   closeAll(): void {
     this.#http.closeAllConnections();
   }
@@ -151,7 +151,7 @@
     clientResponse: ClientResponse,
     error: ServeError,
   ): void {
-    // What is left of the request can't be told from a next one.
+    // The unread rest of the request can't be distinguished from a next request.
     if (!request.complete) response.setHeader("Connection", "close");
     clientResponse.fail(error, "");
     this.#options.log.write("warn", "callRejected", {
@@ -161,7 +161,7 @@
     });
   }
 
-  /** Answers bytes that are no request, or one that came too slowly. */
+  /** Responds to invalid requests and to those that arrived too slowly. */
   #handleClientError(error: NodeJS.ErrnoException, socket: Socket): void {
     const status = CLIENT_ERROR_STATUS[error.code ?? ""] ?? "400 Bad Request";
     if (socket.writable && socket.bytesWritten === 0) {
@@ -182,7 +182,7 @@
   ERR_HTTP_REQUEST_TIMEOUT: "408 Request Timeout",
 };
 
-/** The whole body; undefined where the client broke off. */
+/** Reads the complete body; returns undefined if the client disconnected. */
 async function readBody(
   request: IncomingMessage,
   maxBytes: number,
@@ -199,7 +199,7 @@
     }
   } catch (error) {
     if (error instanceof ServeError) throw error;
-    // The client closed its connection: there is nobody to answer.
+    // The client closed its connection, so no response can be sent.
     return undefined;
   }
   return Buffer.concat(chunks);
--- a/packages/heatherarch-forward/tasks/quarantine_persistence.ts
+++ b/packages/heatherarch-forward/tasks/quarantine_persistence.ts
@@ -1,6 +1,6 @@
 /**
  * Persists quarantined requests in the platform's store, so that they survive a restart of all
- * VMs. While any VM runs, gossip carries them.
+ * VMs. While any VM runs, gossip keeps them.
  *
  * @module
  */
@@ -24,9 +24,9 @@
 /** First delay of the exponential backoff, milliseconds. */
 const INITIAL_RETRY_MS = 500;
 const MAX_WRITE_RETRY_MS = 8000;
-/** After a restart of all VMs nobody else tells what is held back. */
+/** After a restart of all VMs the store is the only source of quarantined requests. */
 const MAX_LOAD_RETRY_MS = 1000;
-/** Tries of a write; running VMs know the request without it. */
+/** Few attempts suffice, since running VMs know the request without the record. */
 const MAX_WRITE_ATTEMPTS = 5;
 
 /** The task that loads and stores quarantined requests. */
@@ -79,7 +79,7 @@
     const { topic, quarantine, clock } = this.#options;
     const nowMs = clock.readMonotonicMs();
     const entry = quarantine.findQuarantined(request, nowMs);
-    // Cleared in the meantime; that change removes the record.
+    // It was cleared in the meantime, and that change removes the record.
     if (kind === "held" && entry === undefined) return;
     const record = entry === undefined ? undefined : {
       account: entry.account,
--- a/packages/heatherarch-forward/tasks/role_controller.ts
+++ b/packages/heatherarch-forward/tasks/role_controller.ts
@@ -1,9 +1,9 @@
 /**
- * Keeps the engines in the roles of the plan. Any VM may do it; at a time one does, under a
- * lease in the platform's log, and only while there is something to change.
+ * Orders engines to change to their planned roles. Any VM may do so, but only one at a time, under
+ * a lease in the platform's log that is held only while there are changes to make.
  *
- * The VMs take turns by rendezvous hashing: the first one acts at once, each next one only when
- * the change is still wanted some seconds later. The lease decides where two act at once.
+ * Rendezvous hashing ranks the VMs. The first one acts at once, and each next one only if the
+ * change is still due some seconds later. If two act at once, the lease decides.
  *
  * @module
  */
@@ -44,38 +44,38 @@
   readonly codec: CallCodec;
   readonly events: EventLog;
   readonly metrics: ForwardMetrics;
-  /** Ids of the live VMs that could give orders, this one included. */
+  /** Lists the ids of the live VMs that could send orders, this one included. */
   readonly listOrderCandidates: () => readonly string[];
-  /** Whether the platform's list is being read without fault. */
+  /** Whether this VM reads the platform's target list itself and its last read succeeded. */
   readonly isListCurrent: () => boolean;
-  /** Whether this VM is one of those that usually give orders. */
+  /** Whether this VM is one of those that usually send orders. */
   readonly isCoordinator?: () => boolean;
 }
 
 const CONTROL_STREAM = "control.roles";
-/** Pause between looks at the plan, milliseconds. */
+/** Pause between evaluations of the plan, milliseconds. */
 const POLL_INTERVAL_MS = 300;
-/** The same for a VM that usually gives no orders: it waits some seconds for those that do. */
+/** The same for a VM that is no coordinator, which waits seconds for the coordinators anyway. */
 const SPARE_POLL_INTERVAL_MS = 1000;
 /**
- * No engine has come for this long before orders are given: each one reports every 1.2 s, so the
- * list fills up for that long.
+ * Time without a new engine before orders are sent, milliseconds. Each engine reports every 1.2 s,
+ * so the list is incomplete for that long.
  */
 const LIST_SETTLE_MS = 1500;
 /**
- * A VM leaves this much time to each VM before it: a look, a claim, the orders, and a heartbeat
- * that tells of them. Should two act at once, the lease decides.
+ * Time that a VM leaves to each VM ranked before it, milliseconds: an evaluation of the plan, a
+ * claim, the orders, and a heartbeat that announces them. If two act at once, the lease decides.
  */
 const TURN_MS = 1500;
-/** Further wait of a VM that usually gives no orders: all that do must have failed. */
+/** Additional wait of a VM that is no coordinator, until all coordinators must have failed. */
 const SPARE_TURN_MS = 6000;
-/** A lease without anything to do is given up after this time, milliseconds. */
+/** A lease without changes to make is released after this time, milliseconds. */
 const MAX_IDLE_LEASE_MS = 2000;
-/** Two reports of a target, so that its new role has been listed. */
+/** Time of two reports of a target, after which its new role is listed, milliseconds. */
 const REPORT_WAIT_MS = 2600;
-/** Drift of monotonic clocks within a lease, milliseconds. */
+/** Bound on the drift between monotonic clocks within one lease, milliseconds. */
 const DRIFT_MS = 200;
-/** Wall and monotonic time that part by more than this hint at a suspended machine. */
+/** Wall and monotonic clocks that diverge by more than this suggest a suspended machine. */
 const MAX_CLOCK_DIVERGENCE_MS = 150;
 const HTTP_OK = 200;
 const HTTP_FENCED = 412;
@@ -86,10 +86,10 @@
   idleSinceMs: number;
 }
 
-/** The task that gives orders to engines. */
+/** The task that sends role orders to engines. */
 export class RoleController {
   readonly #options: RoleControllerOptions;
-  /** Engines whose change has been ordered, with the role and the end of the wait for it. */
+  /** Ordered changes by engine, with the new role and the time until which it is awaited. */
   readonly #pending = new Map<string, { role: TargetRole; untilMs: number }>();
   #state = EMPTY_CONTROL_STATE;
   #session: LeaseSession | undefined;
@@ -98,7 +98,7 @@
   #countGrewAtMs = 0;
   #stopped = false;
   #sessionCount = 0;
-  /** Wall minus monotonic time when the campaign began. */
+  /** Wall minus monotonic time at the start of the session, milliseconds. */
   #clockOffsetMs = 0;
 
   constructor(options: RoleControllerOptions) {
@@ -109,15 +109,15 @@
     void this.#run();
   }
 
-  /** Ends the task and gives the lease up. */
+  /** Ends the task and releases the lease. */
   async stop(): Promise<void> {
     this.#stopped = true;
     await this.#resign("stopping").catch((error) => this.#logError(error));
   }
 
   /**
-   * Engines that are changing their role by an order of this VM. A change ends in its time also
-   * while the list can't be read: until it ends no VM gives them work.
+   * Lists engines that are changing their role on an order of this VM. No VM gives them work
+   * meanwhile, so a change expires in time even if the target list can't be read.
    */
   listChangingRole(): string[] {
     const nowMs = this.#nowMs;
@@ -175,7 +175,7 @@
         slots: service.engine.slots,
       }));
     }
-    // Engines that go are replaced at once; those that come may be followed by more.
+    // Departed engines are replaced at once, while after an arrival more may follow.
     if (count > this.#engineCount) this.#countGrewAtMs = nowMs;
     this.#engineCount = count;
     return nowMs - this.#countGrewAtMs < LIST_SETTLE_MS ? [] : changes;
@@ -191,7 +191,7 @@
     return { ...target, role: pending.role };
   }
 
-  /** An engine that another VM has ordered to change counts in its new role. */
+  /** Counts an engine that another VM has ordered to change in its new role. */
   #applyPeerOrder(target: Target, nowMs: number): Target {
     if (!this.#options.directory.hasRoleChange(target.id, nowMs)) return target;
     return {
@@ -200,7 +200,7 @@
     };
   }
 
-  /** Time to wait for the VMs whose turn comes first. */
+  /** Computes the time to wait for the VMs ranked first. */
   #computeTurnDelayMs(): number {
     const { vmId, listOrderCandidates, isCoordinator = () => true } =
       this.#options;
@@ -216,7 +216,7 @@
     this.#clockOffsetMs = this.#computeClockOffsetMs();
     const machine = new LeaseStateMachine({
       vm: vmId,
-      // A claim of an earlier campaign is another's claim, whose silence is waited for.
+      // A claim of an earlier session counts as another VM's claim, whose lease must expire.
       incarnation: `${incarnation}.${this.#sessionCount++}`,
       durationMs: leaseMs,
       driftMs: DRIFT_MS,
@@ -241,7 +241,7 @@
       const slice = await this.#options.log.read(CONTROL_STREAM, from);
       const verdict = judgeSlice(from, slice);
       if (verdict.kind === "gap") {
-        // What expired is older than any lease; the claims that follow tell the rest.
+        // Expired records are older than any lease, and later claims contain the current state.
         machine.loadState(
           { ...EMPTY_CONTROL_STATE, offset: verdict.first - 1 },
           this.#nowMs,
@@ -267,7 +267,7 @@
     await this.#options.log.append(CONTROL_STREAM, record);
   }
 
-  /** Gives one order; false where no further one may be given now. */
+  /** Sends one order; returns false if no further one may be sent now. */
   async #sendOrder(
     session: LeaseSession,
     change: RoleChange,
@@ -276,7 +276,7 @@
     const { codec, vmId, activeConfig } = this.#options;
     const report = await this.#readReport(target);
     if (report === undefined || report.isChangingRole) return true;
-    // The list is older than the engine's start: its count of orders is not this life's.
+    // The list predates the engine's restart, so its role is not that of this incarnation.
     if (isOtherIncarnation(report, target)) return true;
     if (report.role === role) return true;
     if (!this.#hasAuthority(session)) return false;
@@ -288,10 +288,10 @@
     this.#pending.set(target.id, { role, untilMs });
     const request = codec.encodeRoleOrder(order);
     const response = await sendEngineRequest(this.#options, target, request);
-    // Without an answer it may have been accepted: the expected count makes a repetition harmless.
+    // Without a response the order may have been accepted. `ordersTaken` makes a repeat harmless.
     this.#logOrder(order, response?.status ?? "unanswered");
     if (response?.status !== HTTP_FENCED) return true;
-    // Another VM holds the lease now; this token is never used again.
+    // Another VM holds the lease now, so this fencing token is never used again.
     this.#pending.delete(target.id);
     await this.#resign("fenced");
     return false;
@@ -319,7 +319,7 @@
     });
   }
 
-  /** A suspended machine's monotonic clock stands still, so a lease could outlive its time. */
+  /** Checks the lease, which could outlive its duration if a suspension stopped the clock. */
   #hasAuthority(session: LeaseSession): boolean {
     const divergenceMs = Math.abs(
       this.#computeClockOffsetMs() - this.#clockOffsetMs,
@@ -327,7 +327,7 @@
     if (divergenceMs > MAX_CLOCK_DIVERGENCE_MS) {
       this.#session = undefined;
       this.#options.events.write("warn", "leaseDropped", {
-        reason: "wall and monotonic time parted",
+        reason: "wall and monotonic clocks diverged",
         partedMs: Math.round(divergenceMs),
       });
       return false;
@@ -371,7 +371,7 @@
   }
 }
 
-/** Whether an engine's report is of another life than the list's; unknown starts tell nothing. */
+/** Whether a report is from another incarnation than listed; false if a start is unknown. */
 function isOtherIncarnation(report: EngineReport, target: Target): boolean {
   const isKnown = report.startedAtMs !== undefined &&
     target.startedAtMs !== undefined;
--- a/packages/heatherarch-forward/tasks/status_server.ts
+++ b/packages/heatherarch-forward/tasks/status_server.ts
@@ -1,5 +1,5 @@
 /**
- * Readiness for the platform's balancer; metrics and the quarantine for operators.
+ * HTTP endpoints for readiness (the platform's load balancer), metrics and quarantine (operators).
  *
  * @module
  */
@@ -24,7 +24,7 @@
 
 const QUARANTINE_PATH = "/quarantine";
 
-/** A small HTTP server for those who watch this VM. */
+/** HTTP server for monitoring and operating this VM. */
 export class StatusServer {
   readonly #options: StatusServerOptions;
   readonly #app = new Koa();
@@ -37,7 +37,7 @@
     this.#app.silent = true;
   }
 
-  /** Listens; operators may lift quarantines on ports that are for them. */
+  /** Starts listening. The quarantine is accessible only on ports for operators. */
   async listen(
     host: string,
     port: number,
@@ -92,7 +92,7 @@
   }
 }
 
-/** A quarantine with its times as a clock on the wall shows them. */
+/** Formats a quarantine with its monotonic times converted to wall-clock times. */
 function formatQuarantined(
   { request, account, lives, sinceMs, untilMs }: QuarantinedRequest,
   unixOffsetMs: number,
--- a/packages/heatherarch-forward/tasks/store_reader.ts
+++ b/packages/heatherarch-forward/tasks/store_reader.ts
@@ -1,6 +1,6 @@
 /**
- * What this VM takes from the platform's store: the configuration and the list of targets. It
- * rests while hubs tell what they say.
+ * Reads the configuration and the target list from the platform's store. Reading pauses while hubs
+ * provide them.
  *
  * @module
  */
@@ -26,11 +26,11 @@
   readonly configTopic: KeyedTopicPort<RoutingConfig>;
   readonly targetTopic: KeyedTopicPort<Target>;
   readonly configReadTiming: ConfigReadTiming;
-  /** Pause between reads of the list of targets, milliseconds. */
+  /** Pause between reads of the target list, milliseconds. */
   readonly targetPollMs: number;
-  /** Monotonic time for which a hub's word on the list held; -Infinity without one. */
+  /** Returns the monotonic time as of which a hub's feed is valid; -Infinity without one. */
   readonly getFeedValidAtMs: () => number;
-  /** Whether the process has stood still since a monotonic time. */
+  /** Whether the process has stalled since a monotonic time. */
   readonly hasStalledSince: (atMs: number) => boolean;
   readonly clock: Clock;
   readonly log: EventLog;
@@ -46,7 +46,7 @@
   readonly engineJitter: EngineJitter;
 }
 
-/** Who said, or what showed, that a target leaves. */
+/** How this VM learned that a target is leaving. */
 export type LeavingSource = "store" | "hub" | "otherIncarnation" | "grace";
 
 /** Follows the two topics of the store. */
@@ -71,29 +71,29 @@
     this.#targetFollower.stop();
   }
 
-  /** Whether this VM itself reads the list of targets without fault. */
+  /** Whether this VM reads the target list itself and its last read succeeded. */
   get isListCurrent(): boolean {
     return this.#targetFollower.isCurrent;
   }
 
-  /** Monotonic time at which this VM itself last read the list without fault. */
+  /** Monotonic time of this VM's own last successful read of the target list. */
   get listReadAtMs(): number {
     return this.#targetFollower.readAtMs;
   }
 
-  /** Age of what this VM knows of the list, by its own reading or a hub's, milliseconds. */
+  /** Returns the age of the target list by this VM's reads or a hub's feed, milliseconds. */
   getEffectiveListAgeMs(): number {
     const nowMs = this.#options.clock.readMonotonicMs();
     return nowMs -
       Math.max(this.listReadAtMs, this.#options.getFeedValidAtMs());
   }
 
-  /** Age of what this VM itself has read of the list of targets, milliseconds. */
+  /** Returns the age of the target list as read by this VM itself, milliseconds. */
   getListAgeMs(): number {
     return this.#targetFollower.getAgeMs(this.#options.clock.readMonotonicMs());
   }
 
-  /** Reads or rests; {@linkcode TopicFollower.setCoordinator} says what a VM without duty does. */
+  /** Starts or pauses reading, and sets how often reads are retried after a failure. */
   setActive(isActive: boolean, isCoordinator: boolean): void {
     if (isActive !== this.#targetFollower.isActive) {
       this.#options.log.write("info", "storeReading", { isActive });
@@ -104,12 +104,12 @@
     }
   }
 
-  /** Reads the list of targets now, where this VM reads it. */
+  /** Reads the target list now if this VM reads it at all. */
   refreshList(): void {
     this.#targetFollower.refresh();
   }
 
-  /** Reads the configuration once. Throws where the store does not answer. */
+  /** Reads the configuration once. Throws if the store does not respond. */
   async loadConfig(): Promise<void> {
     const { configTopic, clock } = this.#options;
     const sentAtMs = clock.readMonotonicMs();
@@ -117,14 +117,14 @@
     this.#applyConfigs(entries, sentAtMs);
   }
 
-  /** Takes in what a hub tells of the list of targets. */
+  /** Applies a hub's updates of the target list. */
   applyTargets(entries: readonly KeyedEntry<Target>[], isFull: boolean): void {
     const { directory, getFeedValidAtMs } = this.#options;
     directory.applyFeed(entries, isFull, getFeedValidAtMs());
     this.#recordTargets(entries, "hub");
   }
 
-  /** A hub that this VM relied on can't read the store, which says nothing of the store. */
+  /** Logs that the source hub can't read the store, which this VM might still be able to read. */
   logStaleHub(hub: string): void {
     this.#options.log.write("info", "hubListLost", {
       hub,
@@ -155,7 +155,7 @@
     this.#recordTargets(entries, "store");
   }
 
-  /** A reading that timed out while the process stood still says nothing of the store. */
+  /** Records a failure, unless the process stalled, when a timeout says nothing about the store. */
   #handleReadFailure(sentAtMs: number): void {
     const { directory, log, hasStalledSince } = this.#options;
     if (hasStalledSince(sentAtMs) || !directory.recordReadFailure()) return;
@@ -211,7 +211,7 @@
     activeConfig.recordStoreRead(sentAtMs);
   }
 
-  /** Drops what was learned of targets that are gone, with a line for each. */
+  /** Drops the state of targets that are gone, and logs each. */
   purgeDroppedTargets(source: LeavingSource): void {
     const { directory, connections } = this.#options;
     const dropped = directory.takeDropped();
@@ -235,7 +235,7 @@
     engineJitter.forget(target);
   }
 
-  /** A line for each target that leaves, or that is used although it is listed no more. */
+  /** Logs each target that is leaving, or that stays in use although it is no longer listed. */
   #recordTargets(
     entries: readonly KeyedEntry<Target>[],
     source: LeavingSource,
@@ -261,7 +261,7 @@
     this.#options.log.write("info", event, {
       target,
       source,
-      // Of what was known before this word.
+      // The age of the list before this update.
       ageMs: Math.round(this.getEffectiveListAgeMs()),
     });
   }
--- a/packages/heatherarch-forward/tasks/topic_follower.ts
+++ b/packages/heatherarch-forward/tasks/topic_follower.ts
@@ -1,6 +1,6 @@
 /**
- * Follows a topic of keyed records: loads it once, then reads what changed, and loads it
- * again where the changes have expired.
+ * Follows a topic of keyed records: loads it once, then reads changes, and reloads it when the
+ * changes have expired.
  *
  * @module
  */
@@ -15,13 +15,13 @@
   readonly log: EventLog;
   /** Pause between reads, milliseconds. */
   readonly pollMs: number;
-  /** How long the store may hold a read back until there is a record, milliseconds. */
+  /** How long the store may hold a read until there is a record, milliseconds. */
   readonly waitMs: number;
-  /** Longest wait for the answer to a long poll beyond `waitMs`; by default that of the port. */
+  /** Timeout of a long poll beyond `waitMs`, milliseconds; by default that of the port. */
   readonly answerMs?: number;
-  /** Longest wait for the answer to any other read, milliseconds; by default that of the port. */
+  /** Timeout of any other read, milliseconds; by default that of the port. */
   readonly timeoutMs?: number;
-  /** Called with what a read told, and the monotonic time at which it was asked for. */
+  /** Called with the entries of a read and the monotonic time at which it was sent. */
   readonly onList: (
     entries: readonly KeyedEntry<T>[],
     sentAtMs: number,
@@ -30,34 +30,34 @@
     entries: readonly KeyedEntry<T>[],
     sentAtMs: number,
   ) => void;
-  /** Called for each entry that can't be understood from now on. */
+  /** Called for each entry that becomes unreadable. */
   readonly onUnreadable?: () => void;
-  /** Called for each read that failed, with the monotonic time at which it was asked for. */
+  /** Called for each failed read with the monotonic time at which it was sent. */
   readonly onFailed?: (sentAtMs: number) => void;
   /** Pause after a failed read, milliseconds. */
   readonly retryMs?: number;
-  /** The same on a VM without duty. */
+  /** The same on a VM that is no coordinator. */
   readonly spareRetryMs?: number;
   readonly clock: Clock;
   /** Uniform in [0, 1). */
   readonly drawUnit?: () => number;
 }
 
-/** Pause after a failed read, milliseconds: several tries within the bound of two seconds. */
+/** Pause after a failed read, milliseconds: several attempts within the bound of two seconds. */
 const RETRY_MS = 250;
-/** The same on a VM without duty: many of them try at once. */
+/** The same on a VM that is no coordinator, as many of these retry at once. */
 const SPARE_RETRY_MS = 1000;
-/** Least part of the usual pause: short after a standstill, long enough for a store that is slow. */
+/** Minimum share of the usual pause: short after a stall, but long enough for a slow store. */
 const MIN_PAUSE_SHARE = 0.25;
 /**
- * Pauses are jittered by this part of them, either way. Readers in step would stay so: a hub whose
- * readings always come right before a VM's own never tells it anything newer.
+ * Jitter of pauses in either direction, as a share. Synchronized readers would stay synchronized: a
+ * hub that always reads right before a VM does never provides that VM with anything newer.
  */
 const JITTER_SHARE = 0.25;
-/** Keys come from other writers: longer ones are cut in the log. */
+/** Keys come from other writers, so longer ones are truncated in the log. */
 const MAX_LOGGED_KEY_CHARS = 80;
 
-/** A long poll has failed. */
+/** Thrown when a long poll fails. */
 class LongPollError extends Error {
   constructor(message: string, cause: unknown) {
     super(message, { cause });
@@ -69,21 +69,21 @@
 export class TopicFollower<T> {
   readonly #options: TopicFollowerOptions<T>;
   #nextOffset: number | undefined;
-  /** Monotonic time of the first of the reads that have failed since the last good one. */
+  /** Monotonic time of the first failed read since the last successful one. */
   #failingSinceMs: number | undefined;
   #stopped = false;
   #isActive = true;
-  /** Ends the rest of a follower that is not needed. */
+  /** Ends the wait of an inactive follower. */
   #resume: (() => void) | undefined;
   /** Ends the pause between two reads. */
   #endPause: (() => void) | undefined;
-  /** The read in progress is to be followed by another one at once. */
+  /** Whether another read must follow the one in progress at once. */
   #isRefreshDue = false;
   #isCoordinator = true;
-  /** A long poll got no answer: the next read is answered at once, whether there is a change or not. */
+  /** Whether a long poll failed. The next read is then a plain one, which the store never holds. */
   #isLongPollFailed = false;
   #readAtMs = -Infinity;
-  /** Keys whose newest record can't be understood. */
+  /** Keys whose newest record is unreadable. */
   #unreadable = new Set<string>();
 
   constructor(options: TopicFollowerOptions<T>) {
@@ -102,21 +102,21 @@
   }
 
   /**
-   * Monotonic time at which the last read without fault was asked for; -Infinity before the first.
-   * Its answer may have waited in the socket while the process stood still.
+   * Monotonic time at which the last successful read was sent; -Infinity before the first. The time
+   * of its response would not do, as that may have waited in the socket during a process stall.
    */
   get readAtMs(): number {
     return this.#readAtMs;
   }
 
-  /** Time since the last read without fault; Infinity where the store does not answer. */
+  /** Returns the time since the last successful read; Infinity while reads fail. */
   getAgeMs(nowMs: number): number {
     return this.#failingSinceMs === undefined
       ? nowMs - this.#readAtMs
       : Infinity;
   }
 
-  /** Rests while others read the topic, and goes on from a whole list. */
+  /** Pauses reading while others read the topic, or resumes it with a load of the full list. */
   setActive(isActive: boolean): void {
     if (isActive === this.#isActive) return;
     this.#isActive = isActive;
@@ -124,7 +124,7 @@
     if (isActive) this.#resume?.();
   }
 
-  /** A VM without duty is patient after a failed read, as many of them try at once. */
+  /** Sets whether this VM is a coordinator. The many other VMs retry less often after a failure. */
   setCoordinator(isCoordinator: boolean): void {
     this.#isCoordinator = isCoordinator;
   }
@@ -138,7 +138,7 @@
     this.#resume?.();
   }
 
-  /** Settles when the topic is to be read again, or never more. */
+  /** Resolves when the topic must be read again or the follower stops. */
   #waitUntilActive(): Promise<void> {
     return new Promise((resolve) => {
       this.#resume = resolve;
@@ -169,7 +169,7 @@
     }
   }
 
-  /** Reads the topic now; where a read is in progress, once more right after it. */
+  /** Reads the topic now, or right after the read in progress. */
   refresh(): void {
     if (this.#endPause === undefined) this.#isRefreshDue = true;
     else this.#endPause();
@@ -194,7 +194,7 @@
     return this.#isCoordinator ? retryMs : spareRetryMs;
   }
 
-  /** Counts from the request, so that a slow store does not make what is known older by as much. */
+  /** Counts the pause from the request, so that a slow store does not add to the list's age. */
   #computePauseMs(): number {
     const { pollMs, drawUnit = Math.random } = this.#options;
     const jitter = 1 + JITTER_SHARE * (2 * drawUnit() - 1);
@@ -216,7 +216,7 @@
     this.#options.onChanges(slice.entries, sentAtMs);
   }
 
-  /** Throws {@linkcode LongPollError} where a long poll fails, which says little of the store. */
+  /** Throws {@linkcode LongPollError} if a long poll fails, which says little about the store. */
   async #readChanges(from: number): Promise<TopicSlice<T> | undefined> {
     const { port, timeoutMs, answerMs = timeoutMs } = this.#options;
     const waitMs = this.#isLongPollFailed ? 0 : this.#drawWaitMs();
@@ -228,7 +228,7 @@
     }
   }
 
-  /** A change answers all long polls at once, so readers would stay in step without jitter. */
+  /** Draws a jittered wait. A change ends all long polls at once, which synchronizes readers. */
   #drawWaitMs(): number {
     const { waitMs, drawUnit = Math.random } = this.#options;
     return Math.round(waitMs * (1 - JITTER_SHARE * drawUnit()));
@@ -244,7 +244,7 @@
     this.#options.onList(slice.entries, sentAtMs);
   }
 
-  /** A line where an entry begins or ends to be unreadable, however often it is read. */
+  /** Logs when an entry becomes unreadable or readable, however often it is read. */
   #updateUnreadable(entries: readonly KeyedEntry<T>[]): void {
     for (const { key, isUnreadable = false } of entries) {
       if (isUnreadable === this.#unreadable.has(key)) continue;
@@ -260,7 +260,7 @@
     }
   }
 
-  /** What a whole list does not name is not unreadable any more. */
+  /** Drops unreadable keys that the full list no longer contains. */
   #dropUnlisted(entries: readonly KeyedEntry<T>[]): void {
     const listed = new Set(entries.map(({ key }) => key));
     for (const key of this.#unreadable) {
@@ -268,7 +268,7 @@
     }
   }
 
-  /** The topic is read again at once: the store may be back, or only the connection lost. */
+  /** Logs a failed long poll. A read follows at once, as perhaps only the connection was lost. */
   #handleLongPollFailure(error: Error, sentAtMs: number): void {
     this.#isLongPollFailed = true;
     const { name, log } = this.#options;
