--- a/packages/heatherarch-forward/fleet/hub_exchange.ts
+++ b/packages/heatherarch-forward/fleet/hub_exchange.ts
@@ -73,7 +73,7 @@
   readonly atMs: number;
 }
 
-/** Time without a zone's digest after which any of its hubs may replace the source, milliseconds. */
+/** Time without a zone's digest after which any of its hubs may replace the source. */
 const ZONE_TIMEOUT_MS = 500;
 /** Own heartbeats kept until a digest includes them, enough for at least three seconds. */
 const MAX_SENT_HEARTBEATS = 64;
--- a/packages/heatherarch-forward/tests/unit/cache_survey_test.ts
+++ b/packages/heatherarch-forward/tests/unit/cache_survey_test.ts
@@ -19,18 +19,18 @@
   server?.close();
 });
 
-/** An engine that answers each question with the parts that it keeps, and counts questions. */
+/** Starts an engine that responds with the ids of its cached prefixes and counts requests. */
 async function startEngine(
-  parts: readonly string[],
-): Promise<{ address: string; countAsked: () => number }> {
-  let asked = 0;
+  prefixIds: readonly string[],
+): Promise<{ address: string; countRequests: () => number }> {
+  let requestCount = 0;
   server = createServer((_request, response) => {
-    asked++;
-    response.end(JSON.stringify(parts));
+    requestCount++;
+    response.end(JSON.stringify(prefixIds));
   });
   await new Promise<void>((resolve) => server?.listen(0, "127.0.0.1", resolve));
   const { port } = server.address() as { port: number };
-  return { address: `127.0.0.1:${port}`, countAsked: () => asked };
+  return { address: `127.0.0.1:${port}`, countRequests: () => requestCount };
 }
 
 function buildSurvey(address: string, prompts: PrefixIndex): CacheSurvey {
@@ -56,12 +56,12 @@
   });
 }
 
-test("an engine is surveyed although calls have already named it", async () => {
+test("an engine is surveyed although a call has already recorded it as a holder", async () => {
   const engine = await startEngine(["k1", "k2"]);
   const prompts = new PrefixIndex();
   prompts.recordHolder("k9", "e1", "reading", performance.now());
   await buildSurvey(engine.address, prompts).run();
-  assert.equal(engine.countAsked(), 1);
+  assert.equal(engine.countRequests(), 1);
   for (const key of ["k1", "k2"]) {
     assert.deepEqual(prompts.listHolders(key).map(({ target }) => target), [
       "e1",
@@ -69,24 +69,24 @@
   }
 });
 
-test("an engine that another VM has surveyed is not asked again", async () => {
+test("an engine that another VM has surveyed is not queried again", async () => {
   const engine = await startEngine(["k1"]);
   const other = new PrefixIndex();
   other.markSurveyed("e1");
   const prompts = new PrefixIndex();
   prompts.applyPeerUpdates(other.listUpdates(0).updates, performance.now());
   await buildSurvey(engine.address, prompts).run();
-  assert.equal(engine.countAsked(), 0);
+  assert.equal(engine.countRequests(), 0);
 });
 
-test("a VM that takes no part asks no engine", async () => {
+test("a VM that is no coordinator queries no engine", async () => {
   const engine = await startEngine(["k1"]);
   const prompts = new PrefixIndex();
   await buildSurvey(engine.address, prompts).run(() => false);
-  assert.equal(engine.countAsked(), 0);
+  assert.equal(engine.countRequests(), 0);
 });
 
-test("what was surveyed is told even when many notes came since", () => {
+test("a survey is sent to peers even after many later prefix updates", () => {
   const prompts = new PrefixIndex({ maxKeys: 10 });
   prompts.markSurveyed("e1");
   for (let i = 0; i < 50; i++) prompts.recordHolder(`k${i}`, "e2", "read", i);
--- a/packages/heatherarch-forward/tests/unit/config_exchange_test.ts
+++ b/packages/heatherarch-forward/tests/unit/config_exchange_test.ts
@@ -8,44 +8,48 @@
 } from "../../mod.ts";
 import { buildConfig, buildRoute } from "./fixtures.ts";
 
-/** What a peer does when it is asked: the version that it gives, or nothing at all. */
-type PeerAnswer = number | "silent" | "large" | "unreadable";
+/** How a peer responds to a request: the version that it sends, or a fault. */
+type PeerBehavior = number | "silent" | "large" | "unreadable";
 
-interface Asked {
+interface PeerRequest {
   readonly peer: string;
-  readonly isOnlyWay: unknown;
+  readonly isLastResort: unknown;
 }
 
-const BOUND_MS = 200;
-const READS = planConfigReads({
-  configBoundMs: BOUND_MS,
-  configWaitMs: BOUND_MS / 2,
+const CONFIG_BOUND_MS = 200;
+const TIMING = planConfigReads({
+  configBoundMs: CONFIG_BOUND_MS,
+  configWaitMs: CONFIG_BOUND_MS / 2,
   requestTimeoutMs: 1500,
 });
 const LARGE = Array.from({ length: 101 }, () => buildRoute());
 
-/** An exchange that asks peers, and what came of it. */
+/** Creates an exchange with scripted peers, and records the requests to them. */
 function createExchange(
-  answers: Readonly<Record<string, PeerAnswer>>,
+  behaviors: Readonly<Record<string, PeerBehavior>>,
   hasToRead = false,
-): { exchange: ConfigExchange; configs: ActiveConfig; asked: Asked[] } {
+): {
+  exchange: ConfigExchange;
+  configs: ActiveConfig;
+  requests: PeerRequest[];
+} {
   const configs = new ActiveConfig();
-  const asked: Asked[] = [];
+  const requests: PeerRequest[] = [];
   const call = async (
     peer: string,
     _: string,
-    isOnlyWay: unknown,
+    isLastResort: unknown,
     timeoutMs: number,
   ): Promise<unknown> => {
-    asked.push({ peer, isOnlyWay });
-    const answer = answers[peer];
-    if (answer === "silent") {
+    requests.push({ peer, isLastResort });
+    const behavior = behaviors[peer];
+    if (behavior === "silent") {
       await sleepMs(timeoutMs);
       throw new Error("timed out");
     }
-    if (answer === "unreadable") return { revision: 9 };
-    if (answer !== "large") return buildConfig({ version: answer });
-    return isOnlyWay === true
+    if (behavior === "unreadable") return { revision: 9 };
+    if (behavior !== "large") return buildConfig({ version: behavior });
+    return isLastResort === true
       ? buildConfig({ version: 2, routes: LARGE })
       : null;
   };
@@ -55,54 +59,57 @@
     log: new MemoryEventLog(),
     mustReadStore: () => hasToRead,
     loadConfig: () => Promise.reject(new Error("status 503")),
-    configReadTiming: READS,
+    configReadTiming: TIMING,
   });
-  return { exchange, configs, asked };
+  return { exchange, configs, requests };
 }
 
 function sleepMs(ms: number): Promise<void> {
   return new Promise((resolve) => setTimeout(resolve, ms));
 }
 
-// A peer that fell silent kept a VM from asking the others that had the change as well.
-test("a change comes from another peer where the first one is silent", async () => {
-  const { exchange, configs, asked } = createExchange({ a: "silent", b: 2 });
+// A peer that stopped responding kept a VM from requesting the change from other peers that had it.
+test("a change is fetched from another peer if the first one does not respond", async () => {
+  const { exchange, configs, requests } = createExchange({ a: "silent", b: 2 });
   exchange.handlePeerVersion("a", 2);
   exchange.handlePeerVersion("b", 2);
-  await sleepMs(BOUND_MS);
+  await sleepMs(CONFIG_BOUND_MS);
   assert.equal(configs.version, 2);
-  assert.deepEqual(asked.map(({ peer }) => peer), ["a", "b"]);
+  assert.deepEqual(requests.map(({ peer }) => peer), ["a", "b"]);
 });
 
-test("a VM that reads the store asks a peer only after the store had time", async () => {
-  const { exchange, configs, asked } = createExchange({ a: 2 }, true);
+test("a VM that reads the store requests nothing from a peer before the store had time", async () => {
+  const { exchange, configs, requests } = createExchange({ a: 2 }, true);
   exchange.handlePeerVersion("a", 2);
   configs.applyConfig(buildConfig({ version: 2 }), "store");
-  await sleepMs(BOUND_MS);
-  assert.deepEqual(asked, []);
+  await sleepMs(CONFIG_BOUND_MS);
+  assert.deepEqual(requests, []);
 });
 
-test("a large configuration comes from a peer where the store has not given it", async () => {
-  const { exchange, configs, asked } = createExchange({ a: "large" });
+test("a large configuration is fetched from a peer if the store has not delivered it", async () => {
+  const { exchange, configs, requests } = createExchange({ a: "large" });
   exchange.handlePeerVersion("a", 2);
-  await sleepMs(BOUND_MS);
+  await sleepMs(CONFIG_BOUND_MS);
   assert.equal(configs.version, 2);
-  assert.deepEqual(asked.map(({ isOnlyWay }) => isOnlyWay), [false, true]);
+  assert.deepEqual(requests.map(({ isLastResort }) => isLastResort), [
+    false,
+    true,
+  ]);
 });
 
-test("a peer that told a newer version and gives an older one changes nothing", async () => {
+test("a peer that announced a newer version but sends an older one changes nothing", async () => {
   const { exchange, configs } = createExchange({ a: 3 });
   configs.applyConfig(buildConfig({ version: 5 }), "store");
   exchange.handlePeerVersion("a", 7);
-  await sleepMs(BOUND_MS);
+  await sleepMs(CONFIG_BOUND_MS);
   assert.equal(configs.version, 5);
 });
 
-// A peer of another release may answer in a form that this one does not know.
-test("what is no configuration is not taken from a peer", async () => {
+// A peer of another release may respond in a format that this one does not know.
+test("a response that is not a configuration is not applied", async () => {
   const { exchange, configs } = createExchange({ a: "unreadable", b: 2 });
   exchange.handlePeerVersion("a", 2);
   exchange.handlePeerVersion("b", 2);
-  await sleepMs(BOUND_MS);
+  await sleepMs(CONFIG_BOUND_MS);
   assert.equal(configs.version, 2);
 });
--- a/packages/heatherarch-forward/tests/unit/hub_exchange_test.ts
+++ b/packages/heatherarch-forward/tests/unit/hub_exchange_test.ts
@@ -17,13 +17,13 @@
 } from "../../mod.ts";
 import { buildEngine, buildTarget } from "./fixtures.ts";
 
-/** Whoever was taken for a hub before the real ones were heard has lapsed by then. */
+/** Rounds after which VMs no longer use hubs that they chose before they heard of the real ones. */
 const WARM_UP_ROUNDS = 30;
 
-/** Time for which a VM heeds the mark of a changing engine after it last heard of it. */
-const CHANGING_MS = 1500;
+/** Time for which a VM keeps the mark of an engine that is changing its role, milliseconds. */
+const CHANGING_ROLE_MS = 1500;
 
-/** One VM with its beliefs, without any socket. */
+/** One VM with its state, without sockets. */
 interface TestVm {
   readonly identity: LinkIdentity;
   readonly membership: Membership;
@@ -31,14 +31,14 @@
   readonly prefixIndex: PrefixIndex;
   readonly directory: TargetDirectory;
   readonly exchange: HubExchange;
-  /** Marks engines that are changing, as a VM does on hearing of them. */
-  readonly mark: (engines: readonly string[]) => void;
+  /** Marks engines as changing their role, as a VM does on a heartbeat that lists them. */
+  readonly markChangingRole: (engines: readonly string[]) => void;
   listAgeMs: number;
-  /** Engines that this VM has ordered to change. */
-  ordered: string[];
+  /** Engines that this VM has ordered to change their role. */
+  orderedEngines: string[];
 }
 
-/** VMs of several zones that exchange heartbeats as a mesh would carry them. */
+/** VMs of several zones that exchange heartbeats as over a mesh. */
 class TestFleet {
   readonly vms = new Map<string, TestVm>();
   readonly #links = new Map<string, Link>();
@@ -70,14 +70,14 @@
     this.#dead.add(id);
   }
 
-  /** Lets all VMs send one round of heartbeats, `count` times. */
+  /** Runs `count` rounds in which all VMs send heartbeats. */
   run(count: number): void {
     for (let i = 0; i < count; i++) {
       this.nowMs += 100;
-      const sent = [...this.vms.values()]
+      const deliveries = [...this.vms.values()]
         .filter((vm) => !this.#dead.has(vm.identity.id))
         .flatMap((vm) => this.#beginRound(vm));
-      for (const deliver of sent) deliver();
+      for (const deliver of deliveries) deliver();
     }
   }
 
@@ -85,31 +85,31 @@
     vm.membership.expire(this.nowMs);
     vm.exchange.beginRound();
     const deliveries: (() => void)[] = [];
-    for (const peer of this.#listLinked(vm)) {
-      // A link that carries nothing else answers to its pings.
+    for (const peer of this.#listLinkedPeers(vm)) {
+      // A link without heartbeats still answers pings.
       peer.membership.noteHeard(vm.identity, this.nowMs);
-      const parts = vm.exchange.buildFields(
+      const fields = vm.exchange.buildFields(
         this.#link(vm, peer),
         peer.identity,
       );
-      if (parts === undefined) continue;
-      const heartbeat = buildHeartbeat(parts);
+      if (fields === undefined) continue;
+      const heartbeat = buildHeartbeat(fields);
       deliveries.push(() => {
         peer.membership.noteProgress(vm.identity.id, heartbeat);
         peer.exchange.handle(heartbeat, vm.identity);
-        peer.mark(heartbeat.changing?.[1] ?? []);
+        peer.markChangingRole(heartbeat.changing?.[1] ?? []);
       });
     }
     return deliveries;
   }
 
-  /** Peers that this VM has dialed, or that have dialed it. */
-  #listLinked(vm: TestVm): TestVm[] {
-    const picks = (a: TestVm, b: TestVm): boolean =>
+  /** Lists peers that this VM keeps a link to, or that keep one to it. */
+  #listLinkedPeers(vm: TestVm): TestVm[] {
+    const keepsLink = (a: TestVm, b: TestVm): boolean =>
       a.membership.pickLinkPeers().some(({ id }) => id === b.identity.id);
     return [...this.vms.values()].filter((peer) =>
       peer !== vm && !this.#dead.has(peer.identity.id) &&
-      (picks(vm, peer) || picks(peer, vm))
+      (keepsLink(vm, peer) || keepsLink(peer, vm))
     );
   }
 
@@ -128,7 +128,7 @@
       hubs: { fromVms: 6, perZone: 2 },
     });
     membership.noteListed(all);
-    const parts = {
+    const components = {
       workTracker: new WorkTracker(),
       prefixIndex: new PrefixIndex(),
       directory: new TargetDirectory(),
@@ -136,25 +136,25 @@
     const vm: TestVm = {
       identity,
       membership,
-      ...parts,
-      mark: (engines) => {
+      ...components,
+      markChangingRole: (engines) => {
         for (const id of engines) {
-          const untilMs = this.nowMs + CHANGING_MS;
-          parts.directory.markChangingRole(id, untilMs, this.nowMs);
+          const untilMs = this.nowMs + CHANGING_ROLE_MS;
+          components.directory.markChangingRole(id, untilMs, this.nowMs);
         }
       },
       listAgeMs: 0,
-      ordered: [],
+      orderedEngines: [],
       exchange: new HubExchange({
         self: identity,
         membership,
-        ...parts,
+        ...components,
         clock,
-        listChangingRole: () => vm.ordered,
+        listChangingRole: () => vm.orderedEngines,
         getListAgeMs: () => vm.listAgeMs,
         maxListAgeMs: 1500,
         applyTargets: (entries, isFull) =>
-          parts.directory.applyFeed(entries, isFull, this.nowMs),
+          components.directory.applyFeed(entries, isFull, this.nowMs),
         onListStale: () => undefined,
         onSourceChange: () => undefined,
       }),
@@ -163,34 +163,34 @@
   }
 }
 
-function buildHeartbeat(parts: HubFields): Heartbeat {
+function buildHeartbeat(fields: HubFields): Heartbeat {
   const heartbeat = parseMeshMessage({
     kind: "heartbeat",
     configOffset: 1,
     controlOffset: -1,
     intervalMs: 100,
     leaving: false,
-    ...parts,
+    ...fields,
   });
   assert.ok(heartbeat?.kind === "heartbeat");
   return heartbeat;
 }
 
-test("every VM sees the work of all others, and its own once", () => {
+test("every VM counts the work of all others, and its own once", () => {
   const fleet = new TestFleet(["a", "b", "c"], 6);
   fleet.run(WARM_UP_ROUNDS);
   for (const vm of fleet.vms.values()) vm.workTracker.beginRun("e1", 100);
   fleet.run(6);
-  for (const { identity, workTracker: ledger } of fleet.vms.values()) {
+  for (const { identity, workTracker } of fleet.vms.values()) {
     assert.deepEqual(
-      ledger.getRunLoad("e1", fleet.nowMs),
+      workTracker.getRunLoad("e1", fleet.nowMs),
       { runs: 18, kvTokens: 1800 },
       identity.id,
     );
   }
 });
 
-test("work that ended is forgotten everywhere", () => {
+test("work that ended is removed on every VM", () => {
   const fleet = new TestFleet(["a", "b"], 6);
   fleet.run(WARM_UP_ROUNDS);
   const end = fleet.get("a-5").workTracker.beginRun("e1", 100);
@@ -201,12 +201,12 @@
   );
   end();
   fleet.run(6);
-  for (const { workTracker: ledger } of fleet.vms.values()) {
-    assert.equal(ledger.getRunLoad("e1", fleet.nowMs).runs, 0);
+  for (const { workTracker } of fleet.vms.values()) {
+    assert.equal(workTracker.getRunLoad("e1", fleet.nowMs).runs, 0);
   }
 });
 
-test("all VMs are counted, by hubs and by others", () => {
+test("hubs and other VMs count all live VMs", () => {
   const fleet = new TestFleet(["a", "b", "c"], 6);
   fleet.run(WARM_UP_ROUNDS);
   for (const { exchange, identity } of fleet.vms.values()) {
@@ -214,18 +214,18 @@
   }
 });
 
-test("a note of a prompt reaches every VM once it was made by one", () => {
+test("a prefix holder that one VM records reaches every VM", () => {
   const fleet = new TestFleet(["a", "b", "c"], 6);
   fleet.run(WARM_UP_ROUNDS);
   fleet.get("a-5").prefixIndex.recordHolder("k1", "e1", "read", fleet.nowMs);
   fleet.run(4);
-  for (const { prefixIndex: prompts, identity } of fleet.vms.values()) {
-    const [holder] = prompts.listHolders("k1");
+  for (const { prefixIndex, identity } of fleet.vms.values()) {
+    const [holder] = prefixIndex.listHolders("k1");
     assert.equal(holder?.target, "e1", identity.id);
   }
 });
 
-test("a hub tells the list of targets, and what changes in it", () => {
+test("a hub sends the target list and its changes", () => {
   const fleet = new TestFleet(["a", "b"], 6);
   for (const zone of ["a", "b"]) {
     for (const i of [0, 1]) {
@@ -252,7 +252,7 @@
   assert.equal(fleet.get("b-5").directory.findTarget("e1")?.id, "e1");
 });
 
-test("a VM whose hub can't read the store is not fed by it", () => {
+test("a VM has no fresh feed while its hubs can't read the store", () => {
   const fleet = new TestFleet(["a"], 6);
   fleet.run(WARM_UP_ROUNDS);
   const member = fleet.get("a-5");
@@ -265,8 +265,8 @@
   assert.equal(member.exchange.hasFreshFeed(fleet.nowMs), true);
 });
 
-/** Two zones, all hubs of which list the same two targets. */
-function createListed(): TestFleet {
+/** Creates two zones whose hubs all list the same two targets. */
+function createFleetWithTargets(): TestFleet {
   const fleet = new TestFleet(["a", "b"], 6);
   for (const id of ["a-0", "a-1", "b-0", "b-1"]) {
     fleet.get(id).directory.applyList([
@@ -278,8 +278,8 @@
   return fleet;
 }
 
-/** Hubs that read the store take in that a target is listed no more. */
-function remove(fleet: TestFleet, target: string): void {
+/** Removes a target from the list of each hub that can read the store. */
+function removeTarget(fleet: TestFleet, target: string): void {
   for (const { directory, listAgeMs, membership } of fleet.vms.values()) {
     if (!membership.isHub || listAgeMs === Infinity) continue;
     directory.applyChanges([{ key: target }], fleet.nowMs);
@@ -290,29 +290,33 @@
   return fleet.get(vm).directory.listServing("s").map(({ id }) => id);
 }
 
-// Seen: hubs that the store turned away went on calling targets that had left for up to seven
-// seconds, and every VM that they told of the list began to read the store itself.
-test("hubs that the store turns away are told the list by others, and tell it on", () => {
-  for (const lost of [["a-0"], ["a-0", "a-1"]]) {
-    const fleet = createListed();
-    for (const id of lost) fleet.get(id).listAgeMs = Infinity;
+// Hubs whose reads the store refused continued to call targets for up to seven seconds after these
+// had left, and every VM that received the list from them began to read the store itself.
+test("hubs whose reads the store refuses receive the list from other hubs and forward it", () => {
+  for (const hubsWithoutStore of [["a-0"], ["a-0", "a-1"]]) {
+    const fleet = createFleetWithTargets();
+    for (const id of hubsWithoutStore) fleet.get(id).listAgeMs = Infinity;
     fleet.run(15);
-    remove(fleet, "t1");
+    removeTarget(fleet, "t1");
     for (let i = 0; i < 30; i++) {
       fleet.run(1);
       for (const { exchange, membership, identity } of fleet.vms.values()) {
-        const isTold = membership.isHub || exchange.hasFreshFeed(fleet.nowMs);
-        assert.equal(isTold, true, `${identity.id} after ${lost}`);
+        const hasList = membership.isHub || exchange.hasFreshFeed(fleet.nowMs);
+        assert.equal(hasList, true, `${identity.id} after ${hubsWithoutStore}`);
       }
     }
     for (const id of fleet.vms.keys()) {
-      assert.deepEqual(listTargets(fleet, id), ["t2"], `${id} after ${lost}`);
+      assert.deepEqual(
+        listTargets(fleet, id),
+        ["t2"],
+        `${id} after ${hubsWithoutStore}`,
+      );
     }
   }
 });
 
-test("a hub that reads again tells what it has read", () => {
-  const fleet = createListed();
+test("a hub that can read the store again sends what it has read", () => {
+  const fleet = createFleetWithTargets();
   fleet.get("a-0").listAgeMs = Infinity;
   fleet.run(15);
   fleet.get("a-0").listAgeMs = 50;
@@ -323,8 +327,8 @@
   assert.deepEqual(listTargets(fleet, "a-5"), ["t1"]);
 });
 
-test("what hubs tell each other of a lost store grows old, and nobody relies on it", () => {
-  const fleet = createListed();
+test("a list that hubs forward while none can read the store expires", () => {
+  const fleet = createFleetWithTargets();
   for (const id of ["a-0", "a-1", "b-0", "b-1"]) {
     fleet.get(id).listAgeMs = Infinity;
   }
@@ -334,7 +338,7 @@
   }
 });
 
-test("when hubs die the other ones take over, and the sums are whole again", () => {
+test("other hubs take over from failed ones, and the digests are complete again", () => {
   const fleet = new TestFleet(["a", "b"], 8);
   fleet.run(WARM_UP_ROUNDS);
   for (const vm of fleet.vms.values()) vm.workTracker.beginRun("e1", 1);
@@ -343,11 +347,9 @@
   assert.equal(fleet.get("a-5").exchange.hasFreshFeed(fleet.nowMs), true);
   fleet.kill("a-1");
   fleet.run(40);
-  for (
-    const { identity, workTracker: ledger, exchange } of fleet.vms.values()
-  ) {
+  for (const { identity, workTracker, exchange } of fleet.vms.values()) {
     if (identity.id === "a-0" || identity.id === "a-1") continue;
-    const { runs } = ledger.getRunLoad("e1", fleet.nowMs);
+    const { runs } = workTracker.getRunLoad("e1", fleet.nowMs);
     assert.equal(runs, 14, identity.id);
     const isHub = fleet.get(identity.id).membership.isHub;
     assert.equal(
@@ -358,7 +360,7 @@
   }
 });
 
-test("an order's mark reaches every VM, and is forgotten everywhere once it is carried out", () => {
+test("the mark of an ordered role change reaches every VM, and expires once the order is done", () => {
   const fleet = new TestFleet(["a", "b"], 6);
   fleet.run(WARM_UP_ROUNDS);
   const hub = fleet.get("a-0");
@@ -366,40 +368,40 @@
     [...fleet.vms.values()].filter((vm) =>
       vm.directory.hasRoleChange("e1", fleet.nowMs)
     ).length;
-  hub.ordered = ["e1"];
-  hub.mark(hub.ordered);
+  hub.orderedEngines = ["e1"];
+  hub.markChangingRole(hub.orderedEngines);
   fleet.run(4);
   assert.equal(countMarked(), 12);
-  hub.ordered = [];
-  // A VM hears last of it from a hub whose own mark has just lapsed.
+  hub.orderedEngines = [];
+  // A VM receives the mark last from a hub whose own mark is about to expire.
   fleet.run(40);
   assert.equal(countMarked(), 0);
 });
 
-/** The last word of a hub of zone a on the list, sent now by a store that it reads. */
-function buildWord(ageMs: number): Heartbeat {
+/** Builds a heartbeat of a hub of zone a with a feed without changes of the given age. */
+function buildFeedHeartbeat(ageMs: number): Heartbeat {
   return buildHeartbeat({
     digest: { scope: "fleet", counted: -1, vms: 6, work: [] },
     targets: { ageMs, isFull: false, rows: [] },
   });
 }
 
-// A VM stands still, its hubs are lost meanwhile, and what the hub sent before waits in the socket.
-test("a word that waited while the VM stood still is not taken for fresh", () => {
+// A VM stalls, its hubs fail meanwhile, and their earlier heartbeats wait in the VM's socket.
+test("a feed that waited in the socket while the VM stalled does not count as fresh", () => {
   for (const waitedMs of [0, 2500]) {
-    const fleet = createListed();
+    const fleet = createFleetWithTargets();
     const { exchange } = fleet.get("a-5");
     for (const id of ["a-0", "a-1"]) fleet.kill(id);
     fleet.nowMs += 2500;
     for (const id of ["a-0", "a-1"]) {
-      exchange.handle(buildWord(50), fleet.get(id).identity, waitedMs);
+      exchange.handle(buildFeedHeartbeat(50), fleet.get(id).identity, waitedMs);
     }
     assert.equal(exchange.hasFreshFeed(fleet.nowMs), waitedMs === 0);
   }
 });
 
-test("time that the clock did not count makes a hub's word older", () => {
-  const fleet = createListed();
+test("time that the clock did not count makes a hub's feed older", () => {
+  const fleet = createFleetWithTargets();
   const { exchange } = fleet.get("a-5");
   assert.equal(exchange.hasFreshFeed(fleet.nowMs), true);
   exchange.addUncountedMs(2500);
--- a/packages/heatherarch-forward/tests/unit/quarantine_persistence_test.ts
+++ b/packages/heatherarch-forward/tests/unit/quarantine_persistence_test.ts
@@ -4,13 +4,14 @@
 import { RequestQuarantine } from "heatherarch-quarantine";
 import { QuarantinePersistence } from "../../mod.ts";
 
-/** Reads that fail before the store is back. */
+/** Number of reads that fail before the store recovers. */
 const FAILED_READS = 8;
-/** Time within which a VM knows what is held back once the store answers, milliseconds. */
-const KNOWN_MS = 1000;
+/** Time within which a VM loads the quarantined requests after the store recovers, milliseconds. */
+const MAX_LOAD_DELAY_MS = 1000;
 
-// VMs that all started in an outage ran a quarantined request for up to 8 s after it.
-test("what is held back is loaded soon after the store is back", async () => {
+// VMs that all started during a store outage ran a quarantined request for up to 8 s after its end,
+// as their exponential backoff between loads had grown to that pause.
+test("quarantined requests are loaded soon after the store recovers", async () => {
   const pauses: number[] = [];
   const timers = mock.method(
     globalThis,
@@ -21,7 +22,7 @@
     },
   );
   let reads = 0;
-  const keeper = new QuarantinePersistence({
+  const persistence = new QuarantinePersistence({
     topic: {
       load: () =>
         reads++ < FAILED_READS
@@ -35,12 +36,12 @@
     log: { write: () => undefined },
   });
   try {
-    keeper.start();
+    persistence.start();
     await new Promise((resolve) => setImmediate(resolve));
   } finally {
     timers.mock.restore();
-    keeper.stop();
+    persistence.stop();
   }
   assert.equal(pauses.length, FAILED_READS);
-  assert.ok(Math.max(...pauses) <= KNOWN_MS, pauses.join(", "));
+  assert.ok(Math.max(...pauses) <= MAX_LOAD_DELAY_MS, pauses.join(", "));
 });
--- a/packages/heatherarch-forward/tests/unit/role_controller_test.ts
+++ b/packages/heatherarch-forward/tests/unit/role_controller_test.ts
@@ -18,16 +18,16 @@
 
 let server: Server | undefined;
 let connections: TargetConnections | undefined;
-let keeper: RoleController | undefined;
+let controller: RoleController | undefined;
 
 afterEach(async () => {
-  await keeper?.stop();
+  await controller?.stop();
   await connections?.close();
   server?.close();
   server?.closeAllConnections();
 });
 
-/** A machine whose monotonic clock stands still while it is suspended. */
+/** The clock of a machine whose monotonic time stops while it is suspended. */
 class SuspendableClock implements Clock {
   #suspendedMs = 0;
 
@@ -39,23 +39,23 @@
     return performance.now() - this.#suspendedMs;
   }
 
-  /** As if `ms` had passed. */
+  /** Advances monotonic time by `ms`. */
   skip(ms: number): void {
     this.#suspendedMs -= ms;
   }
 
-  /** As if the machine had been suspended for `ms` until now. */
+  /** Simulates a suspension of the machine for `ms` that ends now. */
   suspend(ms: number): void {
     this.#suspendedMs += ms;
   }
 }
 
-/** Time from a change of role to its entry in the list, milliseconds. */
-const MAX_LISTED_AFTER_MS = 3000;
-/** Time for which an engine keeps an order before it answers, milliseconds. */
-const ORDER_MS = 30;
+/** Time from a role change to its entry in the target list, milliseconds. */
+const MAX_LISTING_DELAY_MS = 3000;
+/** Time from an order to the engine's response, milliseconds. */
+const ORDER_RESPONSE_MS = 30;
 
-/** An engine's calls; orders are kept. */
+/** Starts an engine's control interface, which records the orders that it receives. */
 async function startEngine(onReport: () => void): Promise<{
   address: string;
   orders: { fencing: number }[];
@@ -68,14 +68,14 @@
       return;
     }
     orders.push({ fencing: Number(request.url?.split("/").at(-1)) });
-    setTimeout(() => response.writeHead(202).end(), ORDER_MS);
+    setTimeout(() => response.writeHead(202).end(), ORDER_RESPONSE_MS);
   });
   await new Promise<void>((resolve) => server?.listen(0, "127.0.0.1", resolve));
   const { port } = server.address() as { port: number };
   return { address: `127.0.0.1:${port}`, orders };
 }
 
-/** Start of the engines' life by the list, Unix milliseconds. */
+/** Listed start of the engines, Unix milliseconds. */
 const LISTED_START_MS = 1_767_225_600_000;
 
 function buildRequest(path: string): EncodedRequest {
@@ -112,15 +112,15 @@
   };
 }
 
-/** A keeper of one VM for four engines that all answer at one address. */
-function createKeeper(
+/** Creates the controller of one VM for four engines that share one address. */
+function createController(
   { address, clock, codec, isListCurrent = () => true }: {
     address: string;
     clock: SuspendableClock;
     codec: CallCodec;
     isListCurrent?: () => boolean;
   },
-): { keeper: RoleController; events: MemoryEventLog } {
+): { controller: RoleController; events: MemoryEventLog } {
   const directory = new TargetDirectory();
   directory.applyList(
     ["e1", "e2", "e3", "e4"].map((id) => ({
@@ -154,43 +154,43 @@
     listOrderCandidates: () => ["vm-a"],
     isListCurrent,
   });
-  return { keeper: created, events };
+  return { controller: created, events };
 }
 
-test("a holder whose machine was suspended orders nothing under the lease it had", async () => {
+test("a lease holder sends no order under its lease after a suspension of its machine", async () => {
   const clock = new SuspendableClock();
   let reports = 0;
   const engine = await startEngine(() => {
     reports++;
-    // The machine stands still between the last check of the lease and the order.
+    // The machine is suspended between the last check of the lease and the order.
     if (reports === 1) clock.suspend(5000);
   });
   const { address } = engine;
-  const created = createKeeper({ address, clock, codec: buildCodec() });
+  const created = createController({ address, clock, codec: buildCodec() });
   const { events } = created;
-  keeper = created.keeper;
-  keeper.start();
+  controller = created.controller;
+  controller.start();
   const untilMs = performance.now() + 15_000;
   const isOrdered = (): boolean =>
     events.lines.some(({ event }) => event === "roleOrdered");
-  // An order is logged once it is answered, later than the engine has it.
+  // An order is logged after its response, which is later than the engine receives it.
   while (!isOrdered() && performance.now() < untilMs) {
     await new Promise((resolve) => setTimeout(resolve, 20));
   }
   const names = events.lines.map(({ event }) => event);
   const dropped = names.indexOf("leaseDropped");
   assert.ok(dropped >= 0, "the lease was dropped");
-  assert.ok(names.indexOf("roleOrdered") > dropped, "no order before");
+  assert.ok(names.indexOf("roleOrdered") > dropped, "no order was sent before");
   const [first] = engine.orders;
-  assert.ok(first.fencing > 0, "under a claim of its own");
+  assert.ok(first.fencing > 0, "the order was sent under a claim of its own");
 });
 
-test("an engine that has started again since it was listed is given no order", async () => {
+test("an engine that has restarted since it was listed receives no order", async () => {
   let reports = 0;
   const engine = await startEngine(() => {
     reports++;
   });
-  const created = createKeeper({
+  const created = createController({
     address: engine.address,
     clock: new SuspendableClock(),
     codec: {
@@ -203,35 +203,36 @@
       }),
     },
   });
-  keeper = created.keeper;
-  keeper.start();
+  controller = created.controller;
+  controller.start();
   const untilMs = performance.now() + 10_000;
   while (reports < 4 && performance.now() < untilMs) {
     await new Promise((resolve) => setTimeout(resolve, 20));
   }
-  assert.ok(reports >= 4, "engines were asked");
+  assert.ok(reports >= 4, "reports were requested");
   assert.deepEqual(engine.orders, []);
 });
 
-// All VMs keep work from an engine that changes its role, for as long as the one that ordered it says so.
-test("an ordered change ends in its time although the list can't be read meanwhile", async () => {
+// All VMs withhold work from an engine for as long as the VM that ordered its role change lists it as
+// changing. A change that did not expire would leave the engine without work.
+test("an ordered change expires in time although the list can't be read meanwhile", async () => {
   const clock = new SuspendableClock();
   const engine = await startEngine(() => undefined);
   let isReadable = true;
-  const created = createKeeper({
+  const created = createController({
     address: engine.address,
     clock,
     codec: buildCodec(),
     isListCurrent: () => isReadable,
   });
-  keeper = created.keeper;
-  keeper.start();
+  controller = created.controller;
+  controller.start();
   const untilMs = performance.now() + 10_000;
   while (engine.orders.length < 2 && performance.now() < untilMs) {
     await new Promise((resolve) => setTimeout(resolve, 20));
   }
   isReadable = false;
-  assert.equal(keeper.listChangingRole().length, 2);
-  clock.skip(TRAITS.roleChangeMs + MAX_LISTED_AFTER_MS);
-  assert.deepEqual(keeper.listChangingRole(), []);
+  assert.equal(controller.listChangingRole().length, 2);
+  clock.skip(TRAITS.roleChangeMs + MAX_LISTING_DELAY_MS);
+  assert.deepEqual(controller.listChangingRole(), []);
 });
--- a/packages/heatherarch-forward/tests/unit/store_reader_test.ts
+++ b/packages/heatherarch-forward/tests/unit/store_reader_test.ts
@@ -11,23 +11,23 @@
   TargetDirectory,
 } from "../../mod.ts";
 
-const READS = planConfigReads({
+const TIMING = planConfigReads({
   configBoundMs: 2000,
   configWaitMs: 1000,
   requestTimeoutMs: 1500,
 });
 
-function refuseReads(): KeyedTopicPort<never> {
+function createRefusingTopic(): KeyedTopicPort<never> {
   const refuse = (): Promise<never> => Promise.reject(new Error("status 503"));
   return { load: refuse, readChanges: refuse };
 }
 
-/** A VM whose reads all fail at once; only what such a VM uses is built. */
-function createRefused(): StoreReader {
+/** Creates a reader whose reads all fail at once, with only the dependencies that it then uses. */
+function createReaderOfRefusingStore(): StoreReader {
   const options: Partial<StoreReaderOptions> = {
-    configTopic: refuseReads(),
-    targetTopic: refuseReads(),
-    configReadTiming: READS,
+    configTopic: createRefusingTopic(),
+    targetTopic: createRefusingTopic(),
+    configReadTiming: TIMING,
     targetPollMs: 700,
     getFeedValidAtMs: () => -Infinity,
     hasStalledSince: () => true,
@@ -40,8 +40,8 @@
   return new StoreReader(options as StoreReaderOptions);
 }
 
-// A VM that became a hub went on with the long pauses of one that need not read.
-test("a VM that gets a duty reads as often as the others from then on", async () => {
+// A VM that became a hub, and thereby a coordinator, kept the long retry pauses of other VMs.
+test("a VM that becomes a coordinator retries as often as the other coordinators", async () => {
   const pauses: number[] = [];
   const timers = mock.method(
     globalThis,
@@ -49,12 +49,12 @@
     (_: unknown, ms: number) => void pauses.push(ms),
   );
   try {
-    const reading = createRefused();
-    reading.setActive(true, false);
-    reading.setActive(true, true);
-    reading.start();
+    const reader = createReaderOfRefusingStore();
+    reader.setActive(true, false);
+    reader.setActive(true, true);
+    reader.start();
     await new Promise((resolve) => setImmediate(resolve));
-    assert.deepEqual(pauses, [READS.retryMs, READS.retryMs]);
+    assert.deepEqual(pauses, [TIMING.retryMs, TIMING.retryMs]);
   } finally {
     timers.mock.restore();
   }
--- a/packages/heatherarch-forward/tests/unit/topic_follower_test.ts
+++ b/packages/heatherarch-forward/tests/unit/topic_follower_test.ts
@@ -9,22 +9,22 @@
 } from "../../mod.ts";
 
 const POLL_MS = 700;
-const STANDSTILL_MS = 3000;
+const STALL_MS = 3000;
 
-/** A topic that gives one slice a read, and what its follower logged. */
+/** Follows a topic that returns one slice per read; returns what the follower logged. */
 async function followSlices(
   slices: readonly (readonly KeyedEntry<number>[])[],
 ): Promise<{ events: string[]; unreadable: number }> {
   const events: string[] = [];
   let unreadable = 0;
-  let at = 0;
+  let index = 0;
   await new Promise<void>((resolve) => {
     const read = (): Promise<TopicSlice<number>> => {
-      if (at === slices.length) {
+      if (index === slices.length) {
         resolve();
         return new Promise(() => undefined);
       }
-      return Promise.resolve({ entries: slices[at++], next: at });
+      return Promise.resolve({ entries: slices[index++], next: index });
     };
     new TopicFollower<number>({
       name: "numbers",
@@ -43,15 +43,15 @@
   return { events, unreadable };
 }
 
-test("an unreadable entry is logged where it begins and ends, however often it is read", async () => {
-  const odd: KeyedEntry<number> = { key: "a", isUnreadable: true };
+test("an entry is logged when it becomes unreadable or readable, however often it is read", async () => {
+  const unreadableEntry: KeyedEntry<number> = { key: "a", isUnreadable: true };
   const { events, unreadable } = await followSlices([
     [{ key: "a", value: 1 }],
-    [odd],
-    [odd],
+    [unreadableEntry],
+    [unreadableEntry],
     [{ key: "b", value: 2 }],
     [{ key: "a", value: 3 }],
-    [odd],
+    [unreadableEntry],
     [{ key: "a" }],
   ]);
   assert.deepEqual(events, [
@@ -63,7 +63,7 @@
   assert.equal(unreadable, 2);
 });
 
-test("a follower that is not needed rests without looking, and goes on from a whole list", async () => {
+test("an inactive follower neither reads nor polls, and resumes with a load of the full list", async () => {
   const reads: string[] = [];
   let resolveRead: (slice: TopicSlice<number>) => void = () => undefined;
   const read = (kind: string): Promise<TopicSlice<number>> => {
@@ -86,14 +86,14 @@
     });
     follower.start();
     resolveRead({ entries: [], next: 1 });
-    await settle();
+    await flushTasks();
     follower.setActive(false);
     resolveRead({ entries: [], next: 2 });
-    await settle();
+    await flushTasks();
     assert.deepEqual(reads, ["load", "changes"]);
     assert.equal(timers.mock.callCount(), 0);
     follower.setActive(true);
-    await settle();
+    await flushTasks();
     assert.deepEqual(reads, ["load", "changes", "load"]);
     follower.stop();
   } finally {
@@ -101,8 +101,8 @@
   }
 });
 
-/** A follower that reads every {@linkcode POLL_MS}. */
-function createPolling(
+/** Creates a follower that reads every {@linkcode POLL_MS}. */
+function createPollingFollower(
   read: () => Promise<TopicSlice<number>>,
   overrides: Partial<TopicFollowerOptions<number>> = {},
 ): TopicFollower<number> {
@@ -119,12 +119,12 @@
   });
 }
 
-function settle(): Promise<void> {
+function flushTasks(): Promise<void> {
   return new Promise((resolve) => setImmediate(resolve));
 }
 
-/** Plays one read whose answer comes after so long; returns its age, and the pause after it. */
-async function readLate(
+/** Simulates one read of duration `tookMs`; returns its age and the pause after it. */
+async function followSlowRead(
   tookMs: number,
   unit = 0.5,
 ): Promise<{ ageMs: number; pauseMs: number }> {
@@ -132,7 +132,7 @@
   const reads: ((slice: TopicSlice<number>) => void)[] = [];
   const read = (): Promise<TopicSlice<number>> =>
     new Promise((resolve) => reads.push(resolve));
-  const follower = createPolling(read, { clock, drawUnit: () => unit });
+  const follower = createPollingFollower(read, { clock, drawUnit: () => unit });
   const pauses: number[] = [];
   const timers = mock.method(
     globalThis,
@@ -145,7 +145,7 @@
     follower.start();
     clock.advance(tookMs);
     reads[0]({ entries: [], next: 1 });
-    await settle();
+    await flushTasks();
     const ageMs = follower.getAgeMs(clock.readMonotonicMs());
     return { ageMs, pauseMs: pauses[0] };
   } finally {
@@ -154,55 +154,59 @@
   }
 }
 
-// A process that stood still reads an answer that waited in its socket meanwhile.
-test("a read that took long is as old as its request, and is soon repeated", async () => {
-  assert.deepEqual(await readLate(STANDSTILL_MS), {
-    ageMs: STANDSTILL_MS,
+// After a stall a process reads a response that waited in its socket meanwhile.
+test("the age of a slow read counts from its request, and the next read follows soon", async () => {
+  assert.deepEqual(await followSlowRead(STALL_MS), {
+    ageMs: STALL_MS,
     pauseMs: POLL_MS / 4,
   });
 });
 
-test("a slow store is asked at the usual pace", async () => {
-  assert.deepEqual(await readLate(240), { ageMs: 240, pauseMs: POLL_MS - 240 });
+test("a slow store is read at the usual rate", async () => {
+  assert.deepEqual(await followSlowRead(240), {
+    ageMs: 240,
+    pauseMs: POLL_MS - 240,
+  });
 });
 
-// A read that was on its way when the process stood still ends by its timeout, and says nothing.
-test("a follower that is to refresh reads at once, also after a read in progress has failed", async () => {
+// A read that was in progress during a process stall ends by its timeout and says nothing about the
+// store, so a requested refresh must follow it without the pause after a failure.
+test("a refresh reads at once, also after the read in progress has failed", async () => {
   const reads: { resolve: () => void; reject: (error: Error) => void }[] = [];
   const read = (): Promise<TopicSlice<number>> =>
     new Promise((resolve, reject) => {
       reads.push({ resolve: () => resolve({ entries: [], next: 1 }), reject });
     });
-  const follower = createPolling(read);
+  const follower = createPollingFollower(read);
   follower.start();
   follower.refresh();
   reads[0].reject(new Error("timeout"));
-  await settle();
-  assert.equal(reads.length, 2, "in place of the pause after a failure");
+  await flushTasks();
+  assert.equal(reads.length, 2, "without the pause after a failure");
   reads[1].resolve();
-  await settle();
-  assert.equal(reads.length, 2, "the usual pause");
+  await flushTasks();
+  assert.equal(reads.length, 2, "after the usual pause only");
   follower.refresh();
-  await settle();
+  await flushTasks();
   assert.equal(reads.length, 3);
   follower.stop();
 });
 
-test("pauses are jittered, so that readers don't stay in step", async () => {
-  const { pauseMs: least } = await readLate(0, 0);
-  const { pauseMs: most } = await readLate(0, 1);
+test("pauses are jittered, so that readers don't stay synchronized", async () => {
+  const { pauseMs: least } = await followSlowRead(0, 0);
+  const { pauseMs: most } = await followSlowRead(0, 1);
   assert.deepEqual([least, most], [POLL_MS * 0.75, POLL_MS * 1.25]);
 });
 
-// A store may be slower than the answer to a long poll may be, or refuse every read at once.
-test("a long poll that fails is followed by a plain read, and then by a pause", async () => {
-  const asked: number[] = [];
+// A store may respond later than the timeout of a long poll, or refuse every read at once.
+test("a failed long poll is followed by a plain read, and a failure of that by a pause", async () => {
+  const waitsMs: number[] = [];
   const events: string[] = [];
   const read = (_: number, waitMs: number): Promise<TopicSlice<number>> => {
-    asked.push(waitMs);
+    waitsMs.push(waitMs);
     return Promise.reject(new Error("status 503"));
   };
-  const follower = createPolling(
+  const follower = createPollingFollower(
     () => Promise.resolve({ entries: [], next: 1 }),
     {
       port: {
@@ -216,9 +220,9 @@
     },
   );
   follower.start();
-  await settle();
+  await flushTasks();
   follower.stop();
-  assert.deepEqual(asked, [POLL_MS, 0]);
+  assert.deepEqual(waitsMs, [POLL_MS, 0]);
   assert.deepEqual(events, ["longPollFailed", "dependencyLost"]);
   follower.refresh();
 });
--- a/packages/heatherarch-forward/tests/unit/vm_list_follower_test.ts
+++ b/packages/heatherarch-forward/tests/unit/vm_list_follower_test.ts
@@ -11,11 +11,12 @@
 };
 const OUTAGE_MS = 9000;
 const TICK_MS = 250;
-/** Time within which a VM is listed once the store is back, milliseconds. */
-const LISTED_MS = 1500;
+/** Time within which a VM is listed after the store recovers, milliseconds. */
+const MAX_LISTING_DELAY_MS = 1500;
 
-// A VM that started in an outage of the store was not listed for up to 12 s after it.
-test("a VM that starts in an outage is listed soon after the store is back", async () => {
+// A VM that started during a store outage was not listed for up to 12 s after its end, as it retried
+// its announcement only with the usual polls of the list.
+test("a VM that starts during a store outage is listed soon after the store recovers", async () => {
   const clock = new ManualClock();
   const startMs = clock.readMonotonicMs();
   let listedAtMs: number | undefined;
@@ -39,7 +40,7 @@
     onError: () => undefined,
   });
   follower.start();
-  while (clock.readMonotonicMs() - startMs < OUTAGE_MS + LISTED_MS) {
+  while (clock.readMonotonicMs() - startMs < OUTAGE_MS + MAX_LISTING_DELAY_MS) {
     await new Promise((resolve) => setImmediate(resolve));
     clock.advance(TICK_MS);
     follower.tick();
