--- a/packages/heatherarch-daemon/components.ts
+++ b/packages/heatherarch-daemon/components.ts
@@ -1,5 +1,5 @@
 /**
- * The parts of the process, and the builders of those that need nothing but other parts.
+ * Components of the process, and builders of those that depend only on other components.
  *
  * @module
  */
@@ -31,7 +31,7 @@
 import { TargetWatcher } from "./target_watcher.ts";
 import { ZoneView } from "./zone_view.ts";
 
-/** The parts of the process, as the container holds them. */
+/** Components of the process by their keys in the container. */
 export interface Components {
   readonly settings: ProcessSettings;
   readonly logger: Logger;
@@ -59,7 +59,7 @@
   readonly operatorServer: OperatorServer;
 }
 
-/** Reads a certificate and its key, in PEM. */
+/** Reads a certificate and its private key in PEM format. */
 export function readCertificate(
   tls: { certificateFile: string; privateKeyFile: string },
 ) {
@@ -69,7 +69,7 @@
   };
 }
 
-/** Builds the table of targets. */
+/** Builds the target table. */
 export function buildTargetTable(
   { identity, clock, tracker, settings }: Components,
 ): TargetTable {
@@ -78,8 +78,9 @@
 }
 
 /** Builds the reader of the configuration stream. */
-export function buildConfigReader(parts: Components): ConfigReader {
-  const { identity, log, clock, membership, mesh, logger, settings } = parts;
+export function buildConfigReader(components: Components): ConfigReader {
+  const { identity, log, clock, membership, mesh, logger, settings } =
+    components;
   return new ConfigReader({
     vmId: identity.id,
     availabilityZone: identity.availabilityZone,
@@ -93,9 +94,9 @@
   });
 }
 
-/** Builds the claims of idempotency keys. */
-export function buildClaimService(parts: Components): ClaimService {
-  const { identity, log, clock, membership, mesh, settings } = parts;
+/** Builds the service that claims idempotency keys. */
+export function buildClaimService(components: Components): ClaimService {
+  const { identity, log, clock, membership, mesh, settings } = components;
   return new ClaimService({
     vmId: identity.id,
     incarnation: identity.incarnation,
@@ -109,9 +110,9 @@
   });
 }
 
-/** Builds the watcher of targets. */
-export function buildTargetWatcher(parts: Components): TargetWatcher {
-  const { identity, clock, membership, table, settings, config } = parts;
+/** Builds the watcher that reads the state of targets. */
+export function buildTargetWatcher(components: Components): TargetWatcher {
+  const { identity, clock, membership, table, settings, config } = components;
   return new TargetWatcher({
     vmId: identity.id,
     availabilityZone: identity.availabilityZone,
@@ -124,36 +125,36 @@
   });
 }
 
-/** Builds the view of the zone's demand and of other zones. */
-export function buildZoneView(parts: Components): ZoneView {
-  const { identity, clock, membership, demand } = parts;
+/** Builds the view of the zone's demand and of the other zones. */
+export function buildZoneView(components: Components): ZoneView {
+  const { identity, clock, membership, demand } = components;
   const { availabilityZone } = identity;
   return new ZoneView({ availabilityZone, clock, membership, demand });
 }
 
-/** Builds what is known of requests that end targets. */
+/** Builds the quarantine of requests that crash targets. */
 export function buildQuarantine({ settings }: Components): RequestQuarantine {
   const { maxCrashes, holdSeconds } = settings.quarantine;
   return new RequestQuarantine({ maxCrashes, holdMs: holdSeconds * 1000 });
 }
 
-/** Builds the watch over requests, with a line in the log for each end of a target. */
-export function buildQuarantineWatch(parts: Components): QuarantineWatch {
-  const { quarantine, clock, table, logger } = parts;
-  const losses = new CrashDetector({
+/** Builds the quarantine watch, which logs lost exchanges, crashes and quarantine changes. */
+export function buildQuarantineWatch(components: Components): QuarantineWatch {
+  const { quarantine, clock, table, logger } = components;
+  const crashDetector = new CrashDetector({
     targetProbe: new TargetProbe(),
     quarantine,
     clock,
-    isInService: (life) => table.isInService(getTargetId(life)),
+    isInService: (incarnation) => table.isInService(getTargetId(incarnation)),
     onLoss: (loss, probe) => logger.info("exchange lost", { ...loss, probe }),
-    onCrash: (life, evidence, requests) => {
-      watch.endIncarnation(life);
-      logger.warn("target ended", { target: life, evidence, requests });
+    onCrash: (incarnation, evidence, requests) => {
+      watch.endIncarnation(incarnation);
+      logger.warn("target ended", { target: incarnation, evidence, requests });
     },
   });
   const watch = new QuarantineWatch({
     quarantine,
-    crashDetector: losses,
+    crashDetector,
     clock,
   });
   quarantine.registerChangeListener(({ kind, request, isOwn }) =>
@@ -167,9 +168,9 @@
   return watch;
 }
 
-/** Builds the mesh of this VM. */
-export function buildMesh(parts: Components): MeshNode {
-  const { settings, identity, clock, membership, metrics } = parts;
+/** Builds this VM's node of the mesh. */
+export function buildMesh(components: Components): MeshNode {
+  const { settings, identity, clock, membership, metrics } = components;
   const { mesh, listen, network } = settings;
   const tls = listen.meshTls;
   return new MeshNode({
@@ -179,8 +180,9 @@
     clock,
     membership,
     translate: (address) => network.translate[address] ?? address,
-    // The builder is looked up late: it needs parts that need the mesh.
-    buildHeartbeat: (link, peer) => parts.heartbeatBuilder.build(link, peer),
+    // Resolved on first use, since the heartbeat builder depends on components that need the mesh.
+    buildHeartbeat: (link, peer) =>
+      components.heartbeatBuilder.build(link, peer),
     onFault: (fault) => metrics.faults.inc({ kind: `mesh:${fault}` }),
     ...(tls === undefined ? {} : {
       tls: {
@@ -192,9 +194,10 @@
   });
 }
 
-/** Builds the task that holds, or follows, the zone's lease. */
-export function buildControlTask(parts: Components): ControlTask {
-  const { settings, identity, log, clock, membership, logger, table } = parts;
+/** Builds the task that holds or follows the zone's lease. */
+export function buildControlTask(components: Components): ControlTask {
+  const { settings, identity, log, clock, membership, logger, table } =
+    components;
   return new ControlTask({
     vmId: identity.id,
     incarnation: identity.incarnation,
@@ -214,16 +217,16 @@
         controlOffset: state.offset,
         targets: changing,
       });
-      // Renewals are no news to peers.
+      // Peers need no heartbeat for a lease renewal, which changes no targets.
       if (before.join(" ") !== changing.join(" ")) {
-        parts.mesh.sendHeartbeats();
+        components.mesh.sendHeartbeats();
       }
     },
   });
 }
 
-/** Builds what gives orders to engines under the lease. */
-export function buildOrderExecutor(parts: Components): OrderExecutor {
+/** Builds the executor that sends orders to engines under the lease. */
+export function buildOrderExecutor(components: Components): OrderExecutor {
   const {
     settings,
     identity,
@@ -233,7 +236,7 @@
     membership,
     model,
     logger,
-  } = parts;
+  } = components;
   return new OrderExecutor({
     availabilityZone: identity.availabilityZone,
     clock,
@@ -243,8 +246,8 @@
     model,
     settings: settings.lease,
     logger,
-    readFleet: () => parts.config.state.fleet,
-    readDemand: () => parts.zones.readDemand(),
-    onOutcome: (result) => parts.metrics.roleChanges.inc({ result }),
+    readFleet: () => components.config.state.fleet,
+    readDemand: () => components.zones.readDemand(),
+    onOutcome: (result) => components.metrics.roleChanges.inc({ result }),
   });
 }
--- a/packages/heatherarch-daemon/gateway_builder.ts
+++ b/packages/heatherarch-daemon/gateway_builder.ts
@@ -1,5 +1,5 @@
 /**
- * The gateway of the process, and what it needs of the other parts.
+ * Builds the gateway of the process from the other components.
  *
  * @module
  */
@@ -15,51 +15,51 @@
 import type { RoutingKind } from "heatherarch-settings";
 import { type Components, readCertificate } from "./components.ts";
 
-/** Longest wait for the stream of a request that another VM serves, milliseconds. */
+/** Timeout of a read from the stream of a request that another VM serves. */
 export const REMOTE_READ_TIMEOUT_MS = 3000;
 
-/** Builds the gateway; `readRefusal` tells why this VM takes no requests now, if it doesn't. */
+/** Builds the gateway. `readRefusal` returns the error if this VM accepts no requests now. */
 export function buildGateway(
-  parts: Components,
+  components: Components,
   readRefusal: () => ServeError | undefined,
 ): Gateway {
-  const tls = parts.settings.listen.callersTls;
+  const tls = components.settings.listen.callersTls;
   return new Gateway(
-    buildGatewayHost(parts, readRefusal),
+    buildGatewayHost(components, readRefusal),
     tls === undefined ? {} : { tls: readCertificate(tls) },
   );
 }
 
 function buildGatewayHost(
-  parts: Components,
+  components: Components,
   readRefusal: () => ServeError | undefined,
 ): GatewayHost {
-  const { settings, clock, model, metrics } = parts;
+  const { settings, clock, model, metrics } = components;
   return {
-    vmId: parts.identity.id,
+    vmId: components.identity.id,
     clock,
     limits: settings.requests,
     claimLimits: settings.claims,
-    targets: parts.table,
-    loadTracker: parts.tracker,
+    targets: components.table,
+    loadTracker: components.tracker,
     model,
-    demand: parts.demand,
+    demand: components.demand,
     retries: new RetryBudget({ share: settings.requests.retryShare }),
     lookupReserve: new LookupReserve({
       share: settings.requests.lookupReserveShare,
     }),
-    claims: parts.claims,
-    requestWatch: parts.quarantineWatch,
+    claims: components.claims,
+    requestWatch: components.quarantineWatch,
     events: metrics,
     readRefusal,
-    readFleet: () => parts.config.state.fleet,
-    findProfile: (name) => parts.config.state.profiles[name]?.profile,
+    readFleet: () => components.config.state.fleet,
+    findProfile: (name) => components.config.state.profiles[name]?.profile,
     getRouter: createRouterCache(model),
-    countVms: () => parts.zones.countVms(),
+    countVms: () => components.zones.countVms(),
     readRemoteStream: async (vmId, requestId, from) => {
       const unknown = { texts: [], state: "unknown" as const, model: "" };
       const body = { requestId, from };
-      const call = parts.mesh.call(
+      const call = components.mesh.call(
         vmId,
         "stream.read",
         body,
@@ -70,7 +70,7 @@
   };
 }
 
-/** One router of each kind, created when it is first asked for. */
+/** Returns a lookup of routers that creates each kind on first use. */
 function createRouterCache(model: EngineModel): (kind: RoutingKind) => Router {
   const routers = new Map<RoutingKind, Router>();
   return (kind) => {
--- a/packages/heatherarch-daemon/status_report.ts
+++ b/packages/heatherarch-daemon/status_report.ts
@@ -1,12 +1,12 @@
 /**
- * The status of one VM, for operators.
+ * Status report of one VM for operators.
  *
  * @module
  */
 import type { Components } from "./components.ts";
 
-/** What `GET /v1/status` answers. */
-export function buildStatus(parts: Components, leaving: boolean): unknown {
+/** Builds the response body of `GET /v1/status`. */
+export function buildStatus(components: Components, leaving: boolean): unknown {
   const {
     identity,
     config,
@@ -18,7 +18,7 @@
     gateway,
     mesh,
     zones,
-  } = parts;
+  } = components;
   const nowMs = clock.readMonotonicMs();
   const { claim } = control.state;
   return {
--- a/packages/heatherarch-daemon/target_table.ts
+++ b/packages/heatherarch-daemon/target_table.ts
@@ -1,5 +1,5 @@
 /**
- * All targets as this VM sees them: configuration, reports, directives and open orders.
+ * State of all targets as known to this VM: configuration, reports, directives and open orders.
  *
  * @module
  */
@@ -25,15 +25,15 @@
   readonly settings: ProcessSettings;
 }
 
-/** What was last reported of a target. */
+/** Last report of a target. */
 export interface TargetReport extends LoadReport {
   readonly role: EngineRole;
   readonly busyWithOrder: boolean;
   readonly leaving: boolean;
   readonly unreachable: boolean;
-  /** VM that watches the target. */
+  /** Id of the VM that sent the report. */
   readonly watcher: string;
-  /** Increases with each change of the row. */
+  /** Version of the table at the last change of the row. */
   readonly version: number;
 }
 
@@ -45,7 +45,7 @@
   readonly role: EngineRole;
   readonly directive: string;
   readonly usable: boolean;
-  /** Why it gets no new work; empty where it does. */
+  /** Why the target receives no new requests; empty if it does. */
   readonly reason: string;
   readonly running: number;
   readonly waiting: number;
@@ -55,7 +55,7 @@
 
 /** Targets of one zone with an open order. */
 export interface ChangingTargets {
-  /** Control offset up to which this holds; -1 while nothing has been heard. */
+  /** Control offset of the list; -1 before the first list was received. */
   readonly controlOffset: number;
   readonly targets: readonly string[];
 }
@@ -66,7 +66,7 @@
 const FLAG_UNREACHABLE = 4;
 const INITIAL_EJECTION_MS = 250;
 const MAX_EJECTION_MS = 4000;
-/** Extra time to reach another availability zone, for ranking. */
+/** Round trip to another availability zone that ranking assumes. */
 const CROSS_ZONE_ROUND_TRIP_MS = 8;
 
 interface Ejection {
@@ -93,7 +93,7 @@
     this.#options = options;
   }
 
-  /** Takes in a new configuration. */
+  /** Applies a new configuration. */
   applyConfig(state: ConfigState): void {
     this.#config = state;
     const targets = state.fleet?.targets ?? [];
@@ -114,7 +114,7 @@
     this.#closeRemovedTargets();
   }
 
-  /** Takes in which targets of a zone have an open order, as of a control offset. */
+  /** Applies the list of a zone's targets with an open order, unless a newer one is known. */
   applyChanging(availabilityZone: string, changing: ChangingTargets): void {
     const known = this.#changingByZone.get(availabilityZone);
     if (known !== undefined && changing.controlOffset < known.controlOffset) {
@@ -123,7 +123,7 @@
     this.#changingByZone.set(availabilityZone, changing);
   }
 
-  /** Targets of a zone with an open order, as far as this VM has heard. */
+  /** Returns the targets of a zone with an open order, as known to this VM. */
   getChanging(availabilityZone: string): ChangingTargets {
     return this.#changingByZone.get(availabilityZone) ?? NO_CHANGING_TARGETS;
   }
@@ -134,8 +134,8 @@
     const ejected: Candidate[] = [];
     for (const target of this.#targetsByService.get(service) ?? []) {
       if (this.#findExclusionReason(target, nowMs) !== "") continue;
-      const out = (this.#ejections.get(target.id)?.untilMs ?? 0) > nowMs;
-      (out ? ejected : usable).push(this.#buildCandidate(target));
+      const isEjected = (this.#ejections.get(target.id)?.untilMs ?? 0) > nowMs;
+      (isEjected ? ejected : usable).push(this.#buildCandidate(target));
     }
     return usable.length > 0 ? usable : ejected;
   }
@@ -144,14 +144,17 @@
     return this.#targets.get(id);
   }
 
-  /** Whether a target is to go on: one that leaves, or that the fleet no longer names, ends by itself. */
+  /**
+   * Whether a target is in service. A target that is leaving, or that was removed from the fleet,
+   * may stop without a crash.
+   */
   isInService(id: string): boolean {
     if (!this.#targets.has(id) || this.leaving.has(id)) return false;
     const directive = this.#config?.directives[id]?.directive ?? "active";
     return directive === "active" && this.#reports.get(id)?.leaving !== true;
   }
 
-  /** Targets of one zone; the same array until the configuration changes. */
+  /** Returns the targets of one zone; the same array until the configuration changes. */
   listZoneTargets(availabilityZone: string): readonly Target[] {
     let list = this.#targetsByZone.get(availabilityZone);
     if (list === undefined) {
@@ -191,12 +194,12 @@
 
   recordFailure(id: string): void {
     const failures = (this.#ejections.get(id)?.failures ?? 0) + 1;
-    const ms = Math.min(
+    const ejectionMs = Math.min(
       MAX_EJECTION_MS,
       INITIAL_EJECTION_MS * 2 ** (failures - 1),
     );
     this.#ejections.set(id, {
-      untilMs: this.#options.clock.readMonotonicMs() + ms,
+      untilMs: this.#options.clock.readMonotonicMs() + ejectionMs,
       failures,
     });
   }
@@ -205,11 +208,11 @@
     this.#ejections.delete(id);
   }
 
-  /** Takes in a report of a target that this VM or a peer watches. */
-  recordReport(row: ReportRow, from: string): void {
+  /** Records a report of a target that this VM or a peer watches. */
+  recordReport(row: ReportRow, watcher: string): void {
     const [id, role, flags, running, waiting, pendingPrefillTokens] = row;
     const known = this.#reports.get(id);
-    const same = known !== undefined && isSameRow(buildRow(id, known), row);
+    const isSame = known !== undefined && isSameRow(buildRow(id, known), row);
     this.#reports.set(id, {
       role: ENGINE_ROLES[role] ?? "mixed",
       busyWithOrder: (flags & FLAG_BUSY) !== 0,
@@ -219,37 +222,40 @@
       waiting,
       pendingPrefillTokens,
       atMs: this.#options.clock.readMonotonicMs(),
-      watcher: from,
-      version: same ? known.version : ++this.#lastVersion,
+      watcher,
+      version: isSame ? known.version : ++this.#lastVersion,
     });
   }
 
-  /** A watcher is alive: what it reported and has not changed since still holds. */
-  refreshReports(from: string): void {
+  /**
+   * Refreshes all reports of a watcher that sent a heartbeat. A heartbeat carries only the rows
+   * that changed, so the other reports are still valid.
+   */
+  refreshReports(vmId: string): void {
     const atMs = this.#options.clock.readMonotonicMs();
     for (const [id, report] of this.#reports) {
-      if (report.watcher === from) this.#reports.set(id, { ...report, atMs });
+      if (report.watcher === vmId) this.#reports.set(id, { ...report, atMs });
     }
   }
 
-  /** Rows that changed after `version`, of targets that `picks` says yes to. */
+  /** Lists the rows that changed after `version`, of the targets that `isIncluded` accepts. */
   listRowsSince(
     version: number,
-    picks: (target: Target, report: TargetReport) => boolean,
+    isIncluded: (target: Target, report: TargetReport) => boolean,
   ): { rows: ReportRow[]; version: number } {
     const rows: ReportRow[] = [];
     for (const [id, report] of this.#reports) {
       const target = this.#targets.get(id);
       if (
         report.version <= version || target === undefined ||
-        !picks(target, report)
+        !isIncluded(target, report)
       ) continue;
       rows.push(buildRow(id, report));
     }
     return { rows, version: this.#lastVersion };
   }
 
-  /** The state of all targets, for operators. */
+  /** Returns the state of all targets, for operators. */
   listStatus(): TargetStatus[] {
     const nowMs = this.#options.clock.readMonotonicMs();
     return this.listTargets().map((target) => {
@@ -278,7 +284,7 @@
     await Promise.all(ports.map((port) => port.close()));
   }
 
-  /** Why a target gets no new work; empty where it may. */
+  /** Returns why a target receives no new requests; empty if it may. */
   #findExclusionReason(target: Target, nowMs: number): string {
     const directive = this.#config?.directives[target.id]?.directive ??
       "active";
@@ -329,7 +335,10 @@
     };
   }
 
-  /** Targets that left the fleet are forgotten once nothing of ours runs on them. */
+  /**
+   * Closes the connections to targets that were removed from the fleet and have no outstanding
+   * requests of this VM, and drops their reports.
+   */
   #closeRemovedTargets(): void {
     for (const id of [...this.#engines.keys(), ...this.#services.keys()]) {
       if (
@@ -344,7 +353,7 @@
   }
 }
 
-/** Flags of a row. */
+/** Builds the flags of a report row. */
 export function buildFlags(
   state: { busyWithOrder: boolean; leaving: boolean; unreachable: boolean },
 ): number {
