--- a/packages/heatherarch-forward/fleet/feed_source.ts
+++ b/packages/heatherarch-forward/fleet/feed_source.ts
@@ -10,7 +10,7 @@
 
 /** Options of {@linkcode FeedSource}. */
 export interface FeedSourceOptions {
-  /** The hub. */
+  /** Id of the hub. */
   readonly id: string;
   /** Monotonic time at which the hub was selected, milliseconds. */
   readonly sinceMs: number;
--- a/packages/heatherarch-forward/fleet/fleet_mesh.ts
+++ b/packages/heatherarch-forward/fleet/fleet_mesh.ts
@@ -139,7 +139,7 @@
       translate: (address) => address,
       onRound: () => this.#hubs.beginRound(),
       buildHeartbeat: (link, peer) => this.#buildHeartbeat(link, peer),
-      onLate: (standstill) => this.#handleStall(standstill),
+      onLate: (stall) => this.#handleStall(stall),
       onFault: (fault) =>
         options.log.write("debug", "meshLinkEnded", { fault }),
     });
--- a/packages/heatherarch-forward/tasks/quarantine_persistence.ts
+++ b/packages/heatherarch-forward/tasks/quarantine_persistence.ts
@@ -58,14 +58,14 @@
     const { topic, quarantine, clock } = this.#options;
     await this.#runWithRetry("load", Infinity, async () => {
       const { entries } = await topic.load();
-      const notes = entries.flatMap(({ key, value }) =>
-        value === undefined ? [] : this.#buildNotes(key, value)
+      const reports = entries.flatMap(({ key, value }) =>
+        value === undefined ? [] : this.#buildReports(key, value)
       );
-      quarantine.mergePeerReports(notes, clock.readMonotonicMs());
+      quarantine.mergePeerReports(reports, clock.readMonotonicMs());
     });
   }
 
-  #buildNotes(
+  #buildReports(
     request: string,
     { account, lives, atUnixMs }: QuarantineRecord,
   ): CrashReport[] {
--- a/packages/heatherarch-forward/tasks/role_controller.ts
+++ b/packages/heatherarch-forward/tasks/role_controller.ts
@@ -93,7 +93,7 @@
   readonly #pending = new Map<string, { role: TargetRole; untilMs: number }>();
   #state = EMPTY_CONTROL_STATE;
   #session: LeaseSession | undefined;
-  #wantedSinceMs = Infinity;
+  #changesDueSinceMs = Infinity;
   #engineCount = -1;
   #countGrewAtMs = 0;
   #stopped = false;
@@ -142,12 +142,12 @@
     const nowMs = this.#nowMs;
     const changes = this.#plan(nowMs);
     if (changes.length === 0) {
-      this.#wantedSinceMs = Infinity;
+      this.#changesDueSinceMs = Infinity;
       await this.#resignIfIdle(nowMs);
       return;
     }
-    this.#wantedSinceMs = Math.min(this.#wantedSinceMs, nowMs);
-    if (nowMs - this.#wantedSinceMs < this.#computeTurnDelayMs()) return;
+    this.#changesDueSinceMs = Math.min(this.#changesDueSinceMs, nowMs);
+    if (nowMs - this.#changesDueSinceMs < this.#computeTurnDelayMs()) return;
     const session = this.#session ?? this.#beginSession();
     session.idleSinceMs = nowMs;
     await this.#readControlStream(session);
@@ -205,10 +205,10 @@
     const { vmId, listOrderCandidates, isCoordinator = () => true } =
       this.#options;
     const ownWeight = computeRendezvousWeight(CONTROL_STREAM, vmId);
-    const before = listOrderCandidates().filter((id) =>
+    const rankedFirst = listOrderCandidates().filter((id) =>
       computeRendezvousWeight(CONTROL_STREAM, id) > ownWeight
     );
-    return before.length * TURN_MS + (isCoordinator() ? 0 : SPARE_TURN_MS);
+    return rankedFirst.length * TURN_MS + (isCoordinator() ? 0 : SPARE_TURN_MS);
   }
 
   #beginSession(): LeaseSession {
