--- a/packages/heatherarch-forward/fleet/config_exchange.ts
+++ b/packages/heatherarch-forward/fleet/config_exchange.ts
@@ -1,5 +1,5 @@
 /**
- * Newer configurations that VMs fetch from each other where the store does not bring them in time.
+ * Fetches newer configurations from other VMs when the store does not deliver them in time.
  *
  * @module
  */
@@ -19,136 +19,127 @@
     ConfigReadTiming,
     "askPeerAfterMs" | "peerTimeoutMs"
   >;
-  /** Whether this VM reads the store's topics by itself. */
+  /** Whether this VM reads the store's topics itself. */
   readonly mustReadStore: () => boolean;
-  /** Reads the configuration from the store, once. */
+  /** Reads the configuration from the store once. */
   readonly loadConfig: () => Promise<void>;
 }
 
 const CONFIG_CALL = "config";
-/** Larger configurations come from the store: a hub's link would be busy with them too long. */
-const MAX_MESH_ROUTES = 100;
-/** Peers that are asked before the store. */
-const MAX_PEERS_ASKED = 3;
+/** Larger configurations are read from the store, since sending them would block a hub's link. */
+const MAX_ROUTES_OVER_MESH = 100;
+/** Number of requests to peers before the store is read. */
+const MAX_PEER_REQUESTS = 3;
 
-/** The exchange of one VM. */
+/** Serves the configuration of one VM to its peers and fetches newer ones from them. */
 export class ConfigExchange {
   readonly #options: ConfigExchangeOptions;
-  /** Peers that have a newer version than this VM, and which. */
-  readonly #holders = new Map<string, number>();
-  #isAsking = false;
+  /** Newer versions that peers have announced, by peer. */
+  readonly #peerVersions = new Map<string, number>();
+  #isFetching = false;
 
   constructor(options: ConfigExchangeOptions) {
     this.#options = options;
   }
 
-  /** Answers peers from now on. */
+  /** Starts serving requests from peers. */
   start(): void {
     this.#options.node.registerCall(
       CONFIG_CALL,
-      (body) => Promise.resolve(this.#answer(body)),
+      (body) => Promise.resolve(this.#handleRequest(body)),
     );
   }
 
-  /** A peer has this version: it is fetched if it is newer. */
+  /** Fetches the version that a peer announced if it is newer than this VM's. */
   handlePeerVersion(peer: string, version: number): void {
-    const {
-      activeConfig,
-      log,
-      mustReadStore,
-    } = this.#options;
+    const { activeConfig, log, mustReadStore } = this.#options;
     if (version <= activeConfig.version) return;
-    this.#holders.set(peer, version);
-    if (this.#isAsking) return;
+    this.#peerVersions.set(peer, version);
+    if (this.#isFetching) return;
     log.write("info", "configHeard", {
       peer,
       version,
       before: activeConfig.version,
       reads: mustReadStore(),
     });
-    void this.#ask();
+    void this.#fetch();
   }
 
-  /** The configuration; null for a large one, unless the peer has no other way to it. */
-  #answer(isOnlyWay: unknown): RoutingConfig | null {
+  /** Returns the configuration; null for a large one, unless the store failed the peer. */
+  #handleRequest(isLastResort: unknown): RoutingConfig | null {
     const config = this.#options.activeConfig.table?.config;
     if (config === undefined) return null;
-    const isLarge = config.routes.length > MAX_MESH_ROUTES;
-    return isLarge && isOnlyWay !== true ? null : config;
+    const isLarge = config.routes.length > MAX_ROUTES_OVER_MESH;
+    return isLarge && isLastResort !== true ? null : config;
   }
 
-  /** Fetches a configuration that peers have and that the store has not brought in time. */
-  async #ask(): Promise<void> {
-    const {
-      configReadTiming,
-      mustReadStore,
-    } = this.#options;
-    this.#isAsking = true;
+  /** Fetches a configuration that peers have and that the store has not delivered in time. */
+  async #fetch(): Promise<void> {
+    const { configReadTiming, mustReadStore } = this.#options;
+    this.#isFetching = true;
     if (mustReadStore()) await sleep(configReadTiming.askPeerAfterMs);
-    if (!await this.#takeFromPeers(false)) {
-      await this.#load();
-      await this.#takeFromPeers(true);
+    if (!await this.#fetchFromPeers(false)) {
+      await this.#loadFromStore();
+      await this.#fetchFromPeers(true);
     }
-    this.#holders.clear();
-    this.#isAsking = false;
+    this.#peerVersions.clear();
+    this.#isFetching = false;
   }
 
-  /** Asks peers one by one; returns whether this VM has as new a version as any of them. */
-  async #takeFromPeers(isOnlyWay: boolean): Promise<boolean> {
-    for (let asked = 0; asked < MAX_PEERS_ASKED; asked++) {
-      const peer = this.#pickHolder();
+  /** Requests it from one peer after another; returns whether this VM is now up to date. */
+  async #fetchFromPeers(isLastResort: boolean): Promise<boolean> {
+    for (let requests = 0; requests < MAX_PEER_REQUESTS; requests++) {
+      const peer = this.#pickNewestPeer();
       if (peer === undefined) break;
-      const hasGiven = await this.#take(peer, isOnlyWay);
-      // Any peer would withhold a large configuration; others are asked where this one failed.
-      if (hasGiven === false) return false;
-      if (hasGiven === undefined) this.#holders.delete(peer);
+      const isFetched = await this.#fetchFrom(peer, isLastResort);
+      // Every peer withholds a large configuration. Other peers are tried only after a failure.
+      if (isFetched === false) return false;
+      if (isFetched === undefined) this.#peerVersions.delete(peer);
     }
-    return this.#pickHolder() === undefined;
+    return this.#pickNewestPeer() === undefined;
   }
 
-  /** The peer with the newest version; undefined where none is newer than this VM's. */
-  #pickHolder(): string | undefined {
-    let newest = this.#options.activeConfig.version;
-    let holder: string | undefined;
-    for (const [peer, version] of this.#holders) {
-      if (version <= newest) continue;
-      newest = version;
-      holder = peer;
+  /** Returns the peer with the newest version; undefined if none is newer than this VM's. */
+  #pickNewestPeer(): string | undefined {
+    let newestVersion = this.#options.activeConfig.version;
+    let newestPeer: string | undefined;
+    for (const [peer, version] of this.#peerVersions) {
+      if (version <= newestVersion) continue;
+      newestVersion = version;
+      newestPeer = peer;
     }
-    return holder;
+    return newestPeer;
   }
 
-  /** Whether the peer gave its configuration; undefined where it did not answer. */
-  async #take(peer: string, isOnlyWay: boolean): Promise<boolean | undefined> {
-    const {
-      activeConfig,
-      configReadTiming,
-      log,
-      node,
-    } = this.#options;
+  /** Returns whether the peer sent its configuration; undefined if the request failed. */
+  async #fetchFrom(
+    peer: string,
+    isLastResort: boolean,
+  ): Promise<boolean | undefined> {
+    const { activeConfig, configReadTiming, log, node } = this.#options;
     try {
       const config = await node.call(
         peer,
         CONFIG_CALL,
-        isOnlyWay,
+        isLastResort,
         configReadTiming.peerTimeoutMs,
       );
       if (config === null) return false;
       const { version } = config as RoutingConfig;
       activeConfig.applyConfig(config as RoutingConfig, `peer ${peer}`);
-      this.#holders.set(peer, version);
+      this.#peerVersions.set(peer, version);
       return true;
     } catch (error) {
       log.write("warn", "configNotFetched", {
         peer,
-        version: this.#holders.get(peer),
+        version: this.#peerVersions.get(peer),
         reason: (error as Error).message,
       });
       return undefined;
     }
   }
 
-  async #load(): Promise<void> {
+  async #loadFromStore(): Promise<void> {
     try {
       await this.#options.loadConfig();
     } catch (error) {
