--- a/packages/heatherarch-claims/claim_shard.ts
+++ b/packages/heatherarch-claims/claim_shard.ts
@@ -7,7 +7,7 @@
 import { type Clock, createId, sleep } from "heatherarch-core";
 import {
   appendOnce,
-  judgeSlice,
+  classifySlice,
   type LogPort,
   LogUnavailableError,
   readWholeStream,
@@ -164,7 +164,7 @@
       const from = this.#fold.offset + 1;
       const options = { maxRecords: READ_PAGE };
       const slice = await this.#options.log.read(this.#stream, from, options);
-      const result = judgeSlice(from, slice);
+      const result = classifySlice(from, slice);
       if (result.kind === "gap") {
         await this.#recoverFromGap();
         continue;
@@ -176,7 +176,7 @@
         }
       }
       if (
-        offset === undefined ? result.current : this.#fold.offset >= offset
+        offset === undefined ? result.isCurrent : this.#fold.offset >= offset
       ) return;
       if (this.#options.clock.readMonotonicMs() > deadlineMs) {
         throw new LogUnavailableError(
--- a/packages/heatherarch-cli/commands.ts
+++ b/packages/heatherarch-cli/commands.ts
@@ -6,8 +6,8 @@
 import { readFileSync } from "node:fs";
 import { isDeepStrictEqual } from "node:util";
 import {
-  type Fault,
-  formatFaults,
+  formatIssues,
+  type InputIssue,
   parseFleet,
   parseProfile,
   parseToml,
@@ -48,14 +48,14 @@
     }
   }
   const parsed = parseToml(text);
-  if (!parsed.ok) throw buildFaultError(file, parsed.val as Fault[]);
+  if (!parsed.ok) throw buildFaultError(file, parsed.val as InputIssue[]);
   return parsed.val;
 }
 
 /** Checks a fleet configuration and returns it with defaults filled in. */
 export function readFleetFile(file: string): unknown {
   const fleet = parseFleet(readDocument(file));
-  if (!fleet.ok) throw buildFaultError(file, fleet.val as Fault[]);
+  if (!fleet.ok) throw buildFaultError(file, fleet.val as InputIssue[]);
   return fleet.val;
 }
 
@@ -131,7 +131,7 @@
   base: number | undefined,
 ): Promise<void> {
   const profile = parseProfile(readDocument(file));
-  if (!profile.ok) throw buildFaultError(file, profile.val as Fault[]);
+  if (!profile.ok) throw buildFaultError(file, profile.val as InputIssue[]);
   const { name } = profile.val as { name: string };
   const baseRevision = base ?? -1;
   const answer = await context.client.publish({
@@ -158,7 +158,7 @@
     next[key] = value;
   }
   const profile = parseProfile(next);
-  if (!profile.ok) throw buildFaultError(name, profile.val as Fault[]);
+  if (!profile.ok) throw buildFaultError(name, profile.val as InputIssue[]);
   const baseRevision = change.base ?? found.revision;
   const answer = await context.client.publish({
     kind: "putProfile",
@@ -344,6 +344,9 @@
   }
 }
 
-function buildFaultError(file: string, faults: readonly Fault[]): CommandError {
-  return new CommandError("badInput", `${file}:\n${formatFaults(faults)}`);
+function buildFaultError(
+  file: string,
+  faults: readonly InputIssue[],
+): CommandError {
+  return new CommandError("badInput", `${file}:\n${formatIssues(faults)}`);
 }
--- a/packages/heatherarch-core/errors.ts
+++ b/packages/heatherarch-core/errors.ts
@@ -8,7 +8,7 @@
 export type RunState = "no" | "unknown";
 
 /** What a kind of error means to the caller. */
-export interface ErrorAnswer {
+export interface ErrorResponse {
   /** HTTP status. */
   readonly status: number;
   /** The strongest statement that the kind alone allows. */
@@ -19,7 +19,7 @@
   readonly retryAfterMs: number;
 }
 
-const ANSWERS = {
+const RESPONSES = {
   badRequest: { status: 400, run: "no", retry: false, retryAfterMs: 0 },
   unknownProfile: { status: 400, run: "no", retry: false, retryAfterMs: 0 },
   badIdempotencyKey: { status: 400, run: "no", retry: false, retryAfterMs: 0 },
@@ -74,16 +74,17 @@
     retry: true,
     retryAfterMs: 1000,
   },
-} as const satisfies Record<string, ErrorAnswer>;
+} as const satisfies Record<string, ErrorResponse>;
 
 /** Every kind of error the system can answer with. */
-export type ErrorKind = keyof typeof ANSWERS;
+export type ErrorKind = keyof typeof RESPONSES;
 
 /** The table from error kind to answer. */
-export const ERROR_ANSWERS: Readonly<Record<ErrorKind, ErrorAnswer>> = ANSWERS;
+export const ERROR_RESPONSES: Readonly<Record<ErrorKind, ErrorResponse>> =
+  RESPONSES;
 
 /** All kinds, in the order of the table. */
-export const ERROR_KINDS = Object.keys(ANSWERS) as readonly ErrorKind[];
+export const ERROR_KINDS = Object.keys(RESPONSES) as readonly ErrorKind[];
 
 /** Optional parts of a {@linkcode ServeError}. */
 export interface ServeErrorOptions {
@@ -108,13 +109,13 @@
     super(message, { cause: options.cause });
     this.name = "ServeError";
     this.kind = kind;
-    this.run = options.run ?? ERROR_ANSWERS[kind].run;
+    this.run = options.run ?? ERROR_RESPONSES[kind].run;
     this.retryAfterMs = options.retryAfterMs ??
-      ERROR_ANSWERS[kind].retryAfterMs;
+      ERROR_RESPONSES[kind].retryAfterMs;
   }
 
   get status(): number {
-    return ERROR_ANSWERS[this.kind].status;
+    return ERROR_RESPONSES[this.kind].status;
   }
 }
 
--- a/packages/heatherarch-core/tests/unit/errors_test.ts
+++ b/packages/heatherarch-core/tests/unit/errors_test.ts
@@ -2,15 +2,15 @@
 import { test } from "node:test";
 import {
   buildErrorBody,
-  ERROR_ANSWERS,
   ERROR_KINDS,
+  ERROR_RESPONSES,
   ServeError,
   toServeError,
 } from "../../mod.ts";
 
 test("every error kind has a status of its class and a sane retry time", () => {
   for (const kind of ERROR_KINDS) {
-    const answer = ERROR_ANSWERS[kind];
+    const answer = ERROR_RESPONSES[kind];
     assert.ok(answer.status >= 400 && answer.status < 600, kind);
     assert.ok(answer.retryAfterMs >= 0, kind);
     if (answer.retry) assert.ok(answer.retryAfterMs > 0, kind);
--- a/packages/heatherarch-daemon/bin/heatherarchd.ts
+++ b/packages/heatherarch-daemon/bin/heatherarchd.ts
@@ -6,8 +6,8 @@
  */
 import { readFileSync } from "node:fs";
 import {
-  type Fault,
-  formatFaults,
+  formatIssues,
+  type InputIssue,
   type ProcessSettings,
   readProcessSettings,
 } from "heatherarch-settings";
@@ -61,6 +61,6 @@
   }
   const parsed = readProcessSettings(text);
   if (parsed.ok) return parsed.val as ProcessSettings;
-  console.error(`${file}:\n${formatFaults(parsed.val as Fault[])}`);
+  console.error(`${file}:\n${formatIssues(parsed.val as InputIssue[])}`);
   process.exit(EXIT_INVALID_SETTINGS);
 }
--- a/packages/heatherarch-daemon/components.ts
+++ b/packages/heatherarch-daemon/components.ts
@@ -183,7 +183,7 @@
     // Resolved on first use, since the heartbeat builder depends on components that need the mesh.
     buildHeartbeat: (link, peer) =>
       components.heartbeatBuilder.build(link, peer),
-    onFault: (fault) => metrics.faults.inc({ kind: `mesh:${fault}` }),
+    onLinkClosed: (fault) => metrics.faults.inc({ kind: `mesh:${fault}` }),
     ...(tls === undefined ? {} : {
       tls: {
         cert: readFileSync(tls.certificateFile, "utf8"),
--- a/packages/heatherarch-daemon/config_reader.ts
+++ b/packages/heatherarch-daemon/config_reader.ts
@@ -7,11 +7,11 @@
  */
 import { type Clock, createId, pickRendezvous, sleep } from "heatherarch-core";
 import {
+  classifySlice,
   CONFIG_FORMAT,
   CONFIG_STREAM,
   type ConfigState,
   ConfigView,
-  judgeSlice,
   loadConfigSnapshot,
   type LogPort,
   type LogRecord,
@@ -168,14 +168,14 @@
     const askedAtMs = this.#options.clock.readMonotonicMs();
     const options = { maxRecords: READ_PAGE, waitMs };
     const slice = await this.#options.log.read(CONFIG_STREAM, from, options);
-    const verdict = judgeSlice(from, slice);
+    const verdict = classifySlice(from, slice);
     if (verdict.kind === "gap") {
       await this.#recoverFromGap();
       return false;
     }
     this.#applyRecords(verdict.records);
-    if (verdict.current) this.#currentAtMs = askedAtMs;
-    return verdict.current;
+    if (verdict.isCurrent) this.#currentAtMs = askedAtMs;
+    return verdict.isCurrent;
   }
 
   async #recoverFromGap(): Promise<void> {
@@ -190,7 +190,7 @@
 
   #applyRecords(records: readonly LogRecord[]): void {
     const previous = this.#view.state;
-    if (!this.#view.takeRecords(records)) return;
+    if (!this.#view.applyRecords(records)) return;
     for (const record of records) {
       const isSnapshot = parseConfigRecord(record.data)?.type === "snapshot";
       if (isSnapshot) this.#snapshotOffset = record.offset;
@@ -200,7 +200,7 @@
 
   #loadState(state: ConfigState): boolean {
     const previous = this.#view.state;
-    if (!this.#view.takeState(state)) return false;
+    if (!this.#view.loadState(state)) return false;
     this.#snapshotOffset = state.offset;
     this.#notifyListeners(previous);
     return true;
--- a/packages/heatherarch-daemon/control_task.ts
+++ b/packages/heatherarch-daemon/control_task.ts
@@ -14,7 +14,7 @@
   loadControlSnapshot,
 } from "heatherarch-lease";
 import {
-  judgeSlice,
+  classifySlice,
   type LogPort,
   type LogRecord,
   LogUnavailableError,
@@ -163,13 +163,13 @@
         this.#options.settings.renewMs,
       ),
     });
-    const verdict = judgeSlice(from, slice);
+    const verdict = classifySlice(from, slice);
     if (verdict.kind === "gap") {
       await this.#recoverFromGap();
       return;
     }
     for (const record of verdict.records) this.#applyRecord(record);
-    if (verdict.current) this.#readSentAtMs = sentAtMs;
+    if (verdict.isCurrent) this.#readSentAtMs = sentAtMs;
     await this.#writeSnapshotWhenDue();
   }
 
--- a/packages/heatherarch-daemon/entry_vm.ts
+++ b/packages/heatherarch-daemon/entry_vm.ts
@@ -119,7 +119,7 @@
         REMOTE_READ_TIMEOUT_MS / 3,
       );
     });
-    this.#components.membership.noteListed(settings.mesh.peers);
+    this.#components.membership.recordListing(settings.mesh.peers);
     await mesh.start();
     void this.#superviseComponent("config", config.run());
     void this.#superviseComponent("control", control.run());
@@ -352,7 +352,7 @@
             }]
             : []
         );
-        membership.noteListed([...settings.mesh.peers, ...entries]);
+        membership.recordListing([...settings.mesh.peers, ...entries]);
         watcher.recordListing(vms);
       } catch {
         // The list is only a hint. Without it, membership relies on the peers that respond.
--- a/packages/heatherarch-daemon/operator_server.ts
+++ b/packages/heatherarch-daemon/operator_server.ts
@@ -19,8 +19,8 @@
   parseConfigRecord,
 } from "heatherarch-log";
 import {
-  buildFaults,
-  formatFaults,
+  buildIssues,
+  formatIssues,
   type ProcessSettings,
 } from "heatherarch-settings";
 import { z } from "zod";
@@ -171,7 +171,7 @@
   async #publish(ctx: Koa.Context, author: string): Promise<unknown> {
     const body = PUBLISH_BODY.safeParse(await readJson(ctx));
     if (!body.success) {
-      throw new ServeError("badRequest", formatFaults(buildFaults(body.error)));
+      throw new ServeError("badRequest", formatIssues(buildIssues(body.error)));
     }
     const { baseRevision, id = createId("pub") } = body.data;
     const change = parseChange(body.data.change);
--- a/packages/heatherarch-forward/calls/target_list_guard.ts
+++ b/packages/heatherarch-forward/calls/target_list_guard.ts
@@ -9,7 +9,7 @@
  * @module
  */
 import { type Clock, sleep } from "heatherarch-core";
-import { LoopWatch, type Standstill } from "heatherarch-mesh";
+import { type LoopStall, LoopStallDetector } from "heatherarch-mesh";
 
 /** Options of {@linkcode TargetListGuard}. */
 export interface TargetListGuardOptions {
@@ -48,7 +48,7 @@
 /** Guards one VM against the use of a stale target list. */
 export class TargetListGuard {
   readonly #options: TargetListGuardOptions;
-  readonly #loopWatch: LoopWatch;
+  readonly #loopWatch: LoopStallDetector;
   /**
    * Monotonic time since which calls are held. Each further stall moves it forward by its monotonic
    * length. Undefined while calls are not held.
@@ -63,16 +63,16 @@
 
   constructor(options: TargetListGuardOptions) {
     this.#options = options;
-    this.#loopWatch = new LoopWatch({
-      usualMs: () => options.tickIntervalMs,
-      onLate: (stall) => this.#handleStall(stall),
+    this.#loopWatch = new LoopStallDetector({
+      getTickIntervalMs: () => options.tickIntervalMs,
+      onStall: (stall) => this.#handleStall(stall),
     });
   }
 
   /** Must be called in each regular tick of the process. */
   recordTick(): void {
     const { clock } = this.#options;
-    this.#loopWatch.noteTurn(clock.readMonotonicMs(), clock.readWallMs());
+    this.#loopWatch.recordTick(clock.readMonotonicMs(), clock.readWallMs());
   }
 
   /** Whether calls are held now. */
@@ -98,7 +98,7 @@
     while (this.isHoldingCalls()) await sleep(POLL_INTERVAL_MS);
   }
 
-  #handleStall({ lateMs, uncountedMs }: Standstill): void {
+  #handleStall({ lateMs, uncountedMs }: LoopStall): void {
     this.#resumedAtMs = this.#nowMs;
     if (uncountedMs >= MIN_UNCOUNTED_MS) this.#validFromMs = this.#nowMs;
     if (this.#heldSinceMs !== undefined) {
--- a/packages/heatherarch-forward/fleet/fleet_mesh.ts
+++ b/packages/heatherarch-forward/fleet/fleet_mesh.ts
@@ -8,9 +8,9 @@
   type Heartbeat,
   type Link,
   type LinkIdentity,
+  type LoopStall,
   Membership,
   MeshNode,
-  type Standstill,
 } from "heatherarch-mesh";
 import type { ActiveConfig } from "../state/active_config.ts";
 import type { ConfigReadTiming } from "../scheduling/config_reads.ts";
@@ -104,7 +104,7 @@
       self,
       silenceMs,
       linksPerZone,
-      hubs: { fromVms: options.hubsFromVms, perZone: options.hubsPerZone },
+      hubs: { minVms: options.hubsFromVms, perZone: options.hubsPerZone },
     });
     this.#hubs = new HubExchange({
       ...options,
@@ -139,8 +139,8 @@
       translate: (address) => address,
       onRound: () => this.#hubs.beginRound(),
       buildHeartbeat: (link, peer) => this.#buildHeartbeat(link, peer),
-      onLate: (standstill) => this.#noteStandstill(standstill),
-      onFault: (fault) =>
+      onLoopStall: (standstill) => this.#noteStandstill(standstill),
+      onLinkClosed: (fault) =>
         options.log.write("debug", "meshLinkEnded", { fault }),
     });
     this.#configs = new ConfigExchange({
@@ -162,9 +162,9 @@
     this.#undoListeners.push(
       workTracker.registerOwnWorkListener(() => {
         // A hub tells sums of many VMs, which change all the time.
-        if (!this.#membership.isHub) this.#node.noteNews();
+        if (!this.#membership.isHub) this.#node.requestRound();
       }),
-      this.#news.registerListener(() => this.#node.noteNews()),
+      this.#news.registerListener(() => this.#node.requestRound()),
     );
     this.#list.start();
   }
@@ -233,7 +233,7 @@
 
   #applyList(listed: readonly VmRecord[]): void {
     this.#listed = listed.length;
-    this.#membership.noteListed(listed);
+    this.#membership.recordListing(listed);
     this.#hasList = true;
     this.updateVmCount();
   }
@@ -349,7 +349,7 @@
   }
 
   /** What was known before a standstill is older by the time that the clock did not count. */
-  #noteStandstill({ lateMs, uncountedMs }: Standstill): void {
+  #noteStandstill({ lateMs, uncountedMs }: LoopStall): void {
     this.#hubs.addUncountedMs(uncountedMs);
     this.#options.onLoopStall(lateMs);
     this.#options.log.write("warn", "loopLate", {
--- a/packages/heatherarch-forward/fleet/hub_exchange.ts
+++ b/packages/heatherarch-forward/fleet/hub_exchange.ts
@@ -386,7 +386,7 @@
 
   #dropSilentPeers(nowMs: number): void {
     const { membership } = this.#options;
-    membership.noteServing(this.#peers.dropSilent(nowMs));
+    membership.setServing(this.#peers.dropSilent(nowMs));
     for (const [zone, { atMs }] of this.#zones) {
       if (nowMs - atMs > PEER_TIMEOUT_MS) this.#zones.delete(zone);
     }
--- a/packages/heatherarch-forward/tasks/role_controller.ts
+++ b/packages/heatherarch-forward/tasks/role_controller.ts
@@ -18,7 +18,7 @@
   EMPTY_CONTROL_STATE,
   LeaseStateMachine,
 } from "heatherarch-lease";
-import { judgeSlice, type LogPort } from "heatherarch-log";
+import { classifySlice, type LogPort } from "heatherarch-log";
 import type { ActiveConfig } from "../state/active_config.ts";
 import { sendEngineRequest } from "./engine_request.ts";
 import type { EventLog } from "../event_log.ts";
@@ -246,7 +246,7 @@
       const sentAtMs = this.#nowMs;
       const from = machine.state.offset + 1;
       const slice = await this.#options.log.read(CONTROL_STREAM, from);
-      const verdict = judgeSlice(from, slice);
+      const verdict = classifySlice(from, slice);
       if (verdict.kind === "gap") {
         // What expired is older than any lease; the claims that follow tell the rest.
         machine.loadState(
@@ -259,7 +259,7 @@
         machine.applyRecord(record, this.#nowMs);
       }
       this.#state = machine.state;
-      if (!verdict.current) continue;
+      if (!verdict.isCurrent) continue;
       campaign.readAtMs = sentAtMs;
       return;
     }
--- a/packages/heatherarch-forward/tests/unit/hub_exchange_test.ts
+++ b/packages/heatherarch-forward/tests/unit/hub_exchange_test.ts
@@ -87,7 +87,7 @@
     const deliveries: (() => void)[] = [];
     for (const peer of this.#listLinked(vm)) {
       // A link that carries nothing else answers to its pings.
-      peer.membership.noteHeard(vm.identity, this.nowMs);
+      peer.membership.recordContact(vm.identity, this.nowMs);
       const parts = vm.exchange.buildFields(
         this.#link(vm, peer),
         peer.identity,
@@ -95,7 +95,7 @@
       if (parts === undefined) continue;
       const heartbeat = buildHeartbeat(parts);
       deliveries.push(() => {
-        peer.membership.noteProgress(vm.identity.id, heartbeat);
+        peer.membership.recordProgress(vm.identity.id, heartbeat);
         peer.exchange.handle(heartbeat, vm.identity);
         peer.mark(heartbeat.changing?.[1] ?? []);
       });
@@ -125,9 +125,9 @@
     const membership = new Membership({
       self: identity,
       silenceMs: 1200,
-      hubs: { fromVms: 6, perZone: 2 },
+      hubs: { minVms: 6, perZone: 2 },
     });
-    membership.noteListed(all);
+    membership.recordListing(all);
     const parts = {
       workTracker: new WorkTracker(),
       prefixIndex: new PrefixIndex(),
--- a/packages/heatherarch-gateway/openai_format.ts
+++ b/packages/heatherarch-gateway/openai_format.ts
@@ -5,7 +5,7 @@
  */
 import { z } from "zod";
 import { Err, Ok, type Result, ServeError } from "heatherarch-core";
-import { buildFaults, formatFaults } from "heatherarch-settings";
+import { buildIssues, formatIssues } from "heatherarch-settings";
 
 const MAX_TOKENS = z.int().min(1).max(1_000_000);
 
@@ -227,5 +227,5 @@
 }
 
 function buildValidationError(error: z.ZodError): ServeError {
-  return new ServeError("badRequest", formatFaults(buildFaults(error)));
+  return new ServeError("badRequest", formatIssues(buildIssues(error)));
 }
--- a/packages/heatherarch-lab/bench/control_bench.ts
+++ b/packages/heatherarch-lab/bench/control_bench.ts
@@ -263,7 +263,11 @@
     mesh,
   };
   const membership = new Membership({ self, silenceMs: 5000 });
-  membership.noteListed([{ id: vm.id, availabilityZone: ZONE, mesh: vm.mesh }]);
+  membership.recordListing([{
+    id: vm.id,
+    availabilityZone: ZONE,
+    mesh: vm.mesh,
+  }]);
   const watched = runners.filter((_, at) =>
     at % count === index || (at + 7) % count === index
   );
@@ -302,7 +306,7 @@
     membership,
     translate: (address) => address,
     buildHeartbeat,
-    onFault: () => undefined,
+    onLinkClosed: () => undefined,
   });
   await node.start();
   return node;
--- a/packages/heatherarch-lab/bench/machine_costs.ts
+++ b/packages/heatherarch-lab/bench/machine_costs.ts
@@ -9,7 +9,7 @@
   applyConfigRecord,
   CONFIG_FORMAT,
   type ConfigState,
-  EMPTY_CONFIG,
+  EMPTY_CONFIG_STATE,
 } from "heatherarch-log";
 import { Membership } from "heatherarch-mesh";
 import {
@@ -106,7 +106,7 @@
       change,
     },
   });
-  let state: ConfigState = EMPTY_CONFIG;
+  let state: ConfigState = EMPTY_CONFIG_STATE;
   const startMs = performance.now();
   state = applyConfigRecord(
     state,
@@ -153,7 +153,10 @@
   const membership = new Membership({ self, silenceMs: 5000 });
   for (let i = 1; i < NODES; i++) {
     const zone = `zone-${i % ZONES}`;
-    membership.noteHeard({ ...self, id: `vm${i}`, availabilityZone: zone }, 0);
+    membership.recordContact(
+      { ...self, id: `vm${i}`, availabilityZone: zone },
+      0,
+    );
   }
   const microseconds = measureStep(200, (index) => {
     membership.expire(index);
--- a/packages/heatherarch-lab/bench/trace.ts
+++ b/packages/heatherarch-lab/bench/trace.ts
@@ -5,7 +5,7 @@
  */
 import { readFileSync } from "node:fs";
 import { Random } from "heatherarch-core";
-import { buildFaults, formatFaults } from "heatherarch-settings";
+import { buildIssues, formatIssues } from "heatherarch-settings";
 import { z } from "zod";
 
 const TRACE_REQUEST = z.strictObject({
@@ -201,7 +201,7 @@
     const parsed = TRACE_REQUEST.safeParse(JSON.parse(line));
     return parsed.success
       ? parsed.data
-      : formatFaults(buildFaults(parsed.error));
+      : formatIssues(buildIssues(parsed.error));
   } catch (error) {
     return (error as Error).message;
   }
--- a/packages/heatherarch-lab/proofs/config_proof.ts
+++ b/packages/heatherarch-lab/proofs/config_proof.ts
@@ -89,7 +89,7 @@
 
   #restart(index: number): void {
     this.#views[index] = new ConfigView({
-      keptRecords: 4,
+      maxRecentRecords: 4,
       disabledGuards: buildGuardSet<ConfigGuard>(this.#off),
       disabledViewGuards: buildGuardSet<ConfigViewGuard>(this.#off),
     });
@@ -142,10 +142,10 @@
     const from = view.state.offset + 1;
     if (from < this.#first) {
       const state = loadConfigSnapshot(this.#log);
-      if (state !== undefined) view.takeState(state);
+      if (state !== undefined) view.loadState(state);
     } else {
       const start = from - this.#first;
-      view.takeRecords(this.#log.slice(start, start + limit));
+      view.applyRecords(this.#log.slice(start, start + limit));
     }
     this.#check(index);
   }
@@ -154,8 +154,8 @@
     const view = this.#views[index];
     // A peer may answer late: what it says was asked for long ago.
     const update = this.#views[peer].buildUpdate(0);
-    if (update.kind === "records") view.takeRecords(update.records);
-    else view.takeState(update.state);
+    if (update.kind === "records") view.applyRecords(update.records);
+    else view.loadState(update.state);
     this.#check(index);
   }
 
--- a/packages/heatherarch-lab/proofs/membership_proof.ts
+++ b/packages/heatherarch-lab/proofs/membership_proof.ts
@@ -76,7 +76,7 @@
         this.#progress(operation);
         break;
       case "list":
-        this.#membership.noteListed(
+        this.#membership.recordListing(
           operation.peers.map((peer) => this.#buildPeer(peer)),
         );
         break;
@@ -98,7 +98,7 @@
   }
 
   #hear(peer: number): void {
-    this.#membership.noteHeard(this.#buildPeer(peer), this.#nowMs);
+    this.#membership.recordContact(this.#buildPeer(peer), this.#nowMs);
     const expected = this.#expected[peer];
     if (expected.heardIncarnation !== expected.incarnation) {
       expected.heardIncarnation = expected.incarnation;
@@ -112,7 +112,7 @@
   #progress(operation: Extract<Operation, { kind: "progress" }>): void {
     this.#hear(operation.peer);
     const { offset, leaving } = operation;
-    this.#membership.noteProgress(`vm${operation.peer}`, {
+    this.#membership.recordProgress(`vm${operation.peer}`, {
       configOffset: offset,
       controlOffset: offset,
       leaving,
--- a/packages/heatherarch-lab/tests/integration/mesh_links_test.ts
+++ b/packages/heatherarch-lab/tests/integration/mesh_links_test.ts
@@ -49,12 +49,12 @@
       intervalMs: 50,
       leaving: false,
     }),
-    onFault: (fault) => faults.push(fault),
+    onLinkClosed: (fault) => faults.push(fault),
   });
   mesh.registerHeartbeatListener(() => options.onHeartbeat?.());
   mesh.registerCall("echo", (body) => Promise.resolve(body));
   const peers = Object.entries(options.peers ?? {});
-  membership.noteListed(
+  membership.recordListing(
     peers.map(([peer, mesh]) => ({ id: peer, availabilityZone: "a", mesh })),
   );
   await mesh.start();
@@ -158,10 +158,10 @@
     await until(() => heardAtMs.length === 1, "linked");
     await sleep(60);
     const startMs = performance.now();
-    for (let i = 0; i < 20; i++) a.mesh.noteNews();
+    for (let i = 0; i < 20; i++) a.mesh.requestRound();
     await until(() => heardAtMs.length === 2, "news are told");
     assert.ok(heardAtMs[1] - startMs < 2000, "long before the next heartbeat");
-    for (let i = 0; i < 20; i++) a.mesh.noteNews();
+    for (let i = 0; i < 20; i++) a.mesh.requestRound();
     await until(() => heardAtMs.length === 3, "later news are told");
     await sleep(150);
     assert.equal(heardAtMs.length, 3);
--- a/packages/heatherarch-log/config_fold.ts
+++ b/packages/heatherarch-log/config_fold.ts
@@ -7,7 +7,7 @@
 import { assertInvariant, type TargetDirective } from "heatherarch-core";
 import {
   type Fleet,
-  formatFaults,
+  formatIssues,
   parseFleet,
   parseProfile,
   type Profile,
@@ -19,8 +19,8 @@
 } from "./config_records.ts";
 import type { LogRecord } from "./log_port.ts";
 
-const AUDIT_LIMIT = 1000;
-const SEEN_LIMIT = 5000;
+const MAX_AUDIT_ENTRIES = 1000;
+const MAX_SEEN_IDS = 5000;
 
 /** Verdict on one publication. */
 export interface AuditEntry {
@@ -62,7 +62,7 @@
 }
 
 /** The state before the first record. */
-export const EMPTY_CONFIG: ConfigState = Object.freeze({
+export const EMPTY_CONFIG_STATE: ConfigState = Object.freeze({
   offset: -1,
   fleetRevision: -1,
   fleet: null,
@@ -82,7 +82,9 @@
   readonly disabledGuards?: ReadonlySet<ConfigGuard>;
 }
 
-type Draft = { -readonly [Key in keyof ConfigState]: ConfigState[Key] };
+type MutableConfigState = {
+  -readonly [Key in keyof ConfigState]: ConfigState[Key];
+};
 
 /** Applies the record that follows `state` and returns the next state. */
 export function applyConfigRecord(
@@ -96,17 +98,17 @@
     "config-contiguous",
     `offset ${record.offset} after ${state.offset}`,
   );
-  const draft: Draft = { ...state, offset: record.offset };
+  const draft: MutableConfigState = { ...state, offset: record.offset };
   const parsed = parseConfigRecord(record.data);
   if (parsed === undefined || parsed.type === "snapshot") return draft;
   if (state.seen.includes(parsed.id) && !off?.has("dropRepeatedId")) {
     return draft;
   }
-  draft.seen = [...state.seen, parsed.id].slice(-SEEN_LIMIT);
+  draft.seen = [...state.seen, parsed.id].slice(-MAX_SEEN_IDS);
   const current = readBaseRevision(state, parsed.change);
   const stale = parsed.baseRevision !== current && !off?.has("refuseStaleBase");
   const reason = stale
-    ? describeStale(state, parsed.baseRevision, current)
+    ? describeStaleBase(state, parsed.baseRevision, current)
     : applyChange(draft, parsed, record.offset);
   const entry: AuditEntry = {
     offset: record.offset,
@@ -118,7 +120,7 @@
     verdict: reason === undefined ? "accepted" : "rejected",
     ...(reason === undefined ? {} : { reason }),
   };
-  draft.audit = [...state.audit, entry].slice(-AUDIT_LIMIT);
+  draft.audit = [...state.audit, entry].slice(-MAX_AUDIT_ENTRIES);
   return draft;
 }
 
@@ -197,7 +199,7 @@
 }
 
 function applyChange(
-  draft: Draft,
+  draft: MutableConfigState,
   record: ConfigChangeRecord,
   offset: number,
 ): string | undefined {
@@ -205,14 +207,14 @@
   switch (change.kind) {
     case "publishFleet": {
       const fleet = parseFleet(change.fleet);
-      if (!fleet.ok) return formatFaults(fleet.val as never);
+      if (!fleet.ok) return formatIssues(fleet.val as never);
       draft.fleet = fleet.val as Fleet;
       draft.fleetRevision = offset;
       return undefined;
     }
     case "putProfile": {
       const profile = parseProfile(change.profile);
-      if (!profile.ok) return formatFaults(profile.val as never);
+      if (!profile.ok) return formatIssues(profile.val as never);
       const value = profile.val as Profile;
       draft.profiles = {
         ...draft.profiles,
@@ -233,7 +235,7 @@
   }
 }
 
-function describeStale(
+function describeStaleBase(
   state: ConfigState,
   base: number,
   current: number,
@@ -244,7 +246,7 @@
 }
 
 function applyDirective(
-  draft: Draft,
+  draft: MutableConfigState,
   change: Extract<ConfigChange, { kind: "directTarget" }>,
   offset: number,
 ): string | undefined {
@@ -258,7 +260,7 @@
   if (change.directive === "replace") {
     const targets = [...fleet.targets, change.replacement];
     const next = parseFleet({ ...fleet, targets });
-    if (!next.ok) return `replacement: ${formatFaults(next.val as never)}`;
+    if (!next.ok) return `replacement: ${formatIssues(next.val as never)}`;
     draft.fleet = next.val as Fleet;
     draft.fleetRevision = offset;
   }
--- a/packages/heatherarch-log/config_view.ts
+++ b/packages/heatherarch-log/config_view.ts
@@ -9,7 +9,7 @@
   applyConfigRecord,
   type ConfigFoldOptions,
   type ConfigState,
-  EMPTY_CONFIG,
+  EMPTY_CONFIG_STATE,
 } from "./config_fold.ts";
 import type { LogRecord } from "./log_port.ts";
 
@@ -21,7 +21,7 @@
 /** Options of {@linkcode ConfigView}. */
 export interface ConfigViewOptions extends ConfigFoldOptions {
   /** Records kept for peers that lag behind. */
-  readonly keptRecords?: number;
+  readonly maxRecentRecords?: number;
   readonly disabledViewGuards?: ReadonlySet<ConfigViewGuard>;
 }
 
@@ -30,13 +30,13 @@
   | { readonly kind: "records"; readonly records: readonly LogRecord[] }
   | { readonly kind: "state"; readonly state: ConfigState };
 
-const DEFAULT_KEPT_RECORDS = 1000;
+const DEFAULT_MAX_RECENT_RECORDS = 1000;
 
 /** Applied configuration. */
 export class ConfigView {
   readonly #options: ConfigViewOptions;
-  #state: ConfigState = EMPTY_CONFIG;
-  #recent: LogRecord[] = [];
+  #state: ConfigState = EMPTY_CONFIG_STATE;
+  #recentRecords: LogRecord[] = [];
 
   constructor(options: ConfigViewOptions = {}) {
     this.#options = options;
@@ -47,7 +47,7 @@
   }
 
   /** Applies the records that follow the present state; returns whether any did. */
-  takeRecords(records: readonly LogRecord[]): boolean {
+  applyRecords(records: readonly LogRecord[]): boolean {
     const before = this.#state.offset;
     for (const record of records) {
       if (record.offset === this.#state.offset + 1) this.#apply(record);
@@ -56,7 +56,7 @@
   }
 
   /** Takes a whole state where it is newer; returns whether it was. */
-  takeState(state: ConfigState): boolean {
+  loadState(state: ConfigState): boolean {
     const newer = state.offset > this.#state.offset;
     if (this.#options.disabledViewGuards?.has("neverLowerOffset")) {
       this.#state = state;
@@ -65,7 +65,7 @@
     if (!newer) return false;
     const before = this.#state.offset;
     this.#state = state;
-    this.#recent = [];
+    this.#recentRecords = [];
     assertInvariant(
       this.#state.offset > before,
       "config-never-reverts",
@@ -76,18 +76,22 @@
 
   /** What a peer needs that wants to go on from offset `from`. */
   buildUpdate(from: number): ConfigUpdate {
-    const first = this.#recent[0]?.offset ?? this.#state.offset + 1;
+    const first = this.#recentRecords[0]?.offset ?? this.#state.offset + 1;
     if (from < first) return { kind: "state", state: this.#state };
-    return { kind: "records", records: this.#recent.slice(from - first) };
+    return {
+      kind: "records",
+      records: this.#recentRecords.slice(from - first),
+    };
   }
 
   #apply(record: LogRecord): void {
     this.#state = applyConfigRecord(this.#state, record, this.#options);
-    this.#recent.push(record);
+    this.#recentRecords.push(record);
     if (
-      this.#recent.length > (this.#options.keptRecords ?? DEFAULT_KEPT_RECORDS)
+      this.#recentRecords.length >
+        (this.#options.maxRecentRecords ?? DEFAULT_MAX_RECENT_RECORDS)
     ) {
-      this.#recent.shift();
+      this.#recentRecords.shift();
     }
   }
 }
--- a/packages/heatherarch-log/http_log.ts
+++ b/packages/heatherarch-log/http_log.ts
@@ -12,8 +12,8 @@
   type ReadOptions,
 } from "./log_port.ts";
 
-const APPEND_ANSWER = z.object({ offset: z.int().min(0) });
-const READ_ANSWER = z.object({
+const APPEND_RESPONSE = z.object({ offset: z.int().min(0) });
+const READ_RESPONSE = z.object({
   records: z.array(
     z.object({ offset: z.int(), appendedAtMs: z.number(), data: z.unknown() }),
   ),
@@ -48,7 +48,7 @@
       this.#timeoutMs,
       { body },
     );
-    const parsed = APPEND_ANSWER.safeParse(answer);
+    const parsed = APPEND_RESPONSE.safeParse(answer);
     if (!parsed.success) {
       throw new LogUnavailableError("unreadable answer to an append");
     }
@@ -66,7 +66,7 @@
     const answer = await this.#call(path, "GET", this.#timeoutMs + waitMs, {
       signal,
     });
-    const parsed = READ_ANSWER.safeParse(answer);
+    const parsed = READ_RESPONSE.safeParse(answer);
     if (!parsed.success) {
       throw new LogUnavailableError("unreadable answer to a read");
     }
--- a/packages/heatherarch-log/log_writer.ts
+++ b/packages/heatherarch-log/log_writer.ts
@@ -23,7 +23,7 @@
 }
 
 const DEFAULT_RETRY_MS = 100;
-const SEARCH_PAGE = 1000;
+const SEARCH_PAGE_SIZE = 1000;
 
 /**
  * Appends `record` so that readers see it once, and returns its offset. Readers must still
@@ -35,11 +35,11 @@
   record: IdentifiedRecord,
   options: AppendOnceOptions,
 ): Promise<number> {
-  const until = options.readMonotonicMs() + options.timeoutMs;
-  let uncertain = false;
+  const deadlineMs = options.readMonotonicMs() + options.timeoutMs;
+  let isUncertain = false;
   while (true) {
     try {
-      if (uncertain) {
+      if (isUncertain) {
         const found = await findRecord(
           log,
           stream,
@@ -51,8 +51,8 @@
       return await log.append(stream, record);
     } catch (error) {
       if (!(error instanceof LogUnavailableError)) throw error;
-      uncertain = true;
-      if (options.readMonotonicMs() >= until) throw error;
+      isUncertain = true;
+      if (options.readMonotonicMs() >= deadlineMs) throw error;
       await sleep(options.retryMs ?? DEFAULT_RETRY_MS);
     }
   }
@@ -67,7 +67,9 @@
 ): Promise<number | undefined> {
   let position = from;
   while (true) {
-    const slice = await log.read(stream, position, { maxRecords: SEARCH_PAGE });
+    const slice = await log.read(stream, position, {
+      maxRecords: SEARCH_PAGE_SIZE,
+    });
     for (const record of slice.records) {
       if ((record.data as IdentifiedRecord | null)?.id === id) {
         return record.offset;
--- a/packages/heatherarch-log/mod.ts
+++ b/packages/heatherarch-log/mod.ts
@@ -10,5 +10,5 @@
 export * from "./http_log.ts";
 export * from "./log_port.ts";
 export * from "./log_writer.ts";
-export * from "./stream_cursor.ts";
+export * from "./stream_reader.ts";
 export * from "./vm_list.ts";
--- a/packages/heatherarch-log/stream_cursor.ts
+++ b/packages/heatherarch-log/stream_reader.ts
@@ -11,12 +11,12 @@
   | {
     readonly kind: "apply";
     readonly records: readonly LogRecord[];
-    readonly current: boolean;
+    readonly isCurrent: boolean;
   }
   | { readonly kind: "gap"; readonly first: number };
 
 /** Judges `slice` for a reader whose next offset is `wanted`. */
-export function judgeSlice(wanted: number, slice: LogSlice): SliceVerdict {
+export function classifySlice(wanted: number, slice: LogSlice): SliceVerdict {
   if (wanted < slice.first) return { kind: "gap", first: slice.first };
   const records: LogRecord[] = [];
   let expected = wanted;
@@ -26,10 +26,10 @@
     records.push(record);
     expected++;
   }
-  return { kind: "apply", records, current: expected >= slice.next };
+  return { kind: "apply", records, isCurrent: expected >= slice.next };
 }
 
-const READ_PAGE = 500;
+const READ_PAGE_SIZE = 500;
 
 /** Reads every record that the log still keeps of a stream. */
 export async function readWholeStream(
@@ -39,7 +39,7 @@
   const records: LogRecord[] = [];
   let from = 0;
   while (true) {
-    const page = await log.read(stream, from, { maxRecords: READ_PAGE });
+    const page = await log.read(stream, from, { maxRecords: READ_PAGE_SIZE });
     records.push(...page.records);
     const last = page.records.at(-1);
     if (last === undefined || last.offset + 1 >= page.next) return records;
--- a/packages/heatherarch-log/tests/unit/log_test.ts
+++ b/packages/heatherarch-log/tests/unit/log_test.ts
@@ -3,9 +3,9 @@
 import {
   appendOnce,
   applyConfigRecord,
+  classifySlice,
   CONFIG_FORMAT,
-  EMPTY_CONFIG,
-  judgeSlice,
+  EMPTY_CONFIG_STATE,
   loadConfigSnapshot,
   type LogPort,
   type LogRecord,
@@ -60,12 +60,12 @@
 
 test("a slice that starts after the wanted offset is a gap, never skipped", () => {
   const slice = { records: [buildChange(5, "a", -1)], first: 5, next: 6 };
-  assert.deepEqual(judgeSlice(3, slice), { kind: "gap", first: 5 });
-  assert.equal(judgeSlice(5, slice).kind, "apply");
+  assert.deepEqual(classifySlice(3, slice), { kind: "gap", first: 5 });
+  assert.equal(classifySlice(5, slice).kind, "apply");
 });
 
 test("garbage and unknown formats move the offset and change nothing", () => {
-  let state = EMPTY_CONFIG;
+  let state = EMPTY_CONFIG_STATE;
   for (
     const data of [null, 7, { type: "change", format: 99 }, { type: "what" }]
   ) {
@@ -80,7 +80,10 @@
 });
 
 test("the loser of a race is told by whom and by what", () => {
-  let state = applyConfigRecord(EMPTY_CONFIG, buildChange(0, "first", -1));
+  let state = applyConfigRecord(
+    EMPTY_CONFIG_STATE,
+    buildChange(0, "first", -1),
+  );
   state = applyConfigRecord(state, buildChange(1, "second", -1));
   assert.deepEqual(state.audit.map((entry) => entry.verdict), [
     "accepted",
--- a/packages/heatherarch-mesh/hub_choice.ts
+++ b/packages/heatherarch-mesh/hub_selection.ts
@@ -19,7 +19,7 @@
 }
 
 /** Candidates beyond the wanted number that are tried while too few of the first are live. */
-const SPARE_HUBS = 4;
+const EXTRA_CANDIDATES = 4;
 
 /** Orders candidates: the strongest first, equal ones by rendezvous hashing for the zone. */
 export function rankHubs(
@@ -46,17 +46,17 @@
   count: number,
 ): string[] {
   const picked: string[] = [];
-  let live = 0;
+  let liveCount = 0;
   for (const candidate of rankHubs(zone, candidates)) {
-    if (live >= count || picked.length >= count + SPARE_HUBS) break;
+    if (liveCount >= count || picked.length >= count + EXTRA_CANDIDATES) break;
     picked.push(candidate.id);
-    if (candidate.isLive) live++;
+    if (candidate.isLive) liveCount++;
   }
   return picked;
 }
 
 /** Whether `id` is one of the first `count` live candidates. */
-export function isChosenHub(
+export function isSelectedHub(
   zone: string,
   candidates: readonly HubCandidate[],
   count: number,
--- a/packages/heatherarch-mesh/leaving_set.ts
+++ b/packages/heatherarch-mesh/leaving_set.ts
@@ -44,8 +44,8 @@
   /** Adds a mark; returns whether the set changed. */
   mark(target: string, sinceOffset: number): boolean {
     const known = this.#marks.get(target);
-    const lower = known !== undefined && known >= sinceOffset;
-    if (lower && !this.#off.has("keepHighestMark")) return false;
+    const isLower = known !== undefined && known >= sinceOffset;
+    if (isLower && !this.#off.has("keepHighestMark")) return false;
     const restored = (this.#restores.get(target) ?? -1) > sinceOffset;
     if (restored && !this.#off.has("restoreOutranksOlderMarks")) return false;
     this.#marks.set(target, sinceOffset);
--- a/packages/heatherarch-mesh/link.ts
+++ b/packages/heatherarch-mesh/link.ts
@@ -26,7 +26,7 @@
 }
 
 /** Reasons for closing a link on our side. */
-export type LinkFault =
+export type LinkCloseReason =
   | "badFrame"
   | "badMessage"
   | "badProof"
@@ -46,7 +46,7 @@
   readonly clock: Clock;
   readonly onReady: (link: Link) => void;
   readonly onMessage: (link: Link, message: MeshMessage) => void;
-  readonly onClose: (link: Link, fault: LinkFault) => void;
+  readonly onClose: (link: Link, fault: LinkCloseReason) => void;
 }
 
 const NONCE_BYTES = 16;
@@ -117,7 +117,7 @@
   }
 
   /** Closes the connection at once. */
-  close(fault: LinkFault): void {
+  close(fault: LinkCloseReason): void {
     if (this.#closed) return;
     this.#closed = true;
     this.#ready = false;
@@ -160,25 +160,25 @@
 
   #dispatch(message: MeshMessage): void {
     if (this.#ready) {
-      if (message.kind === "ping" || this.#owesPong(message)) {
+      if (message.kind === "ping" || this.#needsPong(message)) {
         this.send({ kind: "pong", seq: 0 });
       }
       this.#options.onMessage(this, message);
       return;
     }
-    if (message.kind === "hello") this.#takeHello(message);
-    else if (message.kind === "prove") this.#takeProof(message.mac);
+    if (message.kind === "hello") this.#handleHello(message);
+    else if (message.kind === "prove") this.#handleProof(message.mac);
     else this.close("badMessage");
   }
 
   /** The other end judges this link by what it hears on it. */
-  #owesPong(message: MeshMessage): boolean {
+  #needsPong(message: MeshMessage): boolean {
     if (message.kind !== "heartbeat") return false;
     const { pongAfterMs = 0, clock } = this.#options;
     return clock.readMonotonicMs() - this.#lastSentMs >= pongAfterMs;
   }
 
-  #takeHello(hello: Hello): void {
+  #handleHello(hello: Hello): void {
     if (hello.format !== MESH_FORMAT) return this.close("otherFormat");
     if (this.#peer !== undefined) return this.close("badMessage");
     this.#peer = {
@@ -196,7 +196,7 @@
     this.send({ kind: "prove", mac });
   }
 
-  #takeProof(mac: string): void {
+  #handleProof(mac: string): void {
     if (this.#peer === undefined) return this.close("badMessage");
     const expected = Buffer.from(
       computeProof(this.#options.sharedKey, this.#nonce, this.#peer.id),
--- a/packages/heatherarch-mesh/loop_watch.ts
+++ b/packages/heatherarch-mesh/loop_stall_detector.ts
@@ -10,16 +10,16 @@
  * @module
  */
 
-/** Options of {@linkcode LoopWatch}. */
-export interface LoopWatchOptions {
+/** Options of {@linkcode LoopStallDetector}. */
+export interface LoopStallDetectorOptions {
   /** Longest time between two turns of a loop that runs, milliseconds. */
-  readonly usualMs: () => number;
+  readonly getTickIntervalMs: () => number;
   /** Called when the loop runs again. */
-  readonly onLate?: (standstill: Standstill) => void;
+  readonly onStall?: (standstill: LoopStall) => void;
 }
 
 /** A time in which the loop did not run. */
-export interface Standstill {
+export interface LoopStall {
   /** All of it, milliseconds. */
   readonly lateMs: number;
   /** The part that the monotonic clock did not count: the machine was suspended. */
@@ -27,16 +27,16 @@
 }
 
 /** Lateness of timers beyond which the loop is taken to have stood still, milliseconds. */
-const SLACK_MS = 150;
+const TIMER_TOLERANCE_MS = 150;
 
 /** Watches one loop by the times of its turns. */
-export class LoopWatch {
-  readonly #options: LoopWatchOptions;
-  #turnAtMs: number | undefined;
-  #turnWallMs = 0;
-  #lateMs = 0;
+export class LoopStallDetector {
+  readonly #options: LoopStallDetectorOptions;
+  #lastTickMs: number | undefined;
+  #lastTickWallMs = 0;
+  #stallMs = 0;
 
-  constructor(options: LoopWatchOptions) {
+  constructor(options: LoopStallDetectorOptions) {
     this.#options = options;
   }
 
@@ -46,23 +46,23 @@
    * A wall clock that was set forward looks like a suspended machine: a word is then taken for
    * older than it is, which costs a reading of the store.
    */
-  noteTurn(nowMs: number, wallMs: number): number {
-    const gapMs = nowMs - (this.#turnAtMs ?? nowMs);
-    const wallGapMs = this.#turnAtMs === undefined
+  recordTick(nowMs: number, wallMs: number): number {
+    const gapMs = nowMs - (this.#lastTickMs ?? nowMs);
+    const wallGapMs = this.#lastTickMs === undefined
       ? 0
-      : wallMs - this.#turnWallMs;
-    this.#turnAtMs = nowMs;
-    this.#turnWallMs = wallMs;
+      : wallMs - this.#lastTickWallMs;
+    this.#lastTickMs = nowMs;
+    this.#lastTickWallMs = wallMs;
     const lateMs = Math.max(gapMs, wallGapMs);
-    if (lateMs > this.#options.usualMs() + SLACK_MS) {
-      this.#lateMs = lateMs;
-      this.#options.onLate?.({ lateMs, uncountedMs: lateMs - gapMs });
+    if (lateMs > this.#options.getTickIntervalMs() + TIMER_TOLERANCE_MS) {
+      this.#stallMs = lateMs;
+      this.#options.onStall?.({ lateMs, uncountedMs: lateMs - gapMs });
     }
-    return this.#lateMs;
+    return this.#stallMs;
   }
 
   /** What waited has been read. */
-  noteCaughtUp(): void {
-    this.#lateMs = 0;
+  clear(): void {
+    this.#stallMs = 0;
   }
 }
--- a/packages/heatherarch-mesh/membership.ts
+++ b/packages/heatherarch-mesh/membership.ts
@@ -4,7 +4,7 @@
  * @module
  */
 import { pickRendezvous } from "heatherarch-core";
-import { type HubCandidate, isChosenHub, pickHubs } from "./hub_choice.ts";
+import { type HubCandidate, isSelectedHub, pickHubs } from "./hub_selection.ts";
 
 /** How a member is judged. */
 export type MemberStatus = "live" | "suspect" | "leaving";
@@ -38,7 +38,7 @@
 /** When links run over hubs instead of between any two VMs. */
 export interface HubOptions {
   /** Known VMs, this one included, from which on there are hubs. */
-  readonly fromVms: number;
+  readonly minVms: number;
   readonly perZone: number;
 }
 
@@ -58,31 +58,31 @@
   /** A member that has not answered for this long is suspect. */
   readonly silenceMs: number;
   /** A suspect that no list names is forgotten after this long. */
-  readonly forgetMs?: number;
+  readonly forgetAfterMs?: number;
   /** Links to each other availability zone. */
   readonly linksPerZone?: number;
   readonly hubs?: HubOptions;
   readonly disabledGuards?: ReadonlySet<MembershipGuard>;
 }
 
-const DEFAULT_FORGET_MS = 60_000;
+const DEFAULT_FORGET_AFTER_MS = 60_000;
 const DEFAULT_LINKS_PER_ZONE = 2;
 /** Without the setting there are no hubs, however large the fleet. */
-const NO_HUBS: HubOptions = { fromVms: Infinity, perZone: 2 };
+const NO_HUBS: HubOptions = { minVms: Infinity, perZone: 2 };
 const DEFAULT_CAPACITY = 1;
 /** Heartbeats that may be missed before a member is suspect. */
-const SILENT_HEARTBEATS = 3;
+const MAX_MISSED_HEARTBEATS = 3;
 
 /** A member as it is kept: what is heard of it changes it in place, some ten times a second. */
-type KnownMember = { -readonly [K in keyof Member]: Member[K] };
+type MutableMember = { -readonly [K in keyof Member]: Member[K] };
 
 /**
  * What follows from the members' status, place and strength. Ranking the VMs of a zone anew for
  * each message, this module took 5 ms of a hub's processor a second with 20 VMs (`npm run
  * profile`), and that grows with their square.
  */
-interface HubView {
-  isChosen?: boolean;
+interface HubSelection {
+  isSelfSelected?: boolean;
   /** Hubs of a zone to keep a link to, best first. */
   readonly byZone: Map<string, readonly Member[]>;
 }
@@ -90,14 +90,14 @@
 /** The membership view of one entry VM. */
 export class Membership {
   readonly #options: Required<MembershipOptions>;
-  readonly #members = new Map<string, KnownMember>();
-  #listed = new Set<string>();
+  readonly #members = new Map<string, MutableMember>();
+  #listedIds = new Set<string>();
   #isServing = false;
-  #hubView: HubView = { byZone: new Map() };
+  #hubSelection: HubSelection = { byZone: new Map() };
 
   constructor(options: MembershipOptions) {
     this.#options = {
-      forgetMs: DEFAULT_FORGET_MS,
+      forgetAfterMs: DEFAULT_FORGET_AFTER_MS,
       linksPerZone: DEFAULT_LINKS_PER_ZONE,
       hubs: NO_HUBS,
       disabledGuards: new Set(),
@@ -106,13 +106,13 @@
   }
 
   /** Takes in the platform's list or configured peers: a hint that adds, never removes the live. */
-  noteListed(
+  recordListing(
     vms: readonly Omit<VmIdentity, "incarnation">[],
   ): void {
-    this.#listed = new Set(vms.map((vm) => vm.id));
-    if (this.#isOff("listIsOnlyAHint")) {
+    this.#listedIds = new Set(vms.map((vm) => vm.id));
+    if (this.#isDisabled("listIsOnlyAHint")) {
       for (const id of this.#members.keys()) {
-        if (!this.#listed.has(id)) this.#deleteMember(id);
+        if (!this.#listedIds.has(id)) this.#deleteMember(id);
       }
     }
     for (const vm of vms) {
@@ -136,29 +136,29 @@
   }
 
   /** Takes in an answer from a peer. */
-  noteHeard(peer: VmIdentity, nowMs: number): void {
+  recordContact(peer: VmIdentity, nowMs: number): void {
     if (peer.id === this.#options.self.id) return;
     const known = this.#members.get(peer.id);
     if (known !== undefined && isUnchanged(known, peer)) {
       known.lastHeardMs = nowMs;
       return;
     }
-    const anew = known?.incarnation !== peer.incarnation &&
-      !this.#isOff("newIncarnationStartsAnew");
-    const same = known !== undefined && !anew;
+    const isRestarted = known?.incarnation !== peer.incarnation &&
+      !this.#isDisabled("newIncarnationStartsAnew");
+    const isSame = known !== undefined && !isRestarted;
     this.#setMember({
       ...peer,
       capacity: peer.capacity ?? known?.capacity ?? DEFAULT_CAPACITY,
-      status: same && known.status === "leaving" ? "leaving" : "live",
+      status: isSame && known.status === "leaving" ? "leaving" : "live",
       lastHeardMs: nowMs,
-      configOffset: same ? known.configOffset : -1,
-      controlOffset: same ? known.controlOffset : -1,
+      configOffset: isSame ? known.configOffset : -1,
+      controlOffset: isSame ? known.controlOffset : -1,
       intervalMs: known?.intervalMs ?? 0,
     });
   }
 
   /** Takes in what a heartbeat said of its sender. */
-  noteProgress(
+  recordProgress(
     id: string,
     progress: {
       configOffset: number;
@@ -169,7 +169,7 @@
   ): void {
     const known = this.#members.get(id);
     if (known === undefined) return;
-    known.configOffset = this.#isOff("progressNeverLower")
+    known.configOffset = this.#isDisabled("progressNeverLower")
       ? progress.configOffset
       : Math.max(known.configOffset, progress.configOffset);
     known.controlOffset = Math.max(known.controlOffset, progress.controlOffset);
@@ -181,20 +181,22 @@
   expire(nowMs: number): void {
     for (const [id, member] of this.#members) {
       const silentMs = nowMs - member.lastHeardMs;
-      if (silentMs <= this.getSilenceMs(member)) continue;
-      if (silentMs > this.#options.forgetMs && !this.#listed.has(id)) {
+      if (silentMs <= this.getSilenceTimeoutMs(member)) continue;
+      if (silentMs > this.#options.forgetAfterMs && !this.#listedIds.has(id)) {
         this.#deleteMember(id);
-      } else if (member.status === "live" && !this.#isOff("silentIsSuspect")) {
+      } else if (
+        member.status === "live" && !this.#isDisabled("silentIsSuspect")
+      ) {
         this.#setStatus(member, "suspect");
       }
     }
   }
 
   /** How long a member may be silent: a few of its own heartbeats, or the setting. */
-  getSilenceMs(member: { intervalMs: number }): number {
+  getSilenceTimeoutMs(member: { intervalMs: number }): number {
     return Math.max(
       this.#options.silenceMs,
-      member.intervalMs * SILENT_HEARTBEATS,
+      member.intervalMs * MAX_MISSED_HEARTBEATS,
     );
   }
 
@@ -224,7 +226,7 @@
 
   /** Whether links run over hubs. */
   get hasHubs(): boolean {
-    return this.#members.size + 1 >= this.#options.hubs.fromVms;
+    return this.#members.size + 1 >= this.#options.hubs.minVms;
   }
 
   /** Whether this VM is a hub of its zone, by rank or because a peer takes it for one. */
@@ -233,60 +235,60 @@
     if (this.#isServing) return true;
     const { self, hubs } = this.#options;
     const zone = self.availabilityZone;
-    this.#hubView.isChosen ??= isChosenHub(
+    this.#hubSelection.isSelfSelected ??= isSelectedHub(
       zone,
       this.#listHubCandidates(zone),
       hubs.perZone,
       self.id,
     );
-    return this.#hubView.isChosen;
+    return this.#hubSelection.isSelfSelected;
   }
 
   /** A peer has come to take this VM for its hub, or none does any more. */
-  noteServing(isServing: boolean): void {
+  setServing(isServing: boolean): void {
     this.#isServing = isServing;
   }
 
   /** Peers that this VM keeps a link to. */
   pickLinkPeers(): Member[] {
-    return this.hasHubs ? this.#pickHubPeers() : this.#pickMeshPeers();
+    return this.hasHubs ? this.#pickHubPeers() : this.#pickFullMeshPeers();
   }
 
   /** The hubs of the own zone; a hub also keeps links to those of each other zone. */
   #pickHubPeers(): Member[] {
     const { self } = this.#options;
-    if (!this.isHub) return [...this.#pickHubsOf(self.availabilityZone)];
+    if (!this.isHub) return [...this.#pickZoneHubs(self.availabilityZone)];
     const zones = new Set(
       [...this.#members.values()].map((vm) => vm.availabilityZone),
     );
-    return [...zones].flatMap((zone) => this.#pickHubsOf(zone));
+    return [...zones].flatMap((zone) => this.#pickZoneHubs(zone));
   }
 
-  #pickHubsOf(zone: string): readonly Member[] {
-    const known = this.#hubView.byZone.get(zone);
+  #pickZoneHubs(zone: string): readonly Member[] {
+    const known = this.#hubSelection.byZone.get(zone);
     if (known !== undefined) return known;
     const { perZone } = this.#options.hubs;
     const picked = pickHubs(zone, this.#listHubCandidates(zone), perZone)
       .map((id) => this.#members.get(id))
       .filter((member) => member !== undefined);
-    this.#hubView.byZone.set(zone, picked);
+    this.#hubSelection.byZone.set(zone, picked);
     return picked;
   }
 
-  #setMember(member: KnownMember): void {
+  #setMember(member: MutableMember): void {
     this.#members.set(member.id, member);
-    this.#hubView = { byZone: new Map() };
+    this.#hubSelection = { byZone: new Map() };
   }
 
   #deleteMember(id: string): void {
     this.#members.delete(id);
-    this.#hubView = { byZone: new Map() };
+    this.#hubSelection = { byZone: new Map() };
   }
 
-  #setStatus(member: KnownMember, status: MemberStatus): void {
+  #setStatus(member: MutableMember, status: MemberStatus): void {
     if (member.status === status) return;
     member.status = status;
-    this.#hubView = { byZone: new Map() };
+    this.#hubSelection = { byZone: new Map() };
   }
 
   #listHubCandidates(zone: string): HubCandidate[] {
@@ -306,7 +308,7 @@
   }
 
   /** All VMs of the own zone, a few of each other zone. */
-  #pickMeshPeers(): Member[] {
+  #pickFullMeshPeers(): Member[] {
     const { self, linksPerZone } = this.#options;
     const byZone = new Map<string, Member[]>();
     for (const member of this.#members.values()) {
@@ -320,8 +322,8 @@
         picked.push(...members);
         continue;
       }
-      const usable = members.filter((member) => member.status === "live");
-      const pool = usable.length >= linksPerZone ? usable : members;
+      const live = members.filter((member) => member.status === "live");
+      const pool = live.length >= linksPerZone ? live : members;
       const ids = pickRendezvous(
         self.id,
         pool.map((member) => member.id),
@@ -332,7 +334,7 @@
     return picked;
   }
 
-  #isOff(guard: MembershipGuard): boolean {
+  #isDisabled(guard: MembershipGuard): boolean {
     return this.#options.disabledGuards.has(guard);
   }
 }
--- a/packages/heatherarch-mesh/mesh_calls.ts
+++ b/packages/heatherarch-mesh/mesh_calls.ts
@@ -43,7 +43,7 @@
   }
 
   /** Answers a peer's call. */
-  async answer(
+  async handleCall(
     link: Link,
     peer: LinkIdentity,
     call: Extract<MeshMessage, { kind: "call" }>,
--- a/packages/heatherarch-mesh/mesh_node.ts
+++ b/packages/heatherarch-mesh/mesh_node.ts
@@ -6,14 +6,14 @@
  */
 import type { Server, Socket } from "node:net";
 import type { Clock } from "heatherarch-core";
-import { Link, type LinkFault, type LinkIdentity } from "./link.ts";
-import { LoopWatch, type Standstill } from "./loop_watch.ts";
+import { Link, type LinkCloseReason, type LinkIdentity } from "./link.ts";
+import { type LoopStall, LoopStallDetector } from "./loop_stall_detector.ts";
 import type { Member, Membership } from "./membership.ts";
 import type { Heartbeat, MeshMessage } from "./messages.ts";
 import { type CallHandler, MeshCalls } from "./mesh_calls.ts";
 import { dialSocket, listenSockets, type MeshTls } from "./mesh_sockets.ts";
 import { MeshCallError } from "./pending_calls.ts";
-import { computeRoundGapMs } from "./round_gap.ts";
+import { computeMinRoundIntervalMs } from "./round_interval.ts";
 
 /**
  * Receives heartbeats. One may have waited in its socket for up to `waitedMs` while this process
@@ -56,14 +56,14 @@
     link: Link,
     peer: LinkIdentity,
   ) => Heartbeat | undefined;
-  readonly onFault: (fault: LinkFault) => void;
+  readonly onLinkClosed: (fault: LinkCloseReason) => void;
   /** Called when the process runs on after it stood still. */
-  readonly onLate?: (standstill: Standstill) => void;
+  readonly onLoopStall?: (standstill: LoopStall) => void;
   /** Called before the heartbeats of a round are built. */
   readonly onRound?: () => void;
 }
 
-interface DialedPeer {
+interface DialState {
   link: Link | undefined;
   /** A second connection, opened because `link` is silent. */
   probe: Link | undefined;
@@ -72,11 +72,11 @@
   failures: number;
 }
 
-const MAX_BACKOFF_MS = 5000;
+const MAX_DIAL_BACKOFF_MS = 5000;
 /** Time in which sockets that waited for a process that stood still are read, milliseconds. */
 const CATCH_UP_MS = 50;
 /** A link that carries nothing else still proves itself this often within the limit of silence. */
-const PONGS_PER_SILENCE = 6;
+const PONGS_PER_SILENCE_TIMEOUT = 6;
 
 /** Byte counters of all links, for metrics. */
 export interface MeshTraffic {
@@ -89,24 +89,24 @@
 export class MeshNode {
   readonly #options: MeshNodeOptions;
   readonly #heartbeatListeners = new Set<HeartbeatListener>();
-  readonly #dialed = new Map<string, DialedPeer>();
+  readonly #dialed = new Map<string, DialState>();
   readonly #accepted = new Set<Link>();
   readonly #calls = new MeshCalls();
-  readonly #loop: LoopWatch;
+  readonly #loopStalls: LoopStallDetector;
   #server: Server | undefined;
   #timer: NodeJS.Timeout | undefined;
   #closedBytesSent = 0;
   #closedBytesReceived = 0;
   #resets = 0;
   #lastRoundMs = -Infinity;
-  #hasNews = false;
+  #isRoundDue = false;
   #stopped = false;
 
   constructor(options: MeshNodeOptions) {
     this.#options = options;
-    this.#loop = new LoopWatch({
-      usualMs: () => this.intervalMs,
-      onLate: options.onLate,
+    this.#loopStalls = new LoopStallDetector({
+      getTickIntervalMs: () => this.intervalMs,
+      onStall: options.onLoopStall,
     });
   }
 
@@ -171,12 +171,13 @@
    * There is something that peers should hear soon: the next round comes at once, or as soon as
    * the least time since the last one is over. Called often in one turn, it sends once.
    */
-  noteNews(): void {
-    if (this.#hasNews || this.#stopped || this.#timer === undefined) return;
-    this.#hasNews = true;
+  requestRound(): void {
+    if (this.#isRoundDue || this.#stopped || this.#timer === undefined) return;
+    this.#isRoundDue = true;
     const elapsedMs = this.#options.clock.readMonotonicMs() - this.#lastRoundMs;
     const { hasHubs } = this.#options.membership;
-    const waitMs = computeRoundGapMs(hasHubs, this.#dialed.size) - elapsedMs;
+    const waitMs = computeMinRoundIntervalMs(hasHubs, this.#dialed.size) -
+      elapsedMs;
     if (waitMs <= 0) setImmediate(() => this.#tick());
     else if (waitMs < this.intervalMs - elapsedMs) this.#schedule(waitMs);
   }
@@ -217,9 +218,9 @@
   #tick(): void {
     if (this.#stopped) return;
     const nowMs = this.#options.clock.readMonotonicMs();
-    this.#noteTurn();
+    this.#recordTick();
     this.#lastRoundMs = nowMs;
-    this.#hasNews = false;
+    this.#isRoundDue = false;
     this.#schedule(this.intervalMs);
     const { membership } = this.#options;
     membership.expire(nowMs);
@@ -232,10 +233,11 @@
       peer.probe?.close("closed");
       this.#dialed.delete(id);
     }
-    for (const member of wanted.values()) this.#tendPeer(member, nowMs);
+    for (const member of wanted.values()) this.#maintainPeer(member, nowMs);
     for (const link of this.#accepted) {
       const member = membership.getMember(link.peer?.id ?? "");
-      const limitMs = membership.getSilenceMs(member ?? { intervalMs: 0 }) * 2;
+      const limitMs =
+        membership.getSilenceTimeoutMs(member ?? { intervalMs: 0 }) * 2;
       if (nowMs - link.lastHeardMs > limitMs) link.close("silent");
     }
     this.#options.onRound?.();
@@ -243,16 +245,16 @@
   }
 
   /** Returns the time for which what is read now may have waited, milliseconds. */
-  #noteTurn(): number {
+  #recordTick(): number {
     const { clock } = this.#options;
     const nowMs = clock.readMonotonicMs();
-    const waitedMs = this.#loop.noteTurn(nowMs, clock.readWallMs());
+    const waitedMs = this.#loopStalls.recordTick(nowMs, clock.readWallMs());
     // Sockets that waited are read in the loop's next two polls.
-    if (waitedMs > 0) setTimeout(() => this.#loop.noteCaughtUp(), CATCH_UP_MS);
+    if (waitedMs > 0) setTimeout(() => this.#loopStalls.clear(), CATCH_UP_MS);
     return waitedMs;
   }
 
-  #tendPeer(member: Member, nowMs: number): void {
+  #maintainPeer(member: Member, nowMs: number): void {
     let peer = this.#dialed.get(member.id);
     if (peer === undefined) {
       peer = { link: undefined, probe: undefined, nextDialMs: 0, failures: 0 };
@@ -263,7 +265,7 @@
       if (nowMs >= peer.nextDialMs) peer.link = this.#dial(member, peer, nowMs);
       return;
     }
-    const limitMs = this.#options.membership.getSilenceMs(member);
+    const limitMs = this.#options.membership.getSilenceTimeoutMs(member);
     const silentMs = nowMs - link.lastHeardMs;
     if (silentMs <= limitMs) return;
     if (!link.isReady) return link.close("silent");
@@ -275,14 +277,14 @@
     }
   }
 
-  #dial(member: Member, peer: DialedPeer, nowMs: number): Link {
+  #dial(member: Member, peer: DialState, nowMs: number): Link {
     peer.nextDialMs = nowMs +
-      Math.min(MAX_BACKOFF_MS, 100 * 2 ** peer.failures);
+      Math.min(MAX_DIAL_BACKOFF_MS, 100 * 2 ** peer.failures);
     peer.failures = Math.min(peer.failures + 1, 10);
     const { translate, tls } = this.#options;
     const socket = dialSocket(translate(member.mesh), tls);
     return this.#createLink(socket, {
-      onReady: (link) => this.#adopt(link, member, peer),
+      onReady: (link) => this.#handleDialedReady(link, member, peer),
       onClose: (link) => {
         if (peer.probe === link) peer.probe = undefined;
         if (peer.link === link) {
@@ -294,15 +296,15 @@
   }
 
   /** A dialed link has proved itself: it replaces a silent one. */
-  #adopt(link: Link, member: Member, peer: DialedPeer): void {
+  #handleDialedReady(link: Link, member: Member, peer: DialState): void {
     if (link.peer?.id !== member.id) return link.close("badMessage");
     peer.failures = 0;
     if (peer.probe === link && peer.link !== undefined) {
-      const silent = peer.link;
+      const silentLink = peer.link;
       peer.probe = undefined;
       peer.link = link;
       this.#resets++;
-      silent.close("silent");
+      silentLink.close("silent");
     }
   }
 
@@ -320,14 +322,14 @@
   ): Link {
     const { self, sharedKey, maxFrameBytes, clock, silenceMs } = this.#options;
     return new Link({
-      pongAfterMs: silenceMs / PONGS_PER_SILENCE,
+      pongAfterMs: silenceMs / PONGS_PER_SILENCE_TIMEOUT,
       socket,
       self,
       sharedKey,
       maxFrameBytes,
       clock,
       onReady: (link) => {
-        this.#noteHeard(link);
+        this.#recordContact(link);
         hooks.onReady(link);
         if (!link.isClosed) this.#sendHeartbeat(link);
       },
@@ -336,24 +338,24 @@
         this.#closedBytesSent += link.bytesSent;
         this.#closedBytesReceived += link.bytesReceived;
         hooks.onClose(link);
-        if (!this.#stopped) this.#options.onFault(fault);
+        if (!this.#stopped) this.#options.onLinkClosed(fault);
       },
     });
   }
 
   #receive(link: Link, message: MeshMessage): void {
-    this.#noteHeard(link);
-    const waitedMs = this.#noteTurn();
+    this.#recordContact(link);
+    const waitedMs = this.#recordTick();
     const peer = link.peer as LinkIdentity;
     switch (message.kind) {
       case "heartbeat":
-        this.#options.membership.noteProgress(peer.id, message);
+        this.#options.membership.recordProgress(peer.id, message);
         for (const listener of this.#heartbeatListeners) {
           listener(message, peer, waitedMs);
         }
         break;
       case "call":
-        void this.#calls.answer(link, peer, message);
+        void this.#calls.handleCall(link, peer, message);
         break;
       case "reply":
         this.#calls.settle(message);
@@ -363,9 +365,9 @@
     }
   }
 
-  #noteHeard(link: Link): void {
+  #recordContact(link: Link): void {
     if (link.peer === undefined) return;
-    this.#options.membership.noteHeard(
+    this.#options.membership.recordContact(
       link.peer,
       this.#options.clock.readMonotonicMs(),
     );
--- a/packages/heatherarch-mesh/messages.ts
+++ b/packages/heatherarch-mesh/messages.ts
@@ -34,11 +34,11 @@
 const MIN_ROW_LENGTH = 3;
 
 /** A prompt beginning, an engine, and whether it has been read there (1) or is being read (0). */
-const PROMPT_NOTES = z.custom<[string, string, number][]>((value) =>
-  Array.isArray(value) && value.every(isPromptNote)
+const PREFIX_UPDATES = z.custom<[string, string, number][]>((value) =>
+  Array.isArray(value) && value.every(isPrefixUpdate)
 );
 
-function isPromptNote(note: unknown): boolean {
+function isPrefixUpdate(note: unknown): boolean {
   return Array.isArray(note) && note.length === 3 &&
     typeof note[0] === "string" && typeof note[1] === "string" &&
     Number.isSafeInteger(note[2]);
@@ -119,7 +119,7 @@
    */
   listAgeMs: z.int().min(0).optional(),
   /** Prompt beginnings by key and engine, read (1) or being read (0), since the last heartbeat. */
-  prompts: PROMPT_NOTES.optional(),
+  prompts: PREFIX_UPDATES.optional(),
   /**
    * Digest of a request, its client account, a life of a target that ended under it, 1 where that
    * counts or 0 where the request was cleared of it, and the age of the fact, milliseconds.
--- a/packages/heatherarch-mesh/round_gap.ts
+++ b/packages/heatherarch-mesh/round_interval.ts
@@ -8,14 +8,17 @@
  */
 
 /** Least time between two rounds of messages that news bring about, milliseconds. */
-const MIN_GAP_MS = 5;
+const MIN_INTERVAL_MS = 5;
 /** What each link adds to it: a round costs as much more. */
-const GAP_PER_LINK_MS = 1;
+const INTERVAL_PER_LINK_MS = 1;
 /** The same where VMs tell hubs: each hub hears a whole availability zone. */
-const MIN_GAP_TO_HUBS_MS = 20;
+const MIN_INTERVAL_TO_HUBS_MS = 20;
 
 /** Time that lies between two rounds at least, milliseconds. */
-export function computeRoundGapMs(hasHubs: boolean, links: number): number {
-  const leastMs = hasHubs ? MIN_GAP_TO_HUBS_MS : MIN_GAP_MS;
-  return Math.max(leastMs, GAP_PER_LINK_MS * links);
+export function computeMinRoundIntervalMs(
+  hasHubs: boolean,
+  links: number,
+): number {
+  const minMs = hasHubs ? MIN_INTERVAL_TO_HUBS_MS : MIN_INTERVAL_MS;
+  return Math.max(minMs, INTERVAL_PER_LINK_MS * links);
 }
--- a/packages/heatherarch-mesh/tests/unit/hub_choice_test.ts
+++ b/packages/heatherarch-mesh/tests/unit/hub_selection_test.ts
@@ -2,7 +2,7 @@
 import { test } from "node:test";
 import {
   type HubCandidate,
-  isChosenHub,
+  isSelectedHub,
   Membership,
   pickHubs,
 } from "../../mod.ts";
@@ -36,8 +36,8 @@
   assert.ok(picked.includes("vm-3"));
   assert.ok(picked.includes("vm-6"));
   const [third] = picked.filter((id) => id !== "vm-3" && id !== "vm-6");
-  assert.equal(isChosenHub("zone-a", candidates, 2, third), true);
-  assert.equal(isChosenHub("zone-a", candidates, 2, "vm-3"), false);
+  assert.equal(isSelectedHub("zone-a", candidates, 2, third), true);
+  assert.equal(isSelectedHub("zone-a", candidates, 2, "vm-3"), false);
 });
 
 test("where nobody was heard yet only a few are dialed", () => {
@@ -63,10 +63,10 @@
   const membership = new Membership({
     self,
     silenceMs: 1000,
-    hubs: { fromVms: 20, perZone: 2 },
+    hubs: { minVms: 20, perZone: 2 },
   });
-  membership.noteListed(vms);
-  for (const vm of vms) membership.noteHeard(vm, 0);
+  membership.recordListing(vms);
+  for (const vm of vms) membership.recordContact(vm, 0);
   return membership;
 }
 
@@ -87,15 +87,15 @@
 
 test("a VM that a peer takes for its hub serves as one", () => {
   const member = buildFleet("a-9");
-  member.noteServing(true);
+  member.setServing(true);
   assert.equal(member.isHub, true);
-  member.noteServing(false);
+  member.setServing(false);
   assert.equal(member.isHub, false);
 });
 
 test("a hub that leaves is none any more, for others too", () => {
   const member = buildFleet("a-9");
-  member.noteProgress("a-0", {
+  member.recordProgress("a-0", {
     configOffset: 1,
     controlOffset: -1,
     leaving: true,
--- a/packages/heatherarch-mesh/tests/unit/round_gap_test.ts
+++ b/packages/heatherarch-mesh/tests/unit/round_interval_test.ts
@@ -1,14 +1,14 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { computeRoundGapMs } from "../../mod.ts";
+import { computeMinRoundIntervalMs } from "../../mod.ts";
 
 test("a few VMs tell of their work before the next prompt is placed", () => {
   // 150 prompts a second at six VMs: one in 7 ms.
-  assert.ok(computeRoundGapMs(false, 5) <= 7);
+  assert.ok(computeMinRoundIntervalMs(false, 5) <= 7);
 });
 
 test("links and hubs are spared", () => {
-  assert.equal(computeRoundGapMs(false, 18), 18);
+  assert.equal(computeMinRoundIntervalMs(false, 18), 18);
   // Fifty members that all have news send a hub 2,500 messages a second.
-  assert.equal(computeRoundGapMs(true, 2), 20);
+  assert.equal(computeMinRoundIntervalMs(true, 2), 20);
 });
--- a/packages/heatherarch-settings/fleet.ts
+++ b/packages/heatherarch-settings/fleet.ts
@@ -5,7 +5,7 @@
  */
 import { z } from "zod";
 import { Err, Ok, type Result } from "heatherarch-core";
-import { buildFaults, type Fault } from "./fault.ts";
+import { buildIssues, type InputIssue } from "./input_issue.ts";
 
 const NAME = z.string().regex(
   /^[a-z0-9][a-z0-9._-]{0,62}$/,
@@ -154,7 +154,7 @@
 export type Planning = Fleet["planning"];
 
 /** Checks a fleet configuration and fills in defaults. */
-export function parseFleet(input: unknown): Result<Fleet, Fault[]> {
+export function parseFleet(input: unknown): Result<Fleet, InputIssue[]> {
   const parsed = FLEET_SCHEMA.safeParse(input);
-  return parsed.success ? Ok(parsed.data) : Err(buildFaults(parsed.error));
+  return parsed.success ? Ok(parsed.data) : Err(buildIssues(parsed.error));
 }
--- a/packages/heatherarch-settings/forward_settings.ts
+++ b/packages/heatherarch-settings/forward_settings.ts
@@ -5,33 +5,33 @@
  */
 import { z } from "zod";
 import { Err, Ok, type Result } from "heatherarch-core";
-import { buildFaults, type Fault } from "./fault.ts";
+import { buildIssues, type InputIssue } from "./input_issue.ts";
 import { parseToml } from "./toml.ts";
 
 const ADDRESS = z.string().regex(
   /^(\d{1,3}\.){3}\d{1,3}:\d{1,5}$|^\[[0-9a-f:]+\]:\d{1,5}$/,
   "must be ip:port",
 );
-const MS = (low: number, high: number, value: number) =>
+const buildMsSchema = (low: number, high: number, value: number) =>
   z.int().min(low).max(high).default(value);
 
 /**
  * Part of the bound after which the list is read again: two failed readings still leave time
  * for a third one.
  */
-const POLL_PART = 0.35;
+const POLL_SHARE = 0.35;
 
 /**
  * Part of the bound of the configuration for which a read may be held: a change may wait for a read
  * that was lost, and for the one after it.
  */
-const CONFIG_WAIT_PART = 0.5;
+const CONFIG_WAIT_SHARE = 0.5;
 /** Bounds of the time for which the store holds a read, milliseconds. Reads follow each other without a pause. */
 const MIN_CONFIG_WAIT_MS = 50;
 const MAX_CONFIG_WAIT_MS = 30_000;
 
 function computeMaxConfigWaitMs(store: { configBoundMs: number }): number {
-  return Math.round(store.configBoundMs * CONFIG_WAIT_PART);
+  return Math.round(store.configBoundMs * CONFIG_WAIT_SHARE);
 }
 
 const FORWARD_SCHEMA = z.object({
@@ -50,24 +50,24 @@
   store: z.object({
     address: ADDRESS,
     /** Longest wait for an answer, besides the wait that a read asks for. */
-    requestTimeoutMs: MS(50, 60_000, 1500),
+    requestTimeoutMs: buildMsSchema(50, 60_000, 1500),
     /** Largest record that the store takes. */
     maxRecordBytes: z.int().min(1024).default(256 * 1024),
     /** Time within which a change of the configuration is in force. */
-    configBoundMs: MS(200, 600_000, 2000),
+    configBoundMs: buildMsSchema(200, 600_000, 2000),
     /** How long a read for a newer configuration may be held back; by default half the bound. */
     configWaitMs: z.int().min(MIN_CONFIG_WAIT_MS).max(MAX_CONFIG_WAIT_MS)
       .optional(),
     /** Time for which a leaving target may still get work. */
-    leavingBoundMs: MS(100, 600_000, 2000),
+    leavingBoundMs: buildMsSchema(100, 600_000, 2000),
     /** Time between the writes with which a live target keeps its entry of the list. */
-    targetHeartbeatMs: MS(10, 600_000, 1200),
+    targetHeartbeatMs: buildMsSchema(10, 600_000, 1200),
     /** Pause between reads of the list of targets; by default a part of `leavingBoundMs`. */
     targetPollMs: z.int().min(10).max(60_000).optional(),
   }).transform((store) => ({
     ...store,
     targetPollMs: store.targetPollMs ??
-      Math.round(store.leavingBoundMs * POLL_PART),
+      Math.round(store.leavingBoundMs * POLL_SHARE),
     configWaitMs: store.configWaitMs ??
       Math.min(MAX_CONFIG_WAIT_MS, computeMaxConfigWaitMs(store)),
   })).refine((store) => store.configWaitMs <= computeMaxConfigWaitMs(store), {
@@ -78,18 +78,18 @@
     sharedKey: z.string().min(16, "must have 16 characters or more"),
     /** Address that peers are told; by default the one that is listened on. */
     announce: ADDRESS.optional(),
-    heartbeatMs: MS(10, 60_000, 60),
+    heartbeatMs: buildMsSchema(10, 60_000, 60),
     /** Heartbeats grow rarer with the number of links: this long for each. */
-    heartbeatPerLinkMs: MS(0, 10_000, 5),
-    silenceMs: MS(50, 600_000, 1200),
+    heartbeatPerLinkMs: buildMsSchema(0, 10_000, 5),
+    silenceMs: buildMsSchema(50, 600_000, 1200),
     linksPerZone: z.int().min(1).max(1000).default(32),
     /** From this many VMs on, links run over hubs: a full mesh cost 0.12 of a core at 80 VMs. */
     hubsFromVms: z.int().min(2).default(20),
     hubsPerZone: z.int().min(1).max(16).default(2),
     /** Time between heartbeats of a hub. */
-    hubHeartbeatMs: MS(10, 60_000, 100),
+    hubHeartbeatMs: buildMsSchema(10, 60_000, 100),
     /** Time between heartbeats of a VM that tells hubs, where it has no news. */
-    idleHeartbeatMs: MS(10, 60_000, 250),
+    idleHeartbeatMs: buildMsSchema(10, 60_000, 250),
   }),
   retries: z.object({
     /** Further tries for each call, as a share. */
@@ -111,7 +111,7 @@
     /** Time from the request to stop until the process is killed. */
     graceSeconds: z.number().min(0.5).max(3600).default(8),
     /** How long the VM says that it is not ready before it takes no new connections. */
-    noticeMs: MS(0, 60_000, 2800),
+    noticeMs: buildMsSchema(0, 60_000, 2800),
   }).prefault({}),
   logs: z.object({
     level: z.enum(["error", "warn", "info", "debug"]).default("info"),
@@ -124,9 +124,9 @@
 /** Checks settings in TOML and reports every fault at once. */
 export function readForwardSettings(
   text: string,
-): Result<ForwardSettings, Fault[]> {
+): Result<ForwardSettings, InputIssue[]> {
   const document = parseToml(text);
-  if (!document.ok) return Err(document.val as Fault[]);
+  if (!document.ok) return Err(document.val as InputIssue[]);
   const parsed = FORWARD_SCHEMA.safeParse(document.val);
-  return parsed.success ? Ok(parsed.data) : Err(buildFaults(parsed.error));
+  return parsed.success ? Ok(parsed.data) : Err(buildIssues(parsed.error));
 }
--- a/packages/heatherarch-settings/fault.ts
+++ b/packages/heatherarch-settings/input_issue.ts
@@ -6,14 +6,14 @@
 import type { z } from "zod";
 
 /** One thing wrong with a document. */
-export interface Fault {
+export interface InputIssue {
   /** Path into the document, for example `targets[3].address`. */
-  readonly place: string;
+  readonly location: string;
   readonly reason: string;
 }
 
 /** Formats a path of keys and indexes. */
-export function formatPlace(path: readonly PropertyKey[]): string {
+export function formatPath(path: readonly PropertyKey[]): string {
   let text = "";
   for (const part of path) {
     if (typeof part === "number") text += `[${part}]`;
@@ -23,14 +23,14 @@
 }
 
 /** Turns the issues of a failed parse into faults. */
-export function buildFaults(error: z.ZodError): Fault[] {
+export function buildIssues(error: z.ZodError): InputIssue[] {
   return error.issues.map((issue) => ({
-    place: formatPlace(issue.path),
+    location: formatPath(issue.path),
     reason: issue.message,
   }));
 }
 
 /** Formats faults one a line. */
-export function formatFaults(faults: readonly Fault[]): string {
-  return faults.map((fault) => `${fault.place}: ${fault.reason}`).join("\n");
+export function formatIssues(faults: readonly InputIssue[]): string {
+  return faults.map((fault) => `${fault.location}: ${fault.reason}`).join("\n");
 }
--- a/packages/heatherarch-settings/mod.ts
+++ b/packages/heatherarch-settings/mod.ts
@@ -3,7 +3,7 @@
  *
  * @module
  */
-export * from "./fault.ts";
+export * from "./input_issue.ts";
 export * from "./fleet.ts";
 export * from "./forward_settings.ts";
 export * from "./profile.ts";
--- a/packages/heatherarch-settings/process_settings.ts
+++ b/packages/heatherarch-settings/process_settings.ts
@@ -5,14 +5,14 @@
  */
 import { z } from "zod";
 import { Err, Ok, type Result } from "heatherarch-core";
-import { buildFaults, type Fault } from "./fault.ts";
+import { buildIssues, type InputIssue } from "./input_issue.ts";
 import { parseToml } from "./toml.ts";
 
 const ADDRESS = z.string().regex(
   /^(\d{1,3}\.){3}\d{1,3}:\d{1,5}$|^\[[0-9a-f:]+\]:\d{1,5}$/,
   "must be ip:port",
 );
-const MS = (low: number, high: number, value: number) =>
+const buildMsSchema = (low: number, high: number, value: number) =>
   z.int().min(low).max(high).default(value);
 
 const TLS = z.strictObject({
@@ -52,19 +52,19 @@
   platform: z.strictObject({
     log: z.url(),
     vmList: z.url(),
-    requestTimeoutMs: MS(10, 60_000, 2000),
-    pollWaitMs: MS(10, 60_000, 2000),
-    vmListIntervalMs: MS(50, 600_000, 2000),
+    requestTimeoutMs: buildMsSchema(10, 60_000, 2000),
+    pollWaitMs: buildMsSchema(10, 60_000, 2000),
+    vmListIntervalMs: buildMsSchema(50, 600_000, 2000),
     /** Records of a stream after which a snapshot is appended. */
     snapshotEveryRecords: z.int().min(2).max(1_000_000).default(500),
   }),
   mesh: z.strictObject({
     /** Shared key that peers prove to each other; empty only on loopback. */
     sharedKey: z.string().default(""),
-    heartbeatMs: MS(10, 60_000, 500),
+    heartbeatMs: buildMsSchema(10, 60_000, 500),
     /** Heartbeats grow rarer with the number of links: this long for each. */
-    heartbeatPerLinkMs: MS(0, 10_000, 80),
-    silenceMs: MS(50, 600_000, 2500),
+    heartbeatPerLinkMs: buildMsSchema(0, 10_000, 80),
+    silenceMs: buildMsSchema(50, 600_000, 2500),
     maxFrameBytes: z.int().min(1024).max(64 * 1024 * 1024).default(
       4 * 1024 * 1024,
     ),
@@ -72,33 +72,33 @@
   }).prefault({}),
   operators: z.array(OPERATOR).default([]),
   lease: z.strictObject({
-    durationMs: MS(100, 600_000, 4000),
-    driftMs: MS(10, 60_000, 500),
-    renewMs: MS(20, 60_000, 1000),
+    durationMs: buildMsSchema(100, 600_000, 4000),
+    driftMs: buildMsSchema(10, 60_000, 500),
+    renewMs: buildMsSchema(20, 60_000, 1000),
     /** How long a new holder leaves engines that ignore fencing numbers alone. */
-    settleMs: MS(0, 600_000, 1500),
+    settleMs: buildMsSchema(0, 600_000, 1500),
   }).prefault({}),
   claims: z.strictObject({
     shards: z.int().min(1).max(4096).default(4),
-    batchMs: MS(0, 1000, 5),
+    batchMs: buildMsSchema(0, 1000, 5),
     maxBatch: z.int().min(1).max(10_000).default(500),
-    permissionMs: MS(50, 60_000, 2000),
+    permissionMs: buildMsSchema(50, 60_000, 2000),
     /** How long a key is remembered after the time that it carries. */
-    keyWindowMs: MS(1000, 30 * 86_400_000, 86_400_000),
-    futureSkewMs: MS(0, 3_600_000, 60_000),
+    keyWindowMs: buildMsSchema(1000, 30 * 86_400_000, 86_400_000),
+    futureSkewMs: buildMsSchema(0, 3_600_000, 60_000),
   }).prefault({}),
   requests: z.strictObject({
     maxBodyBytes: z.int().min(1024).max(1 << 30).default(8 * 1024 * 1024),
     maxHeaderBytes: z.int().min(1024).max(1 << 20).default(32 * 1024),
-    headerTimeoutMs: MS(100, 600_000, 10_000),
-    bodyTimeoutMs: MS(100, 600_000, 30_000),
-    maxDeadlineMs: MS(100, 86_400_000, 3_600_000),
-    connectTimeoutMs: MS(10, 60_000, 1000),
+    headerTimeoutMs: buildMsSchema(100, 600_000, 10_000),
+    bodyTimeoutMs: buildMsSchema(100, 600_000, 30_000),
+    maxDeadlineMs: buildMsSchema(100, 86_400_000, 3_600_000),
+    connectTimeoutMs: buildMsSchema(10, 60_000, 1000),
     /** Longest wait for the first byte of a try before it is judged silent. */
-    firstByteTimeoutMs: MS(50, 600_000, 15_000),
+    firstByteTimeoutMs: buildMsSchema(50, 600_000, 15_000),
     /** Longest gap between tokens of a try before it is judged silent. */
-    gapTimeoutMs: MS(50, 600_000, 5000),
-    resumeWindowMs: MS(0, 600_000, 30_000),
+    gapTimeoutMs: buildMsSchema(50, 600_000, 5000),
+    resumeWindowMs: buildMsSchema(0, 600_000, 30_000),
     /** Retries allowed as a share of fresh requests. */
     retryShare: z.number().min(0).max(1).default(0.2),
     maxTries: z.int().min(1).max(20).default(5),
@@ -114,21 +114,21 @@
     holdSeconds: z.number().min(1).max(86_400).default(600),
   }).prefault({}),
   targets: z.strictObject({
-    reportIntervalMs: MS(10, 60_000, 250),
-    reportTimeoutMs: MS(10, 60_000, 1000),
+    reportIntervalMs: buildMsSchema(10, 60_000, 250),
+    reportTimeoutMs: buildMsSchema(10, 60_000, 1000),
     /** A target without a report for this long is not used. */
-    staleMs: MS(100, 600_000, 5000),
+    staleMs: buildMsSchema(100, 600_000, 5000),
     watchersPerTarget: z.int().min(1).max(16).default(2),
     /** Reports grow rarer with the number of targets watched: this long for each. */
-    reportPerTargetMs: MS(0, 10_000, 100),
+    reportPerTargetMs: buildMsSchema(0, 10_000, 100),
     /** Targets of its zone that a VM is told of, where the zone has more. */
     subsetSize: z.int().min(4).max(10_000).default(64),
   }).prefault({}),
   shutdown: z.strictObject({
     /** Longest wait for requests in flight after SIGTERM. */
-    drainTimeoutMs: MS(0, 3_600_000, 120_000),
+    drainTimeoutMs: buildMsSchema(0, 3_600_000, 120_000),
     /** How long `/readyz` says no before the callers' port closes. */
-    noticeMs: MS(0, 60_000, 500),
+    noticeMs: buildMsSchema(0, 60_000, 500),
   }).prefault({}),
   logs: z.strictObject({
     level: z.enum(["error", "warn", "info", "debug"]).default("info"),
@@ -165,17 +165,17 @@
 /** Checks settings that are already an object. */
 export function parseProcessSettings(
   input: unknown,
-): Result<ProcessSettings, Fault[]> {
+): Result<ProcessSettings, InputIssue[]> {
   const parsed = PROCESS_SCHEMA.safeParse(input);
-  return parsed.success ? Ok(parsed.data) : Err(buildFaults(parsed.error));
+  return parsed.success ? Ok(parsed.data) : Err(buildIssues(parsed.error));
 }
 
 /** Checks settings in TOML. */
 export function readProcessSettings(
   text: string,
-): Result<ProcessSettings, Fault[]> {
+): Result<ProcessSettings, InputIssue[]> {
   const parsed = parseToml(text);
   return parsed.ok
     ? parseProcessSettings(parsed.val)
-    : Err(parsed.val as Fault[]);
+    : Err(parsed.val as InputIssue[]);
 }
--- a/packages/heatherarch-settings/profile.ts
+++ b/packages/heatherarch-settings/profile.ts
@@ -5,7 +5,7 @@
  */
 import { z } from "zod";
 import { Err, Ok, type Result } from "heatherarch-core";
-import { buildFaults, type Fault } from "./fault.ts";
+import { buildIssues, type InputIssue } from "./input_issue.ts";
 
 const NAME = z.string().regex(
   /^[a-z0-9][a-z0-9._-]{0,62}$/,
@@ -45,9 +45,11 @@
 export type Profile = z.infer<typeof PROFILE_SCHEMA>;
 
 /** Checks a profile and fills in defaults. */
-export function parseProfile(input: unknown): Result<Profile, Fault[]> {
+export function parseProfile(
+  input: unknown,
+): Result<Profile, InputIssue[]> {
   const parsed = PROFILE_SCHEMA.safeParse(input);
-  return parsed.success ? Ok(parsed.data) : Err(buildFaults(parsed.error));
+  return parsed.success ? Ok(parsed.data) : Err(buildIssues(parsed.error));
 }
 
 /** The profile that is used where a request names none and none named `default` is published. */
--- a/packages/heatherarch-settings/tests/unit/settings_test.ts
+++ b/packages/heatherarch-settings/tests/unit/settings_test.ts
@@ -1,7 +1,7 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import {
-  type Fault,
+  type InputIssue,
   parseFleet,
   parseProfile,
   readForwardSettings,
@@ -31,8 +31,8 @@
   const text = GOOD.replace('"127.0.0.1:8080"', '"localhost"')
     .replace('id = "pasay-a-1"', 'id = "Pasay A"') +
     "[lease]\nrenewMs = 3000\nsurprise = 1\n";
-  const faults = readProcessSettings(text).val as Fault[];
-  const places = faults.map((fault) => fault.place);
+  const faults = readProcessSettings(text).val as InputIssue[];
+  const places = faults.map((fault) => fault.location);
   assert.ok(places.includes("listen.callers"));
   assert.ok(places.includes("vm.id"));
   assert.ok(places.includes("lease"));
@@ -40,8 +40,8 @@
 
 test("renewals must be twice as frequent as the lease is long", () => {
   const faults = readProcessSettings(`${GOOD}[lease]\nrenewMs = 3000\n`)
-    .val as Fault[];
-  assert.deepEqual(faults.map((fault) => fault.place), ["lease.renewMs"]);
+    .val as InputIssue[];
+  assert.deepEqual(faults.map((fault) => fault.location), ["lease.renewMs"]);
 });
 
 test("a mesh beyond loopback needs a key, operators beyond it need names", () => {
@@ -49,16 +49,16 @@
     "127.0.0.1:9080",
     "10.0.0.1:9080",
   );
-  const faults = readProcessSettings(text).val as Fault[];
-  assert.deepEqual(faults.map((fault) => fault.place).sort(), [
+  const faults = readProcessSettings(text).val as InputIssue[];
+  assert.deepEqual(faults.map((fault) => fault.location).sort(), [
     "mesh.sharedKey",
     "operators",
   ]);
 });
 
 test("a TOML error names its line", () => {
-  const faults = readProcessSettings("[vm\n").val as Fault[];
-  assert.match(faults[0].place, /^line 1/);
+  const faults = readProcessSettings("[vm\n").val as InputIssue[];
+  assert.match(faults[0].location, /^line 1/);
 });
 
 test("a fleet's references and duplicates are checked together", () => {
@@ -73,8 +73,8 @@
     availabilityZones: ["zone-a"],
     services: [{ name: "reader", kind: "model", models: ["m"] }],
     targets: [target, target],
-  }).val as Fault[];
-  assert.deepEqual(faults.map((fault) => fault.place).sort(), [
+  }).val as InputIssue[];
+  assert.deepEqual(faults.map((fault) => fault.location).sort(), [
     "targets[0].availabilityZone",
     "targets[0].service",
     "targets[1]",
@@ -84,7 +84,8 @@
 });
 
 test("an unknown field of a profile is a fault, not a silent default", () => {
-  const faults = parseProfile({ name: "fast", dedlineMs: 10 }).val as Fault[];
+  const faults = parseProfile({ name: "fast", dedlineMs: 10 })
+    .val as InputIssue[];
   assert.match(faults[0].reason, /dedlineMs/);
 });
 
@@ -115,7 +116,7 @@
       `${FORWARDING}configWaitMs = ${waitMs}\n`,
     );
     assert.deepEqual(
-      (parsed.val as Fault[]).map(({ place }) => place),
+      (parsed.val as InputIssue[]).map(({ location: place }) => place),
       ["store.configWaitMs"],
     );
   }
--- a/packages/heatherarch-settings/toml.ts
+++ b/packages/heatherarch-settings/toml.ts
@@ -5,17 +5,17 @@
  */
 import { parse, TomlError } from "smol-toml";
 import { Err, Ok, type Result } from "heatherarch-core";
-import type { Fault } from "./fault.ts";
+import type { InputIssue } from "./input_issue.ts";
 
 /** Parses TOML text into a plain object. */
 export function parseToml(
   text: string,
-): Result<Record<string, unknown>, Fault[]> {
+): Result<Record<string, unknown>, InputIssue[]> {
   try {
     return Ok(parse(text) as Record<string, unknown>);
   } catch (error) {
     if (!(error instanceof TomlError)) throw error;
-    const place = `line ${error.line}, column ${error.column}`;
-    return Err([{ place, reason: error.message.split("\n")[0] }]);
+    const location = `line ${error.line}, column ${error.column}`;
+    return Err([{ location, reason: error.message.split("\n")[0] }]);
   }
 }
