--- a/packages/heatherarch-log/config_fold.ts
+++ b/packages/heatherarch-log/config_fold.ts
@@ -1,6 +1,6 @@
 /**
- * The fold of the configuration stream. The same offset gives the same state in every
- * process, including which of two racing publications won.
+ * State of the configuration, folded from the records of its stream. The same offset gives the same
+ * state in every process, including which of two concurrent publications was accepted.
  *
  * @module
  */
@@ -22,7 +22,7 @@
 const MAX_AUDIT_ENTRIES = 1000;
 const MAX_SEEN_IDS = 5000;
 
-/** Verdict on one publication. */
+/** Result of one publication, for the audit trail. */
 export interface AuditEntry {
   readonly offset: number;
   readonly id: string;
@@ -31,7 +31,7 @@
   readonly baseRevision: number;
   readonly what: string;
   readonly verdict: "accepted" | "rejected";
-  /** Why it was rejected. */
+  /** Reason for a rejection. */
   readonly reason?: string;
 }
 
@@ -41,7 +41,7 @@
   readonly profile: Profile;
 }
 
-/** What an operator last asked of a target, and the offset that set it. */
+/** The last directive that an operator gave for a target, and the offset that set it. */
 export interface DirectiveRevision {
   readonly revision: number;
   readonly directive: TargetDirective;
@@ -49,15 +49,15 @@
 
 /** State of the configuration at one offset. */
 export interface ConfigState {
-  /** Last offset applied; -1 before the first. */
+  /** Offset of the last applied record; -1 before the first. */
   readonly offset: number;
-  /** Offset that set the fleet; -1 while none is published. */
+  /** Offset that set the fleet; -1 if none is published. */
   readonly fleetRevision: number;
   readonly fleet: Fleet | null;
   readonly profiles: Readonly<Record<string, ProfileRevision>>;
   readonly directives: Readonly<Record<string, DirectiveRevision>>;
   readonly audit: readonly AuditEntry[];
-  /** Ids of recent records, so that a repeated append has no second effect. */
+  /** Ids of recent records. They prevent that a repeated append takes effect twice. */
   readonly seen: readonly string[];
 }
 
@@ -72,12 +72,12 @@
   seen: [],
 });
 
-/** Guards of the fold; the proofs switch them off one at a time. */
+/** Safety rules of the fold. The proofs disable them one at a time. */
 export const CONFIG_GUARDS = ["dropRepeatedId", "refuseStaleBase"] as const;
 /** Name of a guard. */
 export type ConfigGuard = typeof CONFIG_GUARDS[number];
 
-/** Options of the fold. */
+/** Options of {@linkcode applyConfigRecord}. */
 export interface ConfigFoldOptions {
   readonly disabledGuards?: ReadonlySet<ConfigGuard>;
 }
@@ -86,13 +86,13 @@
   -readonly [Key in keyof ConfigState]: ConfigState[Key];
 };
 
-/** Applies the record that follows `state` and returns the next state. */
+/** Applies the record that follows `state`, and returns the new state. */
 export function applyConfigRecord(
   state: ConfigState,
   record: LogRecord,
   options: ConfigFoldOptions = {},
 ): ConfigState {
-  const off = options.disabledGuards;
+  const disabledGuards = options.disabledGuards;
   assertInvariant(
     record.offset === state.offset + 1,
     "config-contiguous",
@@ -101,13 +101,16 @@
   const draft: MutableConfigState = { ...state, offset: record.offset };
   const parsed = parseConfigRecord(record.data);
   if (parsed === undefined || parsed.type === "snapshot") return draft;
-  if (state.seen.includes(parsed.id) && !off?.has("dropRepeatedId")) {
+  if (
+    state.seen.includes(parsed.id) && !disabledGuards?.has("dropRepeatedId")
+  ) {
     return draft;
   }
   draft.seen = [...state.seen, parsed.id].slice(-MAX_SEEN_IDS);
   const current = readBaseRevision(state, parsed.change);
-  const stale = parsed.baseRevision !== current && !off?.has("refuseStaleBase");
-  const reason = stale
+  const isStale = parsed.baseRevision !== current &&
+    !disabledGuards?.has("refuseStaleBase");
+  const reason = isStale
     ? describeStaleBase(state, parsed.baseRevision, current)
     : applyChange(draft, parsed, record.offset);
   const entry: AuditEntry = {
@@ -124,7 +127,7 @@
   return draft;
 }
 
-/** The revision of what `change` would change; what a publisher must name as its base. */
+/** Returns the revision of the object that `change` applies to, which a publisher names as base. */
 export function readBaseRevision(
   state: ConfigState,
   change: ConfigChange,
@@ -156,32 +159,33 @@
 }
 
 /**
- * Loads the best snapshot among `records`, which start at the oldest kept offset, and applies
- * what follows it. Returns undefined where no snapshot bridges the trimmed part.
+ * Loads the newest usable snapshot in `records`, which start at the oldest offset that the log
+ * keeps, and applies the records after it. Returns undefined if no snapshot covers the trimmed
+ * records.
  */
 export function loadConfigSnapshot(
   records: readonly LogRecord[],
 ): ConfigState | undefined {
-  const first = records[0]?.offset ?? 0;
-  let best: ConfigState | undefined;
+  const oldestOffset = records[0]?.offset ?? 0;
+  let snapshot: ConfigState | undefined;
   for (const record of records) {
     const parsed = parseConfigRecord(record.data);
-    if (parsed?.type !== "snapshot" || parsed.coversOffset < first - 1) {
+    if (parsed?.type !== "snapshot" || parsed.coversOffset < oldestOffset - 1) {
       continue;
     }
     if (parsed.coversOffset >= record.offset) continue;
     const state = parseConfigState(parsed.state);
-    if (state?.offset === parsed.coversOffset) best = state;
+    if (state?.offset === parsed.coversOffset) snapshot = state;
   }
-  if (best === undefined) return undefined;
-  let state: ConfigState = best;
+  if (snapshot === undefined) return undefined;
+  let state: ConfigState = snapshot;
   for (const record of records) {
     if (record.offset > state.offset) state = applyConfigRecord(state, record);
   }
   return state;
 }
 
-/** Checks that `value` has the shape of a state, as one from a peer or a snapshot must. */
+/** Validates a state from a peer or a snapshot. Returns undefined if its structure is invalid. */
 export function parseConfigState(value: unknown): ConfigState | undefined {
   const state = value as ConfigState | null;
   if (typeof state !== "object" || state === null) return undefined;
--- a/packages/heatherarch-log/config_records.ts
+++ b/packages/heatherarch-log/config_records.ts
@@ -5,12 +5,12 @@
  */
 import { z } from "zod";
 
-/** Name of the stream that operators publish on. */
+/** Name of the stream that operators publish to. */
 export const CONFIG_STREAM = "config";
-/** Version of the record format that this program writes. */
+/** Version of the record format that this process writes. */
 export const CONFIG_FORMAT = 1;
 
-/** Directives that an operator may give for a target. */
+/** Directives that an operator can give for a target. */
 export const DIRECTIVES = ["drain", "replace", "withdraw", "restore"] as const;
 /** Name of a directive. */
 export type Directive = typeof DIRECTIVES[number];
@@ -27,7 +27,7 @@
   }),
 ]);
 
-/** What a publication changes. */
+/** Change that an operator publishes. */
 export type ConfigChange = z.infer<typeof CHANGE>;
 
 const CONFIG_RECORD = z.discriminatedUnion("type", [
@@ -37,7 +37,7 @@
     id: z.string().min(1),
     author: z.string(),
     atMs: z.number(),
-    /** Revision that the author had seen of what it changes; -1 for nothing yet. */
+    /** Last revision that the author has seen of the changed object; -1 if there is none. */
     baseRevision: z.int(),
     change: CHANGE,
   }),
@@ -45,7 +45,7 @@
     type: z.literal("snapshot"),
     format: z.literal(CONFIG_FORMAT),
     id: z.string().min(1),
-    /** Last offset that the state covers. */
+    /** Offset of the last record that the state includes. */
     coversOffset: z.int(),
     state: z.unknown(),
   }),
@@ -53,10 +53,10 @@
 
 /** A record of the configuration stream. */
 export type ConfigRecord = z.infer<typeof CONFIG_RECORD>;
-/** A change as it stands on the stream. */
+/** A change as a record of the stream. */
 export type ConfigChangeRecord = Extract<ConfigRecord, { type: "change" }>;
 
-/** Reads a record's content; undefined for garbage or an unknown format. */
+/** Parses the content of a record. Returns undefined if it is invalid or of an unknown format. */
 export function parseConfigRecord(data: unknown): ConfigRecord | undefined {
   const parsed = CONFIG_RECORD.safeParse(data);
   return parsed.success ? parsed.data : undefined;
--- a/packages/heatherarch-log/config_view.ts
+++ b/packages/heatherarch-log/config_view.ts
@@ -1,6 +1,6 @@
 /**
- * The configuration as one process has applied it: grows by records or by a whole state from
- * a snapshot or a peer, and never goes back. Pure.
+ * Configuration that one process has applied. It advances by records, or by a whole state from a
+ * snapshot or a peer, and never returns to an older offset. It is pure.
  *
  * @module
  */
@@ -13,26 +13,26 @@
 } from "./config_fold.ts";
 import type { LogRecord } from "./log_port.ts";
 
-/** Guards of the view; the proofs switch them off one at a time. */
+/** Safety rules of the view. The proofs disable them one at a time. */
 export const CONFIG_VIEW_GUARDS = ["neverLowerOffset"] as const;
 /** Name of a guard. */
 export type ConfigViewGuard = typeof CONFIG_VIEW_GUARDS[number];
 
 /** Options of {@linkcode ConfigView}. */
 export interface ConfigViewOptions extends ConfigFoldOptions {
-  /** Records kept for peers that lag behind. */
+  /** Maximum number of recent records that are kept for peers that lag behind. */
   readonly maxRecentRecords?: number;
   readonly disabledViewGuards?: ReadonlySet<ConfigViewGuard>;
 }
 
-/** What a peer that asks from an offset is given. */
+/** Reply to a peer that requests the configuration from an offset on. */
 export type ConfigUpdate =
   | { readonly kind: "records"; readonly records: readonly LogRecord[] }
   | { readonly kind: "state"; readonly state: ConfigState };
 
 const DEFAULT_MAX_RECENT_RECORDS = 1000;
 
-/** Applied configuration. */
+/** The applied configuration and the records that led to it. */
 export class ConfigView {
   readonly #options: ConfigViewOptions;
   #state: ConfigState = EMPTY_CONFIG_STATE;
@@ -46,7 +46,7 @@
     return this.#state;
   }
 
-  /** Applies the records that follow the present state; returns whether any did. */
+  /** Applies the records that follow the current state. Returns whether the state changed. */
   applyRecords(records: readonly LogRecord[]): boolean {
     const before = this.#state.offset;
     for (const record of records) {
@@ -55,14 +55,14 @@
     return this.#state.offset > before;
   }
 
-  /** Takes a whole state where it is newer; returns whether it was. */
+  /** Loads a whole state if it is newer. Returns whether it was loaded. */
   loadState(state: ConfigState): boolean {
-    const newer = state.offset > this.#state.offset;
+    const isNewer = state.offset > this.#state.offset;
     if (this.#options.disabledViewGuards?.has("neverLowerOffset")) {
       this.#state = state;
       return true;
     }
-    if (!newer) return false;
+    if (!isNewer) return false;
     const before = this.#state.offset;
     this.#state = state;
     this.#recentRecords = [];
@@ -74,13 +74,14 @@
     return true;
   }
 
-  /** What a peer needs that wants to go on from offset `from`. */
+  /** Builds the update for a peer that continues at offset `from`. */
   buildUpdate(from: number): ConfigUpdate {
-    const first = this.#recentRecords[0]?.offset ?? this.#state.offset + 1;
-    if (from < first) return { kind: "state", state: this.#state };
+    const oldestOffset = this.#recentRecords[0]?.offset ??
+      this.#state.offset + 1;
+    if (from < oldestOffset) return { kind: "state", state: this.#state };
     return {
       kind: "records",
-      records: this.#recentRecords.slice(from - first),
+      records: this.#recentRecords.slice(from - oldestOffset),
     };
   }
 
--- a/packages/heatherarch-log/http_log.ts
+++ b/packages/heatherarch-log/http_log.ts
@@ -1,5 +1,5 @@
 /**
- * Adapter to the platform's log over HTTP.
+ * Client of the platform's log over HTTP.
  *
  * @module
  */
@@ -23,13 +23,13 @@
 
 /** Options of {@linkcode HttpLog}. */
 export interface HttpLogOptions {
-  /** Base URL without a trailing slash. */
+  /** Base URL. A trailing slash is removed. */
   readonly url: string;
-  /** Longest wait for an answer, besides the wait that a read asks for. */
+  /** Timeout of a call, milliseconds. The wait that a read requests is added to it. */
   readonly timeoutMs?: number;
 }
 
-/** The platform's log behind `POST /streams/NAME` and `GET /streams/NAME?from=N`. */
+/** Client of the platform's log: `POST /streams/NAME` and `GET /streams/NAME?from=N`. */
 export class HttpLog implements LogPort {
   readonly #url: string;
   readonly #timeoutMs: number;
@@ -42,15 +42,15 @@
 
   async append(stream: string, data: unknown): Promise<number> {
     const body = JSON.stringify({ data });
-    const answer = await this.#call(
+    const response = await this.#call(
       `/streams/${stream}`,
       "POST",
       this.#timeoutMs,
       { body },
     );
-    const parsed = APPEND_RESPONSE.safeParse(answer);
+    const parsed = APPEND_RESPONSE.safeParse(response);
     if (!parsed.success) {
-      throw new LogUnavailableError("unreadable answer to an append");
+      throw new LogUnavailableError("invalid response to an append");
     }
     return parsed.data.offset;
   }
@@ -63,17 +63,17 @@
     const { maxRecords = 1000, waitMs = 0, signal } = options;
     const path =
       `/streams/${stream}?from=${from}&max=${maxRecords}&waitMs=${waitMs}`;
-    const answer = await this.#call(path, "GET", this.#timeoutMs + waitMs, {
+    const response = await this.#call(path, "GET", this.#timeoutMs + waitMs, {
       signal,
     });
-    const parsed = READ_RESPONSE.safeParse(answer);
+    const parsed = READ_RESPONSE.safeParse(response);
     if (!parsed.success) {
-      throw new LogUnavailableError("unreadable answer to a read");
+      throw new LogUnavailableError("invalid response to a read");
     }
     return parsed.data as LogSlice;
   }
 
-  /** Closes the connections. */
+  /** Closes all connections. */
   async close(): Promise<void> {
     await this.#agent.destroy();
   }
@@ -90,16 +90,16 @@
       : timeout;
     const agent = this.#agent;
     try {
-      const answer = await request(this.#url + path, {
+      const response = await request(this.#url + path, {
         method,
         body: options.body,
         headers: options.body ? { "content-type": "application/json" } : {},
         dispatcher: agent,
         signal,
       });
-      const body = await answer.body.json();
-      if (answer.statusCode === 200) return body;
-      throw new LogUnavailableError(`status ${answer.statusCode}`);
+      const body = await response.body.json();
+      if (response.statusCode === 200) return body;
+      throw new LogUnavailableError(`status ${response.statusCode}`);
     } catch (error) {
       if (error instanceof LogUnavailableError) throw error;
       if (timeout.aborted) this.#replaceAgent(agent);
@@ -107,7 +107,7 @@
     }
   }
 
-  /** Idle connections may have gone silent with the one on which a call timed out. */
+  /** Replaces all connections after a timeout, since idle ones may be unresponsive as well. */
   #replaceAgent(agent: Agent): void {
     if (agent !== this.#agent) return;
     this.#agent = createAgent();
--- a/packages/heatherarch-log/log_port.ts
+++ b/packages/heatherarch-log/log_port.ts
@@ -1,23 +1,23 @@
 /**
- * The narrow interface towards the platform's append-only log.
+ * Interface to the platform's append-only log.
  *
  * @module
  */
 
-/** A record as the log keeps it. */
+/** A record as the log stores it. */
 export interface LogRecord {
   /** Position in the stream, from 0, without gaps. */
   readonly offset: number;
-  /** The log's own time of the append, milliseconds since the Unix epoch. */
+  /** Time of the append by the clock of the log, milliseconds since the Unix epoch. */
   readonly appendedAtMs: number;
-  /** The record's content. */
+  /** Content of the record. */
   readonly data: unknown;
 }
 
-/** Answer to a read. */
+/** Result of a read. */
 export interface LogSlice {
   readonly records: readonly LogRecord[];
-  /** Offset of the oldest record still kept. */
+  /** Offset of the oldest record that the log keeps. */
   readonly first: number;
   /** Offset that the next append will get. */
   readonly next: number;
@@ -26,12 +26,12 @@
 /** Options of a read. */
 export interface ReadOptions {
   readonly maxRecords?: number;
-  /** How long the log may wait for a record when there is none, milliseconds. */
+  /** Time for which the log may wait for a record if there is none, milliseconds. */
   readonly waitMs?: number;
   readonly signal?: AbortSignal;
 }
 
-/** The log could not be asked, or its answer was lost. The call may have taken effect. */
+/** The log is unreachable, or its response was lost. The call may have taken effect. */
 export class LogUnavailableError extends Error {
   constructor(detail: string, cause?: unknown) {
     super(`platform log: ${detail}`, { cause });
@@ -44,8 +44,8 @@
   /** Appends one record and returns its offset. Throws {@linkcode LogUnavailableError}. */
   append(stream: string, data: unknown): Promise<number>;
   /**
-   * Reads from `from` on. Where `from` has been trimmed the slice starts at `first`, so a
-   * caller must compare offsets. Throws {@linkcode LogUnavailableError}.
+   * Reads the records from offset `from` on. If `from` is already trimmed, the slice starts at
+   * `first`, so the caller must compare offsets. Throws {@linkcode LogUnavailableError}.
    */
   read(stream: string, from: number, options?: ReadOptions): Promise<LogSlice>;
 }
--- a/packages/heatherarch-log/log_writer.ts
+++ b/packages/heatherarch-log/log_writer.ts
@@ -1,22 +1,22 @@
 /**
- * Appends that survive lost answers: every record carries an id, and after an uncertain
- * append the stream is read forward for that id before the record is appended again.
+ * Idempotent appends. Each record carries an id. If the response to an append is lost, the stream
+ * is searched for that id before the record is appended again.
  *
  * @module
  */
 import { sleep } from "heatherarch-core";
 import { type LogPort, LogUnavailableError } from "./log_port.ts";
 
-/** A record content with its idempotency id. */
+/** Content of a record with the id that makes its append idempotent. */
 export interface IdentifiedRecord {
   readonly id: string;
 }
 
 /** Options of {@linkcode appendOnce}. */
 export interface AppendOnceOptions {
-  /** Offset from which the record may stand: the writer's applied offset before it appended. */
+  /** First offset that the record can have: the writer's applied offset before the append. */
   readonly searchFrom: number;
-  /** Total time to try, milliseconds. */
+  /** Total time for all attempts, milliseconds. */
   readonly timeoutMs: number;
   readonly retryMs?: number;
   readonly readMonotonicMs: () => number;
@@ -26,8 +26,8 @@
 const SEARCH_PAGE_SIZE = 1000;
 
 /**
- * Appends `record` so that readers see it once, and returns its offset. Readers must still
- * drop a repeated id: an append whose answer was lost may surface after the search.
+ * Appends `record` once and returns its offset. Readers must still drop a repeated id, since an
+ * append whose response was lost may reach the stream after the search.
  */
 export async function appendOnce(
   log: LogPort,
@@ -58,7 +58,7 @@
   }
 }
 
-/** Reads forward from `from` for the record with `id`. */
+/** Searches the stream from offset `from` on for the record with `id`, and returns its offset. */
 export async function findRecord(
   log: LogPort,
   stream: string,
--- a/packages/heatherarch-log/mod.ts
+++ b/packages/heatherarch-log/mod.ts
@@ -1,6 +1,6 @@
 /**
- * The platform's log as the system uses it: port, HTTP adapter, idempotent writer, gap-free
- * reader, and the fold of the configuration stream.
+ * Access to the platform's log: its interface, the HTTP client, idempotent appends, reads without
+ * gaps, and the fold of the configuration stream.
  *
  * @module
  */
--- a/packages/heatherarch-log/stream_reader.ts
+++ b/packages/heatherarch-log/stream_reader.ts
@@ -1,12 +1,12 @@
 /**
- * A position in a stream that moves without gaps. Feeding it slices tells what may be
- * applied, and whether records were trimmed before they were read.
+ * Reads of a stream without gaps. A slice is checked for the records that a reader may apply, and
+ * for records that were trimmed before they were read.
  *
  * @module
  */
 import type { LogPort, LogRecord, LogSlice } from "./log_port.ts";
 
-/** What a slice means to a reader. */
+/** Meaning of a slice for a reader: records to apply, or a gap. */
 export type SliceVerdict =
   | {
     readonly kind: "apply";
@@ -15,7 +15,7 @@
   }
   | { readonly kind: "gap"; readonly first: number };
 
-/** Judges `slice` for a reader whose next offset is `wanted`. */
+/** Classifies `slice` for a reader whose next offset is `wanted`. */
 export function classifySlice(wanted: number, slice: LogSlice): SliceVerdict {
   if (wanted < slice.first) return { kind: "gap", first: slice.first };
   const records: LogRecord[] = [];
@@ -31,7 +31,7 @@
 
 const READ_PAGE_SIZE = 500;
 
-/** Reads every record that the log still keeps of a stream. */
+/** Reads all records of a stream that the log keeps. */
 export async function readWholeStream(
   log: LogPort,
   stream: string,
--- a/packages/heatherarch-log/tests/unit/http_log_test.ts
+++ b/packages/heatherarch-log/tests/unit/http_log_test.ts
@@ -7,12 +7,12 @@
 const TIMEOUT_MS = 100;
 const CONNECTIONS = 3;
 
-const undo: (() => unknown)[] = [];
+const cleanups: (() => unknown)[] = [];
 afterEach(async () => {
-  for (const step of undo.splice(0)) await step();
+  for (const cleanup of cleanups.splice(0)) await cleanup();
 });
 
-/** A log whose open connections can go silent for good. */
+/** Starts a log whose open connections can become unresponsive for good. */
 async function startLog(): Promise<{ log: HttpLog; silence: () => void }> {
   const open = new Set<Socket>();
   const silent = new WeakSet<Socket>();
@@ -27,7 +27,7 @@
     url: `http://127.0.0.1:${port}`,
     timeoutMs: TIMEOUT_MS,
   });
-  undo.push(
+  cleanups.push(
     () => log.close(),
     () => server.closeAllConnections(),
     () => server.close(),
@@ -40,8 +40,9 @@
   };
 }
 
-// Idle connections that had gone silent together were tried one timeout after another.
-test("a read after a timeout takes a new connection", async () => {
+// All idle connections became unresponsive together. Each one was then tried in turn, and each try
+// took a whole timeout.
+test("a read after a timeout uses a new connection", async () => {
   const { log, silence } = await startLog();
   const reads = Array.from({ length: CONNECTIONS }, () => log.read("s", 0));
   await Promise.all(reads);
--- a/packages/heatherarch-log/tests/unit/log_test.ts
+++ b/packages/heatherarch-log/tests/unit/log_test.ts
@@ -12,7 +12,7 @@
   LogUnavailableError,
 } from "../../mod.ts";
 
-/** A log whose first appends take effect and lose their answer. */
+/** Creates a log whose first appends take effect but lose their response. */
 function createLossyLog(losses: number): LogPort & { records: LogRecord[] } {
   const records: LogRecord[] = [];
   let left = losses;
@@ -46,7 +46,7 @@
   };
 }
 
-test("an append whose answer was lost is found, not repeated", async () => {
+test("an append whose response was lost is found and not repeated", async () => {
   const log = createLossyLog(1);
   const offset = await appendOnce(log, "s", { id: "x" }, {
     searchFrom: 0,
@@ -58,13 +58,13 @@
   assert.equal(log.records.length, 1);
 });
 
-test("a slice that starts after the wanted offset is a gap, never skipped", () => {
+test("a slice that starts after the wanted offset is a gap", () => {
   const slice = { records: [buildChange(5, "a", -1)], first: 5, next: 6 };
   assert.deepEqual(classifySlice(3, slice), { kind: "gap", first: 5 });
   assert.equal(classifySlice(5, slice).kind, "apply");
 });
 
-test("garbage and unknown formats move the offset and change nothing", () => {
+test("invalid records and unknown formats advance the offset and change nothing else", () => {
   let state = EMPTY_CONFIG_STATE;
   for (
     const data of [null, 7, { type: "change", format: 99 }, { type: "what" }]
@@ -79,7 +79,7 @@
   assert.deepEqual(state.audit, []);
 });
 
-test("the loser of a race is told by whom and by what", () => {
+test("the rejection of a stale change names the author and the change that came first", () => {
   let state = applyConfigRecord(
     EMPTY_CONFIG_STATE,
     buildChange(0, "first", -1),
@@ -92,6 +92,6 @@
   assert.match(state.audit[1].reason ?? "", /by a \(put profile p\)/);
 });
 
-test("no state is made up where no snapshot bridges the trimmed part", () => {
+test("there is no state if no snapshot covers the trimmed records", () => {
   assert.equal(loadConfigSnapshot([buildChange(7, "x", -1)]), undefined);
 });
--- a/packages/heatherarch-log/vm_list.ts
+++ b/packages/heatherarch-log/vm_list.ts
@@ -1,5 +1,6 @@
 /**
- * Port and adapter to the platform's list of VMs. The list lags, so it is only a hint.
+ * Interface to the platform's list of VMs, and its HTTP client. The list lags, so it is only a
+ * hint.
  *
  * @module
  */
@@ -17,7 +18,7 @@
   })),
 });
 
-/** One line of the list. */
+/** One VM of the list. */
 export type ListedVm = z.infer<typeof VM_LIST>["vms"][number];
 
 /** The platform's list of live and leaving VMs. */
@@ -25,7 +26,7 @@
   readVms(): Promise<readonly ListedVm[]>;
 }
 
-/** The list behind one HTTP URL. */
+/** Client of a list that one URL serves. */
 export class HttpVmList implements VmListPort {
   readonly #url: string;
   readonly #timeoutMs: number;
@@ -37,8 +38,8 @@
 
   async readVms(): Promise<readonly ListedVm[]> {
     const signal = AbortSignal.timeout(this.#timeoutMs);
-    const answer = await request(this.#url, { signal });
-    const body = await answer.body.json();
+    const response = await request(this.#url, { signal });
+    const body = await response.body.json();
     return VM_LIST.parse(body).vms;
   }
 }
