--- a/packages/heatherarch-core/clock.ts
+++ b/packages/heatherarch-core/clock.ts
@@ -1,19 +1,19 @@
 /**
- * The one place where the program reads time. Tests that use the paused clock of `node:test`
- * replace the monotonic source here, since that clock does not cover `performance.now`.
+ * Clocks. All code reads the time through this module. Tests that use the mock timers of
+ * `node:test` replace the monotonic clock, since mock timers do not cover `performance.now`.
  *
  * @module
  */
 
-/** Source of time. All values are milliseconds. */
+/** Clock. All values are in milliseconds. */
 export interface Clock {
-  /** Wall clock, milliseconds since the Unix epoch. It may jump. */
+  /** Reads the wall clock, milliseconds since the Unix epoch. It may jump. */
   readWallMs(): number;
-  /** Monotonic clock, milliseconds from an arbitrary origin. It never goes back. */
+  /** Reads the monotonic clock, milliseconds from an arbitrary origin. It never goes back. */
   readMonotonicMs(): number;
 }
 
-/** The runtime's own clocks. */
+/** Clock of the JavaScript runtime. */
 export class RuntimeClock implements Clock {
   readWallMs(): number {
     return Date.now();
@@ -24,7 +24,7 @@
   }
 }
 
-/** A clock that only moves when told to; wall and monotonic time move apart on request. */
+/** Clock for tests. It only advances on request, and its wall clock can jump separately. */
 export class ManualClock implements Clock {
   #monotonicMs = 0;
   #wallOffsetMs: number;
@@ -41,18 +41,18 @@
     return this.#monotonicMs;
   }
 
-  /** Moves both clocks forward by `ms`. */
+  /** Advances both clocks by `ms`. */
   advance(ms: number): void {
     this.#monotonicMs += ms;
   }
 
-  /** Moves only the wall clock, either way. */
+  /** Moves only the wall clock, forward or back. */
   jumpWall(ms: number): void {
     this.#wallOffsetMs += ms;
   }
 }
 
-/** Resolves after `ms` milliseconds of the runtime's timers. */
+/** Resolves after `ms` milliseconds. Uses the timers of the runtime. */
 export function sleep(ms: number): Promise<void> {
   return new Promise((resolve) => setTimeout(resolve, ms));
 }
--- a/packages/heatherarch-core/errors.ts
+++ b/packages/heatherarch-core/errors.ts
@@ -1,21 +1,21 @@
 /**
- * The closed list of error kinds and the answer that each one gives to a caller.
+ * The closed list of error kinds and the response of each to a client.
  *
  * @module
  */
 
-/** Whether the request that failed was run by a target. `"no"` is a promise. */
+/** Whether a target ran the request that failed. `"no"` guarantees that none did. */
 export type RunState = "no" | "unknown";
 
-/** What a kind of error means to the caller. */
+/** Response to the client for a kind of error. */
 export interface ErrorResponse {
   /** HTTP status. */
   readonly status: number;
-  /** The strongest statement that the kind alone allows. */
+  /** The strongest guarantee that follows from the kind alone. */
   readonly run: RunState;
   /** Whether the same request may succeed later. */
   readonly retry: boolean;
-  /** `Retry-After` when nothing better is known, milliseconds; 0 for none. */
+  /** Default for `Retry-After`, milliseconds; 0 for none. */
   readonly retryAfterMs: number;
 }
 
@@ -76,26 +76,26 @@
   },
 } as const satisfies Record<string, ErrorResponse>;
 
-/** Every kind of error the system can answer with. */
+/** Every kind of error that the system responds with. */
 export type ErrorKind = keyof typeof RESPONSES;
 
-/** The table from error kind to answer. */
+/** Responses by error kind. */
 export const ERROR_RESPONSES: Readonly<Record<ErrorKind, ErrorResponse>> =
   RESPONSES;
 
-/** All kinds, in the order of the table. */
+/** All error kinds, in the order of the table. */
 export const ERROR_KINDS = Object.keys(RESPONSES) as readonly ErrorKind[];
 
-/** Optional parts of a {@linkcode ServeError}. */
+/** Options of {@linkcode ServeError}. */
 export interface ServeErrorOptions {
-  /** Overrides the table where the caller of the constructor has proof. */
+  /** Overrides the value of the table if the thrower knows whether the request ran. */
   readonly run?: RunState;
-  /** Overrides the table's `Retry-After`, milliseconds. */
+  /** Overrides the `Retry-After` of the table, milliseconds. */
   readonly retryAfterMs?: number;
   readonly cause?: unknown;
 }
 
-/** An error with a kind from the closed list. */
+/** An error of a kind from the closed list. */
 export class ServeError extends Error {
   readonly kind: ErrorKind;
   readonly run: RunState;
@@ -119,21 +119,21 @@
   }
 }
 
-/** The JSON shape of every error answer. */
+/** JSON body of every error response. */
 export interface ErrorBody {
   readonly error: {
     readonly kind: ErrorKind;
-    /** Same as `kind`; the field that stock OpenAI clients read. */
+    /** Same as `kind`. Standard OpenAI clients read this field. */
     readonly type: ErrorKind;
     readonly message: string;
     readonly run: RunState;
-    /** Seconds, or null where a retry does not help. */
+    /** Time until a retry, seconds; null if a retry does not help. */
     readonly retryAfter: number | null;
     readonly requestId: string;
   };
 }
 
-/** Builds the JSON body that answers `error`. */
+/** Builds the JSON body of the response to `error`. */
 export function buildErrorBody(
   error: ServeError,
   requestId: string,
@@ -153,7 +153,7 @@
   };
 }
 
-/** Wraps anything thrown into a {@linkcode ServeError}; kinds other than ours become `internal`. */
+/** Converts a thrown value to a {@linkcode ServeError}. Other errors become `internal`. */
 export function toServeError(thrown: unknown): ServeError {
   if (thrown instanceof ServeError) return thrown;
   const message = thrown instanceof Error ? thrown.message : String(thrown);
--- a/packages/heatherarch-core/hash.ts
+++ b/packages/heatherarch-core/hash.ts
@@ -1,5 +1,5 @@
 /**
- * Non-cryptographic hashing and rendezvous (highest random weight) placement.
+ * Non-cryptographic hashing and rendezvous hashing (highest random weight).
  *
  * @module
  */
@@ -7,7 +7,7 @@
 const FNV_OFFSET = 0x811c9dc5;
 const FNV_PRIME = 0x01000193;
 
-/** 32-bit FNV-1a of `text`, continued from `seed` so that hashes can be chained. */
+/** Computes the 32-bit FNV-1a hash of `text`. It starts from `seed`, so hashes can be chained. */
 export function hashText(text: string, seed = FNV_OFFSET): number {
   let hash = seed;
   for (let i = 0; i < text.length; i++) {
@@ -17,7 +17,7 @@
   return hash >>> 0;
 }
 
-/** Finishes a hash so that nearby inputs differ in all bits (murmur3 finaliser). */
+/** Applies the murmur3 finalizer, so that similar inputs differ in all bits. */
 export function mixHash(hash: number): number {
   let h = hash;
   h ^= h >>> 16;
@@ -28,12 +28,12 @@
   return h >>> 0;
 }
 
-/** Weight of `member` for `key`, both combined into one 32-bit value. */
+/** Computes the 32-bit weight of `member` for `key`. */
 export function computeRendezvousWeight(key: string, member: string): number {
   return mixHash(hashText(member, hashText(key)));
 }
 
-/** The `count` members with the highest weight for `key`, best first. */
+/** Returns the `count` members with the highest weights for `key`, in descending order. */
 export function pickRendezvous(
   key: string,
   members: readonly string[],
--- a/packages/heatherarch-core/ids.ts
+++ b/packages/heatherarch-core/ids.ts
@@ -1,5 +1,5 @@
 /**
- * Identifiers. All of them are opaque strings that are unique across restarts.
+ * Identifiers: opaque strings that are unique across restarts.
  *
  * @module
  */
--- a/packages/heatherarch-core/invariant.ts
+++ b/packages/heatherarch-core/invariant.ts
@@ -1,11 +1,11 @@
 /**
- * Invariants that hold in every run. A violation is counted and thrown, and stops only the
- * operation concerned.
+ * Invariants that are checked in every run. A violation is passed to the listeners, which count it,
+ * and thrown. It ends only the operation that caused it.
  *
  * @module
  */
 
-/** A promise of the program to itself was broken. */
+/** An invariant was violated. */
 export class InvariantError extends Error {
   readonly invariant: string;
 
@@ -21,7 +21,7 @@
 
 const listeners = new Set<ViolationListener>();
 
-/** Registers a listener for violations and returns its undo. */
+/** Registers a listener for violations. Returns its removal. */
 export function registerViolationListener(
   listener: ViolationListener,
 ): () => void {
--- a/packages/heatherarch-core/mod.ts
+++ b/packages/heatherarch-core/mod.ts
@@ -1,5 +1,5 @@
 /**
- * Shared vocabulary of all heatherarch packages.
+ * Types and utilities that all heatherarch packages share.
  *
  * @module
  */
--- a/packages/heatherarch-core/result.ts
+++ b/packages/heatherarch-core/result.ts
@@ -1,6 +1,6 @@
 /**
- * `ts-results` is a CommonJS package beside a module build; this module gives its constructors
- * named exports whichever of the two is loaded.
+ * Named exports of the constructors of `ts-results`. That package has a CommonJS and an ES module
+ * build, and this module works with either.
  *
  * @module
  */
@@ -11,10 +11,10 @@
 const { default: wrapped } = library as unknown as { default?: Constructors };
 const constructors: Constructors = wrapped ?? library;
 
-/** Success or failure as a value. */
+/** A success or a failure as a value. */
 export type Result<T, E> = LibraryResult<T, E>;
 
-/** Wraps a success. */
+/** Creates a success. */
 export const Ok = constructors.Ok;
-/** Wraps a failure. */
+/** Creates a failure. */
 export const Err = constructors.Err;
--- a/packages/heatherarch-core/task.ts
+++ b/packages/heatherarch-core/task.ts
@@ -1,13 +1,13 @@
 /**
- * Tasks: each owns its state and its sockets, and others reach it only through messages.
+ * Tasks: each task owns its state and its sockets, and other code reaches it only by messages.
  *
  * @module
  */
 
-/** Called with what a handler threw. */
+/** Called with the value that a message handler threw. */
 export type TaskErrorListener = (task: string, error: unknown) => void;
 
-/** A task that handles its messages one at a time, in the order they were posted. */
+/** A task that handles its messages one at a time, in the order in which they were posted. */
 export abstract class Task<Message> {
   readonly taskName: string;
   readonly #queue: Message[] = [];
@@ -20,14 +20,14 @@
     this.#onError = onError;
   }
 
-  /** Adds a message to the queue. Messages to a stopped task are dropped. */
+  /** Adds a message to the queue. A message to a stopped task is dropped. */
   post(message: Message): void {
     if (this.#stopped) return;
     this.#queue.push(message);
     if (!this.#running) void this.#drain();
   }
 
-  /** Drops what is queued and takes no further message. */
+  /** Drops the queued messages and accepts no further ones. */
   stopTask(): void {
     this.#stopped = true;
     this.#queue.length = 0;
@@ -37,7 +37,7 @@
     return this.#stopped;
   }
 
-  /** Handles one message; the next one waits until the returned promise settles. */
+  /** Handles one message. The next one waits until the returned promise settles. */
   protected abstract handle(message: Message): void | Promise<void>;
 
   async #drain(): Promise<void> {
--- a/packages/heatherarch-core/tests/unit/errors_test.ts
+++ b/packages/heatherarch-core/tests/unit/errors_test.ts
@@ -8,16 +8,16 @@
   toServeError,
 } from "../../mod.ts";
 
-test("every error kind has a status of its class and a sane retry time", () => {
+test("every error kind has an HTTP error status, and a retry time if a retry may succeed", () => {
   for (const kind of ERROR_KINDS) {
-    const answer = ERROR_RESPONSES[kind];
-    assert.ok(answer.status >= 400 && answer.status < 600, kind);
-    assert.ok(answer.retryAfterMs >= 0, kind);
-    if (answer.retry) assert.ok(answer.retryAfterMs > 0, kind);
+    const response = ERROR_RESPONSES[kind];
+    assert.ok(response.status >= 400 && response.status < 600, kind);
+    assert.ok(response.retryAfterMs >= 0, kind);
+    if (response.retry) assert.ok(response.retryAfterMs > 0, kind);
   }
 });
 
-test("an error body carries kind, run, retryAfter and the request id", () => {
+test("an error body contains kind, run, retryAfter and the request id", () => {
   const error = new ServeError("overloaded", "full", { retryAfterMs: 250 });
   const { error: body } = buildErrorBody(error, "req-1");
   assert.deepEqual(body, {
@@ -30,7 +30,7 @@
   });
 });
 
-test("anything thrown becomes internal, and never says that nothing ran", () => {
+test("any other thrown value becomes internal, and does not claim that nothing ran", () => {
   const error = toServeError(new TypeError("x"));
   assert.equal(error.kind, "internal");
   assert.equal(error.run, "unknown");
--- a/packages/heatherarch-core/tokens.ts
+++ b/packages/heatherarch-core/tokens.ts
@@ -1,12 +1,12 @@
 /**
- * Estimates of token counts, used where an engine has not reported its own.
+ * Estimates of token counts for requests whose count the engine has not reported.
  *
  * @module
  */
 
 const CHARACTERS_PER_TOKEN = 4;
 
-/** Estimated number of prompt tokens in `text`. */
+/** Estimates the number of prompt tokens in `text`. */
 export function estimateTokens(text: string): number {
   return Math.ceil(text.length / CHARACTERS_PER_TOKEN);
 }
--- a/packages/heatherarch-core/types.ts
+++ b/packages/heatherarch-core/types.ts
@@ -4,7 +4,7 @@
  * @module
  */
 
-/** What an engine is set up to do best. */
+/** Role for which an engine is configured. */
 export type EngineRole = "prefill" | "decode" | "mixed";
 
 /** All engine roles. */
@@ -14,10 +14,10 @@
   "mixed",
 ];
 
-/** What an operator has asked of a target. `active` is the normal state. */
+/** State that an operator has set for a target. `active` is the normal state. */
 export type TargetDirective = "active" | "draining" | "replacing" | "withdrawn";
 
-/** An order given to an engine. */
+/** An order to an engine. */
 export type EngineOrder =
   | { readonly kind: "setRole"; readonly role: EngineRole }
   | {
@@ -29,28 +29,28 @@
 /** Address of a TCP endpoint, `ip:port`. */
 export type Address = string;
 
-/** State of an engine in the system's own terms, whatever dialect reported it. */
+/** State of an engine, independent of the dialect in which the engine reported it. */
 export interface EngineState {
   readonly role: EngineRole;
   readonly model: string;
   readonly version: string;
-  /** An order is being carried out; the engine takes no work. */
+  /** Whether the engine carries out an order. It then accepts no requests. */
   readonly busyWithOrder: boolean;
-  /** The engine itself says that it is leaving. */
+  /** Whether the engine reports that it is leaving. */
   readonly leaving: boolean;
-  /** Requests in the running batch. */
+  /** Number of requests in the running batch. */
   readonly running: number;
-  /** Requests waiting for a place in the batch. */
+  /** Number of requests that wait for a slot in the batch. */
   readonly waiting: number;
-  /** Prompt tokens not yet prefilled, over all its requests. */
+  /** Prompt tokens of all its requests that are not prefilled yet. */
   readonly pendingPrefillTokens: number;
-  /** Highest fencing number it has obeyed; 0 for engines that ignore them. */
+  /** Highest fencing token that the engine has accepted; 0 for an engine that ignores them. */
   readonly fencing: number;
   /** Share of the KV cache in use, 0 to 1. */
   readonly kvUsed: number;
 }
 
-/** Load of a plain service's target. */
+/** State of a target of a plain service. */
 export interface ServiceState {
   readonly running: number;
   readonly leaving: boolean;
