--- a/packages/heatherarch-settings/fleet.ts
+++ b/packages/heatherarch-settings/fleet.ts
@@ -1,5 +1,6 @@
 /**
- * The fleet configuration: zones, services, targets and accounts, as operators publish it.
+ * Fleet configuration that operators publish: availability zones, services, targets and client
+ * accounts.
  *
  * @module
  */
@@ -16,14 +17,14 @@
   "must be ip:port",
 );
 
-/** Engine dialects that ship with the product. */
+/** Engine dialects that are supported. */
 export const ENGINE_DIALECTS = ["sse", "ndjson"] as const;
 /** Name of an engine dialect. */
 export type EngineDialect = typeof ENGINE_DIALECTS[number];
 
-/** How fast the engines of a service are, as a start for what is learned from answers. */
+/** Initial speed estimates for the engines of a service. They are refined by the responses. */
 const SPEEDS = z.strictObject({
-  /** Time of a step with an empty batch, milliseconds. */
+  /** Duration of a step with an empty batch, milliseconds. */
   stepMs: z.number().min(0.01).max(10_000).default(12),
   decodeMsPerSequence: z.number().min(0).max(1000).default(0.15),
   prefillTokensPerSecond: z.number().min(1).max(1e7).default(8000),
@@ -33,9 +34,9 @@
 const MODEL_SERVICE = z.strictObject({
   name: NAME,
   kind: z.literal("model"),
-  /** Model names that callers may ask for. */
+  /** Model names that clients may request. */
   models: z.array(z.string().min(1)).min(1),
-  /** Version that the engines should have loaded. */
+  /** Model version that the engines should load. */
   version: z.string().min(1).default("1"),
   speeds: SPEEDS.prefault({}),
 });
@@ -43,13 +44,13 @@
 const PLAIN_SERVICE = z.strictObject({
   name: NAME,
   kind: z.literal("plain"),
-  /** Methods that may be sent again after an uncertain failure. */
+  /** HTTP methods that may be retried after a failure with an unknown outcome. */
   idempotentMethods: z.array(z.string()).default(["GET", "HEAD", "OPTIONS"]),
-  /** Other methods must carry an idempotency key. */
+  /** Whether requests with other methods must have an idempotency key. */
   keyRequired: z.boolean().default(false),
-  /** The service itself deduplicates keys, so a call may be passed on during an outage. */
+  /** Whether the service deduplicates keys itself. Calls are then forwarded during a log outage. */
   honoursKey: z.boolean().default(false),
-  /** The service returns the `x-try-id` of a call; an answer without it is then refused. */
+  /** Whether the service returns the `x-try-id` of a call. Responses without it are rejected. */
   echoesTryId: z.boolean().default(false),
 });
 
@@ -59,16 +60,16 @@
   availabilityZone: NAME,
   address: ADDRESS,
   dialect: z.enum(ENGINE_DIALECTS).default("sse"),
-  /** The engine refuses an order whose fencing number is lower than one it has obeyed. */
+  /** Whether the engine rejects an order whose fencing token is lower than one it has accepted. */
   checksFencing: z.boolean().default(true),
   role: z.enum(["prefill", "decode", "mixed"]).default("mixed"),
-  /** Requests that it takes at once. */
+  /** Maximum number of concurrent requests. */
   maxConcurrent: z.int().min(1).max(100_000).default(64),
 });
 
 const ACCOUNT = z.strictObject({
   name: NAME,
-  /** SHA-256 of the bearer token in hex; an account without one is open to all. */
+  /** SHA-256 of the bearer token in hex. An account without it is open to everyone. */
   tokenSha256: z.string().regex(/^[0-9a-f]{64}$/).optional(),
   requestsPerSecond: z.number().min(0.01).max(1e6).default(100),
   burst: z.int().min(1).max(1e6).default(200),
@@ -79,11 +80,11 @@
 const PLANNING = z.strictObject({
   policy: z.enum(["none", "greedy", "horizon"]).default("horizon"),
   intervalMs: z.int().min(50).max(600_000).default(2000),
-  /** How long a demand is expected to last when a role change is weighed. */
+  /** Time for which the demand is assumed to last when the cost of a role change is considered. */
   horizonMs: z.int().min(100).max(3_600_000).default(60_000),
-  /** Time an engine is away for one change. */
+  /** Time for which a role change makes an engine unavailable. */
   changeMs: z.int().min(0).max(600_000).default(5000),
-  /** What a role change costs besides the time away, in multiples of that time. */
+  /** Cost of a role change besides the unavailability, in multiples of `changeMs`. */
   changeWeight: z.number().min(0).max(100).default(1),
   minimumPerRole: z.int().min(0).default(1),
 });
@@ -96,7 +97,7 @@
   ).min(1),
   targets: z.array(TARGET),
   accounts: z.array(ACCOUNT).default([]),
-  /** Requests without a known account are served under the account `anonymous`. */
+  /** Whether requests without a known account are served under the account `anonymous`. */
   allowAnonymous: z.boolean().default(true),
   planning: PLANNING.prefault({}),
 }).superRefine((fleet, context) => {
@@ -138,22 +139,22 @@
   });
 }
 
-/** A checked fleet configuration. */
+/** A validated fleet configuration. */
 export type Fleet = z.infer<typeof FLEET_SCHEMA>;
 /** One service of a fleet. */
 export type Service = Fleet["services"][number];
-/** A service answered by language-model engines. */
+/** A service that language-model engines provide. */
 export type ModelService = Extract<Service, { kind: "model" }>;
-/** A service that requests are passed through to. */
+/** A service whose requests are forwarded to its back ends. */
 export type PlainService = Extract<Service, { kind: "plain" }>;
-/** One engine or plain back end. */
+/** One engine or one back end of a plain service. */
 export type Target = Fleet["targets"][number];
 /** One client account. */
 export type Account = Fleet["accounts"][number];
-/** How roles are planned. */
+/** Options of role planning. */
 export type Planning = Fleet["planning"];
 
-/** Checks a fleet configuration and fills in defaults. */
+/** Validates a fleet configuration and sets the defaults. */
 export function parseFleet(input: unknown): Result<Fleet, InputIssue[]> {
   const parsed = FLEET_SCHEMA.safeParse(input);
   return parsed.success ? Ok(parsed.data) : Err(buildIssues(parsed.error));
--- a/packages/heatherarch-settings/forward_settings.ts
+++ b/packages/heatherarch-settings/forward_settings.ts
@@ -1,5 +1,5 @@
 /**
- * Settings of one `heatherarchd` process that forwards calls on a managed platform, from TOML.
+ * Settings in TOML of one `heatherarchd` process that forwards calls on a managed platform.
  *
  * @module
  */
@@ -16,17 +16,17 @@
   z.int().min(low).max(high).default(value);
 
 /**
- * Part of the bound after which the list is read again: two failed readings still leave time
- * for a third one.
+ * Interval between reads of the target list as a share of its bound. After two failed reads there
+ * is still time for a third one.
  */
 const POLL_SHARE = 0.35;
 
 /**
- * Part of the bound of the configuration for which a read may be held: a change may wait for a read
- * that was lost, and for the one after it.
+ * Maximum hold time of a configuration read as a share of its bound. A change may have to wait for
+ * a read that was lost and for the next one.
  */
 const CONFIG_WAIT_SHARE = 0.5;
-/** Bounds of the time for which the store holds a read, milliseconds. Reads follow each other without a pause. */
+/** Limits of the hold time of a read, milliseconds. Reads follow each other without a pause. */
 const MIN_CONFIG_WAIT_MS = 50;
 const MAX_CONFIG_WAIT_MS = 30_000;
 
@@ -38,7 +38,7 @@
   vm: z.object({
     id: z.string().min(1).max(64),
     availabilityZone: z.string().min(1).max(64),
-    /** What the VM can carry as a hub of its zone, in a unit that all VMs share. */
+    /** Capacity of the VM as a hub of its zone, in a unit that all VMs share. */
     capacity: z.number().min(0).default(1),
   }),
   listen: z.object({
@@ -49,20 +49,20 @@
   }),
   store: z.object({
     address: ADDRESS,
-    /** Longest wait for an answer, besides the wait that a read asks for. */
+    /** Timeout of a request, milliseconds. The hold time that a read requests is added to it. */
     requestTimeoutMs: buildMsSchema(50, 60_000, 1500),
-    /** Largest record that the store takes. */
+    /** Maximum size of a record in the store. */
     maxRecordBytes: z.int().min(1024).default(256 * 1024),
-    /** Time within which a change of the configuration is in force. */
+    /** Maximum time until a configuration change takes effect. */
     configBoundMs: buildMsSchema(200, 600_000, 2000),
-    /** How long a read for a newer configuration may be held back; by default half the bound. */
+    /** Hold time of a read for a newer configuration; by default half of `configBoundMs`. */
     configWaitMs: z.int().min(MIN_CONFIG_WAIT_MS).max(MAX_CONFIG_WAIT_MS)
       .optional(),
-    /** Time for which a leaving target may still get work. */
+    /** Maximum time for which a leaving target may still receive requests. */
     leavingBoundMs: buildMsSchema(100, 600_000, 2000),
-    /** Time between the writes with which a live target keeps its entry of the list. */
+    /** Interval at which a live target renews its entry in the target list. */
     targetHeartbeatMs: buildMsSchema(10, 600_000, 1200),
-    /** Pause between reads of the list of targets; by default a part of `leavingBoundMs`. */
+    /** Interval between reads of the target list; by default a share of `leavingBoundMs`. */
     targetPollMs: z.int().min(10).max(60_000).optional(),
   }).transform((store) => ({
     ...store,
@@ -76,41 +76,43 @@
   }),
   mesh: z.object({
     sharedKey: z.string().min(16, "must have 16 characters or more"),
-    /** Address that peers are told; by default the one that is listened on. */
+    /** Address that is announced to peers; by default the listen address. */
     announce: ADDRESS.optional(),
     heartbeatMs: buildMsSchema(10, 60_000, 60),
-    /** Heartbeats grow rarer with the number of links: this long for each. */
+    /** Minimum heartbeat interval per link, so that more links have less frequent heartbeats. */
     heartbeatPerLinkMs: buildMsSchema(0, 10_000, 5),
     silenceMs: buildMsSchema(50, 600_000, 1200),
     linksPerZone: z.int().min(1).max(1000).default(32),
-    /** From this many VMs on, links run over hubs: a full mesh cost 0.12 of a core at 80 VMs. */
+    /**
+     * Minimum number of VMs for links over hubs. A full mesh of 80 VMs took 0.12 of a core each.
+     */
     hubsFromVms: z.int().min(2).default(20),
     hubsPerZone: z.int().min(1).max(16).default(2),
-    /** Time between heartbeats of a hub. */
+    /** Interval between heartbeats of a hub. */
     hubHeartbeatMs: buildMsSchema(10, 60_000, 100),
-    /** Time between heartbeats of a VM that tells hubs, where it has no news. */
+    /** Interval between heartbeats of a VM that sends to hubs, while nothing changes. */
     idleHeartbeatMs: buildMsSchema(10, 60_000, 250),
   }),
   retries: z.object({
-    /** Further tries for each call, as a share. */
+    /** Retries that are allowed, as a share of the calls. */
     share: z.number().min(0).max(1).default(0.2),
-    /** Further tries in a window besides, for the whole fleet. */
+    /** Retries that are allowed in addition in each window, for the whole fleet. */
     fixedPerWindow: z.number().min(0).default(20),
     windowSeconds: z.number().min(0.1).max(600).default(10),
   }).prefault({}),
   quarantine: z.object({
-    /** Lives of targets that end under a request before it is held back. */
+    /** Number of target incarnations that crash on a request before it is quarantined. */
     maxCrashes: z.int().min(1).max(100).default(3),
-    /** Time for which it is held back at first; each further end doubles it. */
+    /** Initial quarantine time. Each further crash doubles it. */
     holdSeconds: z.number().min(1).max(86_400).default(600),
   }).prefault({}),
   lease: z.object({ durationMs: z.number().min(100).default(3000) }).prefault(
     {},
   ),
   shutdown: z.object({
-    /** Time from the request to stop until the process is killed. */
+    /** Time between the stop request and the kill of the process. */
     graceSeconds: z.number().min(0.5).max(3600).default(8),
-    /** How long the VM says that it is not ready before it takes no new connections. */
+    /** Time for which the VM reports that it is not ready before it stops to accept connections. */
     noticeMs: buildMsSchema(0, 60_000, 2800),
   }).prefault({}),
   logs: z.object({
@@ -118,10 +120,10 @@
   }).prefault({}),
 });
 
-/** Checked settings of one forwarding process. */
+/** Validated settings of one forwarding process. */
 export type ForwardSettings = z.infer<typeof FORWARD_SCHEMA>;
 
-/** Checks settings in TOML and reports every fault at once. */
+/** Parses and validates settings in TOML. All issues are reported at once. */
 export function readForwardSettings(
   text: string,
 ): Result<ForwardSettings, InputIssue[]> {
--- a/packages/heatherarch-settings/input_issue.ts
+++ b/packages/heatherarch-settings/input_issue.ts
@@ -1,18 +1,19 @@
 /**
- * Faults found in settings: all of them at once, each with its place and its reason.
+ * Issues of settings and other input documents. All issues of a document are reported at once, each
+ * with its location and reason.
  *
  * @module
  */
 import type { z } from "zod";
 
-/** One thing wrong with a document. */
+/** One issue of a document. */
 export interface InputIssue {
   /** Path into the document, for example `targets[3].address`. */
   readonly location: string;
   readonly reason: string;
 }
 
-/** Formats a path of keys and indexes. */
+/** Formats a path of keys and indexes as a location. */
 export function formatPath(path: readonly PropertyKey[]): string {
   let text = "";
   for (const part of path) {
@@ -22,7 +23,7 @@
   return text === "" ? "(document)" : text;
 }
 
-/** Turns the issues of a failed parse into faults. */
+/** Converts the issues of a failed validation. */
 export function buildIssues(error: z.ZodError): InputIssue[] {
   return error.issues.map((issue) => ({
     location: formatPath(issue.path),
@@ -30,7 +31,7 @@
   }));
 }
 
-/** Formats faults one a line. */
-export function formatIssues(faults: readonly InputIssue[]): string {
-  return faults.map((fault) => `${fault.location}: ${fault.reason}`).join("\n");
+/** Formats issues, one per line. */
+export function formatIssues(issues: readonly InputIssue[]): string {
+  return issues.map((issue) => `${issue.location}: ${issue.reason}`).join("\n");
 }
--- a/packages/heatherarch-settings/mod.ts
+++ b/packages/heatherarch-settings/mod.ts
@@ -1,5 +1,5 @@
 /**
- * Settings of one process, and the fleet configuration and profiles that operators publish.
+ * Settings of a process, and the fleet configuration and profiles that operators publish.
  *
  * @module
  */
--- a/packages/heatherarch-settings/process_settings.ts
+++ b/packages/heatherarch-settings/process_settings.ts
@@ -1,5 +1,5 @@
 /**
- * Settings of one `heatherarchd` process, from TOML.
+ * Settings in TOML of one `heatherarchd` process.
  *
  * @module
  */
@@ -18,7 +18,7 @@
 const TLS = z.strictObject({
   certificateFile: z.string(),
   privateKeyFile: z.string(),
-  /** Peers must show a certificate that this authority signed. */
+  /** Certificate authority that must have signed the certificates of peers. */
   authorityFile: z.string().optional(),
 });
 
@@ -55,14 +55,14 @@
     requestTimeoutMs: buildMsSchema(10, 60_000, 2000),
     pollWaitMs: buildMsSchema(10, 60_000, 2000),
     vmListIntervalMs: buildMsSchema(50, 600_000, 2000),
-    /** Records of a stream after which a snapshot is appended. */
+    /** Number of records of a stream after which a snapshot is appended. */
     snapshotEveryRecords: z.int().min(2).max(1_000_000).default(500),
   }),
   mesh: z.strictObject({
-    /** Shared key that peers prove to each other; empty only on loopback. */
+    /** Shared key that peers prove to each other. It may be empty only on loopback. */
     sharedKey: z.string().default(""),
     heartbeatMs: buildMsSchema(10, 60_000, 500),
-    /** Heartbeats grow rarer with the number of links: this long for each. */
+    /** Minimum heartbeat interval per link, so that more links have less frequent heartbeats. */
     heartbeatPerLinkMs: buildMsSchema(0, 10_000, 80),
     silenceMs: buildMsSchema(50, 600_000, 2500),
     maxFrameBytes: z.int().min(1024).max(64 * 1024 * 1024).default(
@@ -75,7 +75,7 @@
     durationMs: buildMsSchema(100, 600_000, 4000),
     driftMs: buildMsSchema(10, 60_000, 500),
     renewMs: buildMsSchema(20, 60_000, 1000),
-    /** How long a new holder leaves engines that ignore fencing numbers alone. */
+    /** Time for which a new holder sends no orders to engines that ignore fencing tokens. */
     settleMs: buildMsSchema(0, 600_000, 1500),
   }).prefault({}),
   claims: z.strictObject({
@@ -83,7 +83,7 @@
     batchMs: buildMsSchema(0, 1000, 5),
     maxBatch: z.int().min(1).max(10_000).default(500),
     permissionMs: buildMsSchema(50, 60_000, 2000),
-    /** How long a key is remembered after the time that it carries. */
+    /** Time for which a key is kept after the time that it carries. */
     keyWindowMs: buildMsSchema(1000, 30 * 86_400_000, 86_400_000),
     futureSkewMs: buildMsSchema(0, 3_600_000, 60_000),
   }).prefault({}),
@@ -94,47 +94,47 @@
     bodyTimeoutMs: buildMsSchema(100, 600_000, 30_000),
     maxDeadlineMs: buildMsSchema(100, 86_400_000, 3_600_000),
     connectTimeoutMs: buildMsSchema(10, 60_000, 1000),
-    /** Longest wait for the first byte of a try before it is judged silent. */
+    /** Timeout for the first byte of the response to an attempt. */
     firstByteTimeoutMs: buildMsSchema(50, 600_000, 15_000),
-    /** Longest gap between tokens of a try before it is judged silent. */
+    /** Timeout between two tokens of the response to an attempt. */
     gapTimeoutMs: buildMsSchema(50, 600_000, 5000),
     resumeWindowMs: buildMsSchema(0, 600_000, 30_000),
-    /** Retries allowed as a share of fresh requests. */
+    /** Retries that are allowed, as a share of new requests. */
     retryShare: z.number().min(0).max(1).default(0.2),
     maxTries: z.int().min(1).max(20).default(5),
-    /** Share of each target's places that only lookups may use. */
+    /** Share of each target's slots that is reserved for lookups. */
     lookupReserveShare: z.number().min(0).max(0.9).default(0.1),
-    /** Requests that may be in progress at once on this VM. */
+    /** Maximum number of requests in progress on this VM. */
     maxInFlight: z.int().min(1).max(1_000_000).default(20_000),
   }).prefault({}),
   quarantine: z.strictObject({
-    /** Lives of targets that end under a request before it is held back. */
+    /** Number of target incarnations that crash on a request before it is quarantined. */
     maxCrashes: z.int().min(1).max(100).default(3),
-    /** Time for which it is held back at first; each further end doubles it. */
+    /** Initial quarantine time. Each further crash doubles it. */
     holdSeconds: z.number().min(1).max(86_400).default(600),
   }).prefault({}),
   targets: z.strictObject({
     reportIntervalMs: buildMsSchema(10, 60_000, 250),
     reportTimeoutMs: buildMsSchema(10, 60_000, 1000),
-    /** A target without a report for this long is not used. */
+    /** Time without a report after which a target is not used. */
     staleMs: buildMsSchema(100, 600_000, 5000),
     watchersPerTarget: z.int().min(1).max(16).default(2),
-    /** Reports grow rarer with the number of targets watched: this long for each. */
+    /** Minimum report interval per watched target, so that more targets are read less often. */
     reportPerTargetMs: buildMsSchema(0, 10_000, 100),
-    /** Targets of its zone that a VM is told of, where the zone has more. */
+    /** Maximum number of targets of its zone that a VM receives reports of. */
     subsetSize: z.int().min(4).max(10_000).default(64),
   }).prefault({}),
   shutdown: z.strictObject({
-    /** Longest wait for requests in flight after SIGTERM. */
+    /** Timeout for requests in flight after SIGTERM. */
     drainTimeoutMs: buildMsSchema(0, 3_600_000, 120_000),
-    /** How long `/readyz` says no before the callers' port closes. */
+    /** Time for which `/readyz` reports that the VM is not ready before the client port closes. */
     noticeMs: buildMsSchema(0, 60_000, 500),
   }).prefault({}),
   logs: z.strictObject({
     level: z.enum(["error", "warn", "info", "debug"]).default("info"),
   }).prefault({}),
   network: z.strictObject({
-    /** Addresses as published to addresses as seen from this VM. */
+    /** Map from published addresses to the addresses that this VM uses. */
     translate: z.record(z.string(), z.string()).default({}),
   }).prefault({}),
 }).superRefine((settings, context) => {
@@ -159,10 +159,10 @@
   return address.startsWith("127.") || address.startsWith("[::1]");
 }
 
-/** Checked settings of one process. */
+/** Validated settings of one process. */
 export type ProcessSettings = z.infer<typeof PROCESS_SCHEMA>;
 
-/** Checks settings that are already an object. */
+/** Validates settings that are already parsed. */
 export function parseProcessSettings(
   input: unknown,
 ): Result<ProcessSettings, InputIssue[]> {
@@ -170,7 +170,7 @@
   return parsed.success ? Ok(parsed.data) : Err(buildIssues(parsed.error));
 }
 
-/** Checks settings in TOML. */
+/** Parses and validates settings in TOML. */
 export function readProcessSettings(
   text: string,
 ): Result<ProcessSettings, InputIssue[]> {
--- a/packages/heatherarch-settings/profile.ts
+++ b/packages/heatherarch-settings/profile.ts
@@ -1,5 +1,5 @@
 /**
- * Profiles: named descriptions of how a class of work is served.
+ * Profiles. A profile is a named set of options for a class of requests.
  *
  * @module
  */
@@ -12,7 +12,7 @@
   "must be a short lower-case name",
 );
 
-/** Ways of choosing a target that a profile may name. */
+/** Routing policies that a profile may name. */
 export const ROUTING_KINDS = [
   "prefixAffinity",
   "leastOutstanding",
@@ -21,7 +21,7 @@
 /** Name of a routing policy. */
 export type RoutingKind = typeof ROUTING_KINDS[number];
 
-/** Classes of priority, most urgent first. */
+/** Priority classes in descending order. */
 export const PRIORITIES = ["lookup", "interactive", "batch"] as const;
 /** Name of a priority class. */
 export type Priority = typeof PRIORITIES[number];
@@ -35,16 +35,18 @@
   tokenGapMs: z.int().min(1).max(60_000).default(37),
   maxOutputTokens: z.int().min(1).max(1_000_000).default(4096),
   maxPromptTokens: z.int().min(1).max(10_000_000).default(131_072),
-  /** Prompts at least this long are prefilled apart and their KV cache is moved; 0 never. */
+  /**
+   * Minimum prompt length for a disaggregated prefill with a transfer of the KV cache; 0 is off.
+   */
   kvTransferMinTokens: z.int().min(0).default(512),
-  /** Idempotent lookups are sent again to another target after this time; 0 never. */
+  /** Time after which an idempotent lookup is also sent to another target; 0 is off. */
   hedgeAfterMs: z.int().min(0).default(0),
 });
 
-/** A checked profile. */
+/** A validated profile. */
 export type Profile = z.infer<typeof PROFILE_SCHEMA>;
 
-/** Checks a profile and fills in defaults. */
+/** Validates a profile and sets the defaults. */
 export function parseProfile(
   input: unknown,
 ): Result<Profile, InputIssue[]> {
@@ -52,7 +54,7 @@
   return parsed.success ? Ok(parsed.data) : Err(buildIssues(parsed.error));
 }
 
-/** The profile that is used where a request names none and none named `default` is published. */
+/** Profile for requests that name none, unless a profile named `default` is published. */
 export const DEFAULT_PROFILE: Profile = PROFILE_SCHEMA.parse({
   name: "default",
 });
--- a/packages/heatherarch-settings/tests/unit/settings_test.ts
+++ b/packages/heatherarch-settings/tests/unit/settings_test.ts
@@ -21,60 +21,60 @@
 vmList = "http://127.0.0.1:7000/vms"
 `;
 
-test("good settings get their defaults", () => {
+test("valid settings get their defaults", () => {
   const settings = readProcessSettings(GOOD).unwrap();
   assert.equal(settings.lease.durationMs, 4000);
   assert.equal(settings.requests.maxTries, 5);
 });
 
-test("all faults are told at once, each with its place", () => {
+test("all issues are reported at once, each with its location", () => {
   const text = GOOD.replace('"127.0.0.1:8080"', '"localhost"')
     .replace('id = "pasay-a-1"', 'id = "Pasay A"') +
     "[lease]\nrenewMs = 3000\nsurprise = 1\n";
-  const faults = readProcessSettings(text).val as InputIssue[];
-  const places = faults.map((fault) => fault.location);
-  assert.ok(places.includes("listen.callers"));
-  assert.ok(places.includes("vm.id"));
-  assert.ok(places.includes("lease"));
+  const issues = readProcessSettings(text).val as InputIssue[];
+  const locations = issues.map((issue) => issue.location);
+  assert.ok(locations.includes("listen.callers"));
+  assert.ok(locations.includes("vm.id"));
+  assert.ok(locations.includes("lease"));
 });
 
-test("renewals must be twice as frequent as the lease is long", () => {
-  const faults = readProcessSettings(`${GOOD}[lease]\nrenewMs = 3000\n`)
+test("the renewal interval must be at most half of the lease duration", () => {
+  const issues = readProcessSettings(`${GOOD}[lease]\nrenewMs = 3000\n`)
     .val as InputIssue[];
-  assert.deepEqual(faults.map((fault) => fault.location), ["lease.renewMs"]);
+  assert.deepEqual(issues.map((issue) => issue.location), ["lease.renewMs"]);
 });
 
-test("a mesh beyond loopback needs a key, operators beyond it need names", () => {
+test("addresses that are not loopback require a mesh key and an operator", () => {
   const text = GOOD.replace("127.0.0.1:7080", "10.0.0.1:7080").replace(
     "127.0.0.1:9080",
     "10.0.0.1:9080",
   );
-  const faults = readProcessSettings(text).val as InputIssue[];
-  assert.deepEqual(faults.map((fault) => fault.location).sort(), [
+  const issues = readProcessSettings(text).val as InputIssue[];
+  assert.deepEqual(issues.map((issue) => issue.location).sort(), [
     "mesh.sharedKey",
     "operators",
   ]);
 });
 
-test("a TOML error names its line", () => {
-  const faults = readProcessSettings("[vm\n").val as InputIssue[];
-  assert.match(faults[0].location, /^line 1/);
+test("a TOML syntax error is reported with its line", () => {
+  const issues = readProcessSettings("[vm\n").val as InputIssue[];
+  assert.match(issues[0].location, /^line 1/);
 });
 
-test("a fleet's references and duplicates are checked together", () => {
+test("unknown references and duplicates of a fleet are reported together", () => {
   const target = {
     id: "e1",
     service: "missing",
     availabilityZone: "nowhere",
     address: "127.0.0.1:1",
   };
-  const faults = parseFleet({
+  const issues = parseFleet({
     deployment: "d",
     availabilityZones: ["zone-a"],
     services: [{ name: "reader", kind: "model", models: ["m"] }],
     targets: [target, target],
   }).val as InputIssue[];
-  assert.deepEqual(faults.map((fault) => fault.location).sort(), [
+  assert.deepEqual(issues.map((issue) => issue.location).sort(), [
     "targets[0].availabilityZone",
     "targets[0].service",
     "targets[1]",
@@ -83,10 +83,10 @@
   ]);
 });
 
-test("an unknown field of a profile is a fault, not a silent default", () => {
-  const faults = parseProfile({ name: "fast", dedlineMs: 10 })
+test("an unknown field of a profile is an issue", () => {
+  const issues = parseProfile({ name: "fast", dedlineMs: 10 })
     .val as InputIssue[];
-  assert.match(faults[0].reason, /dedlineMs/);
+  assert.match(issues[0].reason, /dedlineMs/);
 });
 
 const FORWARDING = `
@@ -105,18 +105,18 @@
 configBoundMs = 3000
 `;
 
-test("a read for a newer configuration is held for half of the bound by default", () => {
+test("the default hold time of a configuration read is half of the bound", () => {
   const { store } = readForwardSettings(FORWARDING).unwrap();
   assert.equal(store.configWaitMs, 1500);
 });
 
-test("a hold that can't keep the bound of the configuration, or none, is refused", () => {
+test("a hold time of zero, or one too long for the configuration bound, is rejected", () => {
   for (const waitMs of [0, 1501]) {
     const parsed = readForwardSettings(
       `${FORWARDING}configWaitMs = ${waitMs}\n`,
     );
     assert.deepEqual(
-      (parsed.val as InputIssue[]).map(({ location: place }) => place),
+      (parsed.val as InputIssue[]).map(({ location }) => location),
       ["store.configWaitMs"],
     );
   }
--- a/packages/heatherarch-settings/toml.ts
+++ b/packages/heatherarch-settings/toml.ts
@@ -1,5 +1,5 @@
 /**
- * Reading TOML with the place of a syntax error.
+ * TOML parser that reports the location of a syntax error.
  *
  * @module
  */
