--- a/packages/heatherarch-gateway/generation.ts
+++ b/packages/heatherarch-gateway/generation.ts
@@ -1,6 +1,7 @@
 /**
- * The life of one generation: legs on one or several engines that together make one whole
- * answer. A leg that fails is continued elsewhere from the tokens already delivered.
+ * Handles one generation. Each call to an engine is a leg. One or several legs, on one or several
+ * engines, together produce one complete response. When a leg fails, another leg continues from the
+ * tokens already delivered.
  *
  * @module
  */
@@ -32,7 +33,7 @@
 import type { GatewayHost } from "./gateway_host.ts";
 import type { Usage } from "./openai_format.ts";
 
-/** Guards of a generation; the proofs switch them off one at a time. */
+/** Safety rules of a generation. The proofs disable them one at a time. */
 export const GENERATION_GUARDS = [
   "ignoreAbandonedLeg",
   "missingTokens",
@@ -40,7 +41,7 @@
 /** Name of a guard. */
 export type GenerationGuard = typeof GENERATION_GUARDS[number];
 
-/** Receives the answer. Exactly one of `onEnd` and `onError` is called last. */
+/** Receives the response. Exactly one of `onEnd` and `onError` is called last. */
 export interface GenerationSink {
   onTokens(texts: readonly string[]): void;
   onEnd(reason: string, usage: Usage): void;
@@ -57,13 +58,14 @@
   readonly promptTokens: number;
   readonly maxTokens: number;
   readonly profile: Profile;
-  /** Monotonic time by which the answer must be whole. */
+  /** Monotonic time by which the response must be complete. */
   readonly deadlineAtMs: number;
   readonly sink: GenerationSink;
   readonly admitted: AdmittedRequest;
   readonly disabledGuards?: ReadonlySet<GenerationGuard>;
 }
 
+/** One call to an engine, as part of a generation. */
 interface Leg {
   readonly target: string;
   readonly call: EngineCall;
@@ -71,20 +73,22 @@
   readonly startedAtMs: number;
   readonly predictedFirstTokenMs: number;
   readonly role: Candidate["role"];
-  /** The leg only prefills; another engine generates. */
+  /** Whether the leg only prefills the prompt, and another engine decodes. */
   readonly isPrefillOnly: boolean;
   attempt: EngineAttempt | undefined;
+  /** Number of tokens received. */
   received: number;
+  /** Monotonic time of the latest tokens. */
   lastAtMs: number;
   resumed: boolean;
 }
 
-/** Engine priorities of the profiles' classes. */
+/** Engine priorities of the profiles' priority classes. */
 const PRIORITY_NUMBERS = { lookup: 0, interactive: 1, batch: 2 } as const;
-/** Wait before the next look for a target where a half-delivered answer has none. */
+/** Delay before the search for a target is repeated when a partly delivered response has none. */
 const NO_TARGET_RETRY_DELAY_MS = 100;
 
-/** One generation. */
+/** Runs one generation. */
 export class Generation {
   readonly #options: GenerationOptions;
   readonly #host: GatewayHost;
@@ -118,21 +122,21 @@
     return this.#delivered;
   }
 
-  /** Time from the start to the first token, milliseconds; undefined before it. */
+  /** Time from the start to the first token in milliseconds; undefined before the first token. */
   get firstTokenMs(): number | undefined {
     return this.#firstTokenAtMs === undefined
       ? undefined
       : this.#firstTokenAtMs - this.#startedAtMs;
   }
 
-  /** Mean gap between tokens, milliseconds; undefined for fewer than two. */
+  /** Mean gap between tokens in milliseconds; undefined for fewer than two tokens. */
   get meanGapMs(): number | undefined {
     const gaps = this.#delivered.length - 1;
     if (this.#firstTokenAtMs === undefined || gaps < 1) return undefined;
     return (this.#lastTokenAtMs - this.#firstTokenAtMs) / gaps;
   }
 
-  /** Plans and starts the first leg, or says why the request is refused. */
+  /** Plans and starts the first leg, or returns the error if the request is rejected. */
   start(): Result<void, ServeError> {
     const planned = this.#planFirstLeg();
     if (!planned.ok) return Err(planned.val as ServeError);
@@ -142,7 +146,7 @@
     return Ok(undefined);
   }
 
-  /** The caller is gone: stops all work. */
+  /** Stops all work after the client has disconnected. */
   cancel(): void {
     this.#close();
   }
@@ -150,11 +154,13 @@
   #planFirstLeg(): Result<RoutePlan, ServeError> {
     const plan = this.#planRoute();
     if (plan === undefined) {
-      const any =
+      const hasTargets =
         this.#host.targets.listCandidates(this.#options.service).length > 0;
-      return any
+      return hasTargets
         ? Err(
-          new ServeError("overloaded", "every target is full", { run: "no" }),
+          new ServeError("overloaded", "every target is at capacity", {
+            run: "no",
+          }),
         )
         : Err(
           new ServeError("noTarget", "no target is in service", { run: "no" }),
@@ -169,14 +175,14 @@
 
   #planRoute(): RoutePlan | undefined {
     const { service, profile, maxTokens, promptTokens } = this.#options;
-    const all = this.#host.targets.listCandidates(service);
-    const fresh = all.filter((candidate) =>
+    const candidates = this.#host.targets.listCandidates(service);
+    const untried = candidates.filter((candidate) =>
       !this.#failedTargets.has(candidate.id)
     );
     const router = this.#host.getRouter(profile.routing);
     const nowMs = this.#host.clock.readMonotonicMs();
-    const lookup = profile.priority === "lookup";
-    if (lookup) this.#host.lookupReserve.recordLookup(service, nowMs);
+    const isLookup = profile.priority === "lookup";
+    if (isLookup) this.#host.lookupReserve.recordLookup(service, nowMs);
     return router.planRoute({
       promptTokens: promptTokens + this.#delivered.length,
       outputTokens: maxTokens - this.#delivered.length,
@@ -185,10 +191,10 @@
       remainingMs: this.#options.deadlineAtMs - nowMs,
       tokenGapMs: profile.tokenGapMs,
       tieBreakKey: this.#options.requestId,
-      reserveShare: lookup
+      reserveShare: isLookup
         ? 0
         : this.#host.lookupReserve.readShare(service, nowMs),
-    }, fresh.length > 0 ? fresh : all);
+    }, untried.length > 0 ? untried : candidates);
   }
 
   #startPlan(plan: RoutePlan): void {
@@ -201,7 +207,7 @@
     }
     this.#startLeg(plan.primary, {
       firstTokenMs: plan.firstTokenMs,
-      handsOver: decode !== undefined,
+      isPrefillOnly: decode !== undefined,
     });
   }
 
@@ -209,7 +215,7 @@
     candidate: Candidate,
     options: {
       firstTokenMs: number;
-      handsOver: boolean;
+      isPrefillOnly: boolean;
       kvImport?: KvHandle;
     },
   ): void {
@@ -217,29 +223,29 @@
     if (target === undefined) return this.#retry("refused", candidate.id);
     const nowMs = this.#host.clock.readMonotonicMs();
     const { promptTokens, maxTokens, model, prompt, profile } = this.#options;
-    const { handsOver, kvImport } = options;
+    const { isPrefillOnly, kvImport } = options;
     const call: EngineCall = {
       tryId: createId("try"),
       model,
       prompt: this.#delivered.length === 0
         ? prompt
         : prompt + this.#delivered.join(""),
-      maxTokens: handsOver ? 1 : maxTokens - this.#delivered.length,
+      maxTokens: isPrefillOnly ? 1 : maxTokens - this.#delivered.length,
       priority: PRIORITY_NUMBERS[profile.priority],
-      kvExport: handsOver,
+      kvExport: isPrefillOnly,
       ...(kvImport === undefined ? {} : { kvImport }),
     };
-    const pending = kvImport === undefined
+    const prefillTokens = kvImport === undefined
       ? promptTokens + this.#delivered.length
       : 0;
     const leg: Leg = {
       target: target.id,
       call,
-      work: this.#host.loadTracker.begin(target.id, pending, nowMs),
+      work: this.#host.loadTracker.begin(target.id, prefillTokens, nowMs),
       startedAtMs: nowMs,
       predictedFirstTokenMs: options.firstTokenMs,
       role: candidate.role,
-      isPrefillOnly: handsOver,
+      isPrefillOnly,
       attempt: undefined,
       received: 0,
       lastAtMs: 0,
@@ -249,7 +255,7 @@
     this.#tries++;
     leg.attempt = this.#host.targets.getEngine(target).generate(call, {
       onTokens: (texts) => this.#handleTokens(leg, texts),
-      onEnd: (end) => this.#handleEnd(leg, end),
+      onEnd: (result) => this.#handleEnd(leg, result),
       onFailure: (failure) => this.#handleFailure(leg, failure),
     });
   }
@@ -288,62 +294,64 @@
     );
   }
 
-  #handleEnd(leg: Leg, end: EngineResult): void {
+  #handleEnd(leg: Leg, result: EngineResult): void {
     if (this.#isAbandoned(leg)) return;
     const nowMs = this.#host.clock.readMonotonicMs();
     this.#closeLeg(leg, nowMs);
     this.#host.targets.recordSuccess(leg.target);
-    this.#recordUsage(end);
-    const missing = this.#options.maxTokens - this.#delivered.length;
+    this.#recordUsage(result);
+    const remainingTokens = this.#options.maxTokens - this.#delivered.length;
     if (
-      leg.isPrefillOnly && leg.received === 1 && missing > 0 &&
-      end.reason !== "stop"
+      leg.isPrefillOnly && leg.received === 1 && remainingTokens > 0 &&
+      result.reason !== "stop"
     ) {
-      return this.#startDecodeLeg(leg, end);
+      return this.#startDecodeLeg(leg, result);
     }
-    const short = end.reason === "length" && missing > 0;
-    if (short && !this.#disabledGuards.has("missingTokens")) {
+    const isTruncated = result.reason === "length" && remainingTokens > 0;
+    if (isTruncated && !this.#disabledGuards.has("missingTokens")) {
       return this.#retry("broken", leg.target);
     }
-    this.#finish(missing === 0 ? "length" : "stop");
+    this.#finish(remainingTokens === 0 ? "length" : "stop");
   }
 
-  #recordUsage(end: EngineResult): void {
+  #recordUsage(result: EngineResult): void {
     if (this.#promptTokens === 0) {
-      this.#promptTokens = end.promptTokens;
-      this.#cachedTokens = end.cachedTokens;
+      this.#promptTokens = result.promptTokens;
+      this.#cachedTokens = result.cachedTokens;
       const router = this.#host.getRouter(this.#options.profile.routing);
-      if (router instanceof AdaptiveRouter && end.promptTokens > 0) {
-        router.observeCacheHit(end.cachedTokens / end.promptTokens);
+      if (router instanceof AdaptiveRouter && result.promptTokens > 0) {
+        router.observeCacheHit(result.cachedTokens / result.promptTokens);
       }
     }
   }
 
-  /** The prompt is prefilled: the planned decoder takes the KV cache over. */
-  #startDecodeLeg(leg: Leg, end: EngineResult): void {
-    const handover = this.#plannedDecode;
+  /** Starts the decode leg after the prefill. The planned engine fetches the KV cache. */
+  #startDecodeLeg(leg: Leg, result: EngineResult): void {
+    const planned = this.#plannedDecode;
     this.#plannedDecode = undefined;
     const nowMs = this.#host.clock.readMonotonicMs();
-    handover?.work.end(nowMs);
+    planned?.work.end(nowMs);
     const source = this.#host.targets.findTarget(leg.target);
-    const usable = this.#host.targets.listCandidates(this.#options.service)
-      .find((candidate) => candidate.id === handover?.target.id);
-    if (usable === undefined || source === undefined) {
+    const decodeTarget = this.#host.targets.listCandidates(
+      this.#options.service,
+    )
+      .find((candidate) => candidate.id === planned?.target.id);
+    if (decodeTarget === undefined || source === undefined) {
       return this.#retry("refused", "");
     }
-    this.#startLeg(usable, {
+    this.#startLeg(decodeTarget, {
       firstTokenMs: 0,
-      handsOver: false,
-      ...(end.kvHandle === undefined
+      isPrefillOnly: false,
+      ...(result.kvHandle === undefined
         ? {}
-        : { kvImport: { address: source.address, handle: end.kvHandle } }),
+        : { kvImport: { address: source.address, handle: result.kvHandle } }),
     });
   }
 
   #handleFailure(leg: Leg, failure: EngineFailure): void {
     if (this.#isAbandoned(leg)) return;
     if (leg.attempt === undefined) {
-      // The adapter failed before it returned: handle it in a turn of its own.
+      // The adapter reported the failure before `generate` returned, so it is handled later.
       setImmediate(() => this.#handleFailure(leg, failure));
       return;
     }
@@ -355,13 +363,16 @@
     ) return;
     this.#closeLeg(leg, nowMs);
     if (failure !== "kvGone") this.#host.targets.recordFailure(leg.target);
-    // Only the engine's own end is missing.
+    // All tokens are delivered, and only the engine's end marker is missing.
     if (this.#delivered.length === this.#options.maxTokens) {
       return this.#finish("length");
     }
     if (failure === "invalid") {
       return this.#fail(
-        new ServeError("targetFailed", "the engine refused the request"),
+        new ServeError(
+          "targetFailed",
+          "the engine rejected the request as invalid",
+        ),
       );
     }
     this.#retry(failure, failure === "kvGone" ? "" : leg.target);
@@ -370,10 +381,10 @@
   #recordLoss({ target: id, attempt }: Leg): void {
     const target = this.#host.targets.findTarget(id);
     if (target === undefined || attempt?.isSent !== true) return;
-    this.#options.admitted.recordLoss(target, "the answer broke off");
+    this.#options.admitted.recordLoss(target, "the response was interrupted");
   }
 
-  /** Asks the same engine for the rest of its answer, once a leg. */
+  /** Requests the rest of the response from the same engine, at most once per leg. */
   #tryResume(leg: Leg): boolean {
     const target = this.#host.targets.findTarget(leg.target);
     if (leg.resumed || leg.received === 0 || target === undefined) return false;
@@ -383,7 +394,7 @@
     this.#host.events.recordContinuation("resume");
     leg.attempt = engine.resume(leg.call, leg.received, {
       onTokens: (texts) => this.#handleTokens(leg, texts),
-      onEnd: (end) => this.#handleEnd(leg, end),
+      onEnd: (result) => this.#handleEnd(leg, result),
       onFailure: (failure) => {
         this.#handleFailure(leg, failure === "invalid" ? "broken" : failure);
       },
@@ -391,14 +402,14 @@
     return true;
   }
 
-  /** Goes on elsewhere, within the number of tries, the retry budget and the deadline. */
+  /** Continues on another target, within the maximum of attempts, retry budget and deadline. */
   #retry(reason: EngineFailure, target: string): void {
     if (target !== "") this.#failedTargets.add(target);
-    const fresh = this.#delivered.length === 0;
+    const empty = this.#delivered.length === 0;
     if (!this.#options.admitted.mayRetry()) return this.#giveUp(reason);
     if (this.#tries >= this.#host.limits.maxTries) return this.#giveUp(reason);
-    if (fresh && !this.#host.retries.spendRetry()) return this.#giveUp(reason);
-    if (fresh) this.#host.events.recordRetry(reason);
+    if (empty && !this.#host.retries.spendRetry()) return this.#giveUp(reason);
+    if (empty) this.#host.events.recordRetry(reason);
     else this.#host.events.recordContinuation(reason);
     this.#continue(reason);
   }
@@ -417,13 +428,13 @@
   #giveUp(reason: EngineFailure): void {
     if (this.#delivered.length > 0) {
       const message =
-        `the answer broke off after ${this.#delivered.length} tokens (${reason})`;
+        `the response was interrupted after ${this.#delivered.length} tokens (${reason})`;
       return this.#fail(new ServeError("answerIncomplete", message));
     }
     const run = this.#hasSentRequest ? "unknown" : "no";
     if (reason === "refused" || reason === "notSent") {
       return this.#fail(
-        new ServeError("noTarget", "no target took the request", { run }),
+        new ServeError("noTarget", "no target accepted the request", { run }),
       );
     }
     this.#fail(
@@ -432,8 +443,9 @@
   }
 
   #handleDeadline(): void {
-    const sent = this.#hasSentRequest || (this.#leg?.attempt?.isSent ?? false);
-    const run = sent ? "unknown" : "no";
+    const hasSent = this.#hasSentRequest ||
+      (this.#leg?.attempt?.isSent ?? false);
+    const run = hasSent ? "unknown" : "no";
     this.#fail(
       new ServeError("deadlineExceeded", "the deadline has passed", { run }),
     );
@@ -442,9 +454,10 @@
   #finish(reason: string): void {
     if (this.#isFinished) return;
     const { maxTokens, requestId } = this.#options;
-    const whole = reason === "stop" || this.#delivered.length === maxTokens ||
+    const isComplete = reason === "stop" ||
+      this.#delivered.length === maxTokens ||
       this.#disabledGuards.has("missingTokens");
-    assertInvariant(whole, "whole-answer", requestId);
+    assertInvariant(isComplete, "whole-answer", requestId);
     this.#close();
     this.#options.sink.onEnd(reason, {
       promptTokens: this.#promptTokens || this.#options.promptTokens,
--- a/packages/heatherarch-targets/engine_client.ts
+++ b/packages/heatherarch-targets/engine_client.ts
@@ -1,6 +1,6 @@
 /**
- * What the adapters of all dialects share: connections, JSON calls and the reading of a
- * streamed answer.
+ * HTTP client that the adapters of all dialects share: connections, JSON calls and streamed
+ * responses.
  *
  * @module
  */
@@ -28,14 +28,14 @@
 
 /** Options of an engine adapter. */
 export interface EngineOptions {
-  /** Address as this process must dial it. */
+  /** Address to which this process connects. */
   readonly address: string;
-  /** Most connections open at once. */
+  /** Maximum number of open connections. */
   readonly maxConnections: number;
   readonly timeouts: AttemptTimeouts;
 }
 
-/** Connections to one engine. */
+/** HTTP client of one engine. */
 export class EngineClient {
   readonly #options: EngineOptions;
   readonly #pool: Pool;
@@ -51,32 +51,32 @@
     });
   }
 
-  /** Reads JSON from `path`; throws where the answer is not a 200 with JSON. */
+  /** Reads JSON from `path`. Throws if the response is not status 200 with a JSON body. */
   async readJson(
     path: string,
     options: { timeoutMs: number; fresh?: boolean },
   ): Promise<unknown> {
     const client = options.fresh ? this.#openConnection() : undefined;
     try {
-      const answer = await dispatchBuffered(client ?? this.#pool, {
+      const response = await dispatchBuffered(client ?? this.#pool, {
         path,
         method: "GET",
         firstByteMs: options.timeoutMs,
         gapMs: options.timeoutMs,
       });
-      if (answer.kind !== "answer") {
-        throw new Error(`engine state: ${answer.detail}`);
+      if (response.kind !== "answer") {
+        throw new Error(`engine state: ${response.detail}`);
       }
-      if (answer.status !== 200) {
-        throw new Error(`engine state: status ${answer.status}`);
+      if (response.status !== 200) {
+        throw new Error(`engine state: status ${response.status}`);
       }
-      return JSON.parse(answer.body.toString("utf8"));
+      return JSON.parse(response.body.toString("utf8"));
     } finally {
       void client?.destroy();
     }
   }
 
-  /** Sends an order over a fresh connection that is destroyed after it. */
+  /** Sends an order over a new connection, which is destroyed afterwards. */
   async sendOrder(
     path: string,
     body: unknown,
@@ -84,7 +84,7 @@
   ): Promise<OrderResponse> {
     const client = this.#openConnection();
     try {
-      const answer = await dispatchBuffered(client, {
+      const response = await dispatchBuffered(client, {
         path,
         method: "POST",
         headers: { "content-type": "application/json" },
@@ -93,13 +93,13 @@
         gapMs: options.timeoutMs,
         guard: options.guard,
       });
-      return buildOrderResponse(answer);
+      return buildOrderResponse(response);
     } finally {
       void client.destroy();
     }
   }
 
-  /** Starts a streamed try. */
+  /** Starts an attempt with a streamed response. */
   startAttempt(
     request: { path: string; method: string; body?: string },
     call: EngineCall,
@@ -107,50 +107,59 @@
     createParser: ParserFactory,
   ): EngineAttempt {
     const { firstByteMs, gapMs } = this.#options.timeouts;
-    const silence = new IdleTimer({ firstByteMs, gapMs }, () => {
-      guarded.onFailure("silent", "no byte came for too long");
+    const idleTimer = new IdleTimer({ firstByteMs, gapMs }, () => {
+      closingSink.onFailure(
+        "silent",
+        "the engine sent no data within the timeout",
+      );
     });
     let parser: ResponseParser | undefined;
-    let refusal: number | undefined;
-    const guarded = createClosingSink(sink, {
-      stopTimer: () => silence.stop(),
-      abort: () => sent?.abort(),
+    let errorStatus: number | undefined;
+    const closingSink = createClosingSink(sink, {
+      stopTimer: () => idleTimer.stop(),
+      abort: () => inFlight?.abort(),
     });
-    const sent = dispatch(this.#pool, {
+    const inFlight = dispatch(this.#pool, {
       path: request.path,
       method: request.method,
       headers: request.body === undefined
         ? {}
         : { "content-type": "application/json" },
       body: request.body,
-      // The head comes before the work is done; silence is judged by the tokens.
+      // Engines send the response head before they do the work, so the idle timer watches the body.
       firstByteMs: 0,
       gapMs: 0,
     }, {
       onHead: (status) => {
-        if (status === 200) parser = createParser(call, guarded);
-        else refusal = status;
+        if (status === 200) parser = createParser(call, closingSink);
+        else errorStatus = status;
       },
       onData: (bytes) => {
-        silence.recordBytes();
+        idleTimer.recordBytes();
         parser?.push(bytes);
       },
       onDone: () => {
-        if (refusal !== undefined) {
-          guarded.onFailure(classifyStatus(refusal), `status ${refusal}`);
+        if (errorStatus !== undefined) {
+          closingSink.onFailure(
+            classifyStatus(errorStatus),
+            `status ${errorStatus}`,
+          );
         } else parser?.finish();
       },
       onFailure: (failure, detail) => {
-        guarded.onFailure(failure === "withheld" ? "notSent" : failure, detail);
+        closingSink.onFailure(
+          failure === "withheld" ? "notSent" : failure,
+          detail,
+        );
       },
     });
     return {
       abort: () => {
-        guarded.close();
-        sent.abort();
+        closingSink.close();
+        inFlight.abort();
       },
       get isSent() {
-        return sent.isSent;
+        return inFlight.isSent;
       },
     };
   }
@@ -166,7 +175,7 @@
   }
 }
 
-/** A sink that delivers nothing after its end, and destroys the connection on a failure. */
+/** A sink that delivers nothing after its end, and destroys the connection after a failure. */
 interface ClosingSink extends EngineSink {
   close(): void;
 }
@@ -175,24 +184,24 @@
   sink: EngineSink,
   hooks: { stopTimer: () => void; abort: () => void },
 ): ClosingSink {
-  let open = true;
+  let isOpen = true;
   return {
     close: () => {
-      open = false;
+      isOpen = false;
       hooks.stopTimer();
     },
     onTokens: (texts) => {
-      if (open) sink.onTokens(texts);
+      if (isOpen) sink.onTokens(texts);
     },
-    onEnd: (end) => {
-      if (!open) return;
-      open = false;
+    onEnd: (result) => {
+      if (!isOpen) return;
+      isOpen = false;
       hooks.stopTimer();
-      sink.onEnd(end);
+      sink.onEnd(result);
     },
     onFailure: (failure, detail) => {
-      if (!open) return;
-      open = false;
+      if (!isOpen) return;
+      isOpen = false;
       hooks.stopTimer();
       hooks.abort();
       sink.onFailure(failure, detail);
@@ -200,7 +209,7 @@
   };
 }
 
-/** Judges an answer silent: by one limit up to its first byte, by another after it. */
+/** Detects a stalled response, with one timeout for the first byte and one for later gaps. */
 class IdleTimer {
   readonly #gapMs: number;
   readonly #onTimeout: () => void;
@@ -231,7 +240,7 @@
   }
 }
 
-/** What a status other than 200 means for a try. */
+/** Maps a response status other than 200 to a failure. */
 function classifyStatus(status: number): EngineFailure {
   if (status === STATUS_UNAVAILABLE || status === STATUS_TOO_MANY_REQUESTS) {
     return "refused";
@@ -240,22 +249,22 @@
   return status >= 500 ? "broken" : "invalid";
 }
 
-function buildOrderResponse(answer: BufferedResponse): OrderResponse {
-  switch (answer.kind) {
+function buildOrderResponse(response: BufferedResponse): OrderResponse {
+  switch (response.kind) {
     case "answer":
-      if (answer.status === 200) return { kind: "accepted" };
-      if (answer.status === STATUS_CONFLICT) return { kind: "fenced" };
-      return { kind: "refused", detail: `status ${answer.status}` };
+      if (response.status === 200) return { kind: "accepted" };
+      if (response.status === STATUS_CONFLICT) return { kind: "fenced" };
+      return { kind: "refused", detail: `status ${response.status}` };
     case "withheld":
       return { kind: "withheld" };
     case "notSent":
-      return { kind: "refused", detail: answer.detail };
+      return { kind: "refused", detail: response.detail };
     default:
-      return { kind: "unknown", detail: answer.detail };
+      return { kind: "unknown", detail: response.detail };
   }
 }
 
-/** Checks a state as read; throws where a field is not what it should be. */
+/** Checks a state that was read from an engine. Throws if a field is invalid. */
 export function checkEngineState(state: EngineState): EngineState {
   const counts = [
     state.running,
@@ -263,12 +272,15 @@
     state.pendingPrefillTokens,
     state.fencing,
   ];
-  const whole = counts.every((count) => Number.isFinite(count) && count >= 0);
+  const areCountsValid = counts.every((count) =>
+    Number.isFinite(count) && count >= 0
+  );
   const roles = ["prefill", "decode", "mixed"];
   if (
-    !whole || !roles.includes(state.role) || typeof state.model !== "string"
+    !areCountsValid || !roles.includes(state.role) ||
+    typeof state.model !== "string"
   ) {
-    throw new Error("engine state: a field is not what it should be");
+    throw new Error("engine state: a field has an invalid value");
   }
   return state;
 }
