--- a/packages/heatherarch-lab/chaos/network.ts
+++ b/packages/heatherarch-lab/chaos/chaos_network.ts
@@ -11,9 +11,9 @@
 interface ZoneLink {
   readonly from: string;
   readonly toZone: string | undefined;
-  readonly to: string;
+  readonly toAddress: string;
   readonly link: CuttableLink;
-  readonly address: string;
+  readonly linkAddress: string;
 }
 
 /** All links of a deployment. */
@@ -44,18 +44,20 @@
   }
 
   /** Published addresses to the addresses of the links, for a VM of `zone`. */
-  buildTranslation(zone: string): Record<string, string> {
+  buildAddressTranslation(zone: string): Record<string, string> {
     const own = this.#links.filter((entry) => entry.from === zone);
-    return Object.fromEntries(own.map((entry) => [entry.to, entry.address]));
+    return Object.fromEntries(
+      own.map((entry) => [entry.toAddress, entry.linkAddress]),
+    );
   }
 
   /** Address of the platform for a VM of `zone`. */
   getPlatformAddress(zone: string): string {
-    return this.buildTranslation(zone)[this.#deployment.platform];
+    return this.buildAddressTranslation(zone)[this.#deployment.platform];
   }
 
   /** Cuts or heals a zone from the platform alone. */
-  setPlatform(zone: string, mode: LinkMode): void {
+  setPlatformLinks(zone: string, mode: LinkMode): void {
     for (const entry of this.#links) {
       if (entry.from === zone && entry.toZone === undefined) {
         entry.link.setMode(mode);
@@ -64,15 +66,15 @@
   }
 
   /** Cuts or heals a zone from the platform and from all other zones. */
-  setZone(zone: string, mode: LinkMode): void {
+  setZoneLinks(zone: string, mode: LinkMode): void {
     for (const { from, toZone, link } of this.#links) {
-      const crosses = from === zone ? toZone !== zone : toZone === zone;
-      if (crosses) link.setMode(mode);
+      const isCrossZone = from === zone ? toZone !== zone : toZone === zone;
+      if (isCrossZone) link.setMode(mode);
     }
   }
 
   /** Silences connections that are open now, of the `index`-th link that has any. */
-  silenceSome(
+  silenceConnections(
     index: number,
     direction: "silentForward" | "silentBack",
   ): string {
@@ -80,7 +82,7 @@
     for (let step = 0; step < this.#links.length; step++) {
       const entry = this.#links[(start + step) % this.#links.length];
       if (entry.link.silenceOpenConnections(direction) > 0) {
-        return `${entry.from}->${entry.to}`;
+        return `${entry.from}->${entry.toAddress}`;
       }
     }
     return "none";
@@ -93,6 +95,12 @@
   ): Promise<void> {
     const link = new CuttableLink(to);
     const address = await link.listen();
-    this.#links.push({ from, toZone, to, link, address });
+    this.#links.push({
+      from,
+      toZone,
+      toAddress: to,
+      link,
+      linkAddress: address,
+    });
   }
 }
--- a/packages/heatherarch-lab/chaos/chaos_report.ts
+++ b/packages/heatherarch-lab/chaos/chaos_report.ts
@@ -7,7 +7,7 @@
 import type { StandinLedger } from "heatherarch-standins";
 import type { LoadRecord } from "../mixed_load.ts";
 import { type LoadSummary, summarizeLoad } from "../summary.ts";
-import { SPREAD_LIMIT_MS } from "./config_watch.ts";
+import { MAX_PROPAGATION_MS } from "./config_monitor.ts";
 import type { ViolationEntry } from "./violation_list.ts";
 import type { DrainRecord } from "./fault_driver.ts";
 
@@ -67,20 +67,20 @@
   readonly faults: Record<string, number>;
   readonly roleChanges: number;
   /** Violated invariants that the VMs count. */
-  readonly invariants: number;
+  readonly invariantViolations: number;
   readonly violationList: readonly ViolationEntry[];
   readonly raceWinnersMax: number;
   /** Longest time in which a change of the configuration reached all VMs. */
-  readonly spreadMsMax: number;
-  readonly reverts: number;
+  readonly maxPropagationMs: number;
+  readonly configReverts: number;
   /** Offsets of the configuration at the VMs at the end. */
-  readonly offsets: readonly (number | undefined)[];
+  readonly configOffsets: readonly (number | undefined)[];
 }
 
 /** New work that a target may get after its drain was accepted. */
-const DRAIN_LIMIT_MS = 5000;
+const MAX_NEW_WORK_DELAY_MS = 5000;
 /** Errors that say truthfully that nothing was run, or ask to come again. */
-const HONEST_REFUSALS = [
+const RETRYABLE_REFUSALS = [
   "keyInProgress",
   "overloaded",
   "shuttingDown",
@@ -91,10 +91,10 @@
 const MAX_EXAMPLES = 10;
 
 /** Cut, failed, or refused in a way that a planned change must not cause. */
-export function isBroken({ record }: TimedRecord): boolean {
+export function isUnexpectedFailure({ record }: TimedRecord): boolean {
   const { outcome, kind } = record.result;
   if (outcome === "whole" || outcome === "wrong") return false;
-  return !(outcome === "refused" && HONEST_REFUSALS.includes(kind));
+  return !(outcome === "refused" && RETRYABLE_REFUSALS.includes(kind));
 }
 
 /** Judges what a run has gathered. */
@@ -113,13 +113,14 @@
     wrongAnswers: summary.wrongAnswers,
     cutByPlannedChange: cutByPlannedChange.length,
     cutByFailure: findings.cutByFailure,
-    conflictingOrders: countOrders(ledger, readConflicting),
-    lapsedOrdersObeyed: countOrders(ledger, readLapsed),
+    conflictingOrders: countOrders(ledger, getConflictingOrders),
+    lapsedOrdersObeyed: countOrders(ledger, getLapsedOrdersObeyed),
     ordersObeyed: countOrders(ledger, (engine) => engine.ordersObeyed),
     roleChanges: findings.roleChanges,
-    newWorkAfterDrainSecondsMax: Math.max(0, ...listNewWorkMs(findings)) / 1000,
-    configSpreadSecondsMax: findings.spreadMsMax / 1000,
-    configReverts: findings.reverts,
+    newWorkAfterDrainSecondsMax: Math.max(0, ...listNewWorkDelaysMs(findings)) /
+      1000,
+    configSpreadSecondsMax: findings.maxPropagationMs / 1000,
+    configReverts: findings.configReverts,
     raceWinnersMax: findings.raceWinnersMax,
     errorKinds: summary.errorKinds,
     examples: cutByPlannedChange.slice(0, MAX_EXAMPLES)
@@ -132,28 +133,34 @@
   findings: ChaosFindings,
   summary: LoadSummary,
 ): Record<string, number> {
-  const { ledger, offsets } = findings;
-  const newWorkMs = listNewWorkMs(findings);
-  const isAgreed = offsets.every((offset) => offset === offsets[0]);
+  const { ledger, configOffsets } = findings;
+  const newWorkDelaysMs = listNewWorkDelaysMs(findings);
+  const isConsistent = configOffsets.every((offset) =>
+    offset === configOffsets[0]
+  );
   return {
-    conflictingOrders: sumOrders(countOrders(ledger, readConflicting)),
-    lapsedOrdersObeyed: sumOrders(countOrders(ledger, readLapsed)),
+    conflictingOrders: sumOrders(countOrders(ledger, getConflictingOrders)),
+    lapsedOrdersObeyed: sumOrders(countOrders(ledger, getLapsedOrdersObeyed)),
     cutByPlannedChange: findings.cutByPlannedChange.length,
     wrongAnswers: summary.wrongAnswers,
     notRunButRun: summary.notRunButRun,
     keysRunTwice: summary.keysRunTwice,
-    newWorkAfterDrain: newWorkMs.filter((ms) => ms > DRAIN_LIMIT_MS).length,
-    configSpread: findings.spreadMsMax > SPREAD_LIMIT_MS ? 1 : 0,
-    configReverts: findings.reverts,
-    configDisagrees: isAgreed ? 0 : 1,
+    newWorkAfterDrain:
+      newWorkDelaysMs.filter((ms) => ms > MAX_NEW_WORK_DELAY_MS).length,
+    configSpread: findings.maxPropagationMs > MAX_PROPAGATION_MS ? 1 : 0,
+    configReverts: findings.configReverts,
+    configDisagrees: isConsistent ? 0 : 1,
     raceHadTwoWinners: findings.raceWinnersMax > 1 ? 1 : 0,
     // A VM that was killed took its count along, and one that lagged was not asked in time.
-    invariants: Math.max(findings.invariants, findings.violationList.length),
+    invariants: Math.max(
+      findings.invariantViolations,
+      findings.violationList.length,
+    ),
   };
 }
 
 /** Times after a drain at which its target still began work, milliseconds. */
-function listNewWorkMs({ drains }: ChaosFindings): number[] {
+function listNewWorkDelaysMs({ drains }: ChaosFindings): number[] {
   return drains.map(({ lastWorkAtMs, atMs }) => lastWorkAtMs - atMs);
 }
 
@@ -173,11 +180,11 @@
   return checksFencing + ignoresFencing;
 }
 
-function readConflicting({ conflictingOrders }: EngineLedger): number {
+function getConflictingOrders({ conflictingOrders }: EngineLedger): number {
   return conflictingOrders;
 }
 
-function readLapsed({ lapsedOrdersObeyed }: EngineLedger): number {
+function getLapsedOrdersObeyed({ lapsedOrdersObeyed }: EngineLedger): number {
   return lapsedOrdersObeyed;
 }
 
@@ -187,6 +194,6 @@
 ): string {
   const { outcome, kind, run, detail, tokens, requestId } = record.result;
   const at = Math.round(startMs - runStartMs);
-  const lastedMs = Math.round(endMs - startMs);
-  return `${record.what} ${requestId} at ${at} ms: ${outcome} ${kind} run=${run} after ${lastedMs} ms, ${tokens} tokens: ${detail}`;
+  const durationMs = Math.round(endMs - startMs);
+  return `${record.what} ${requestId} at ${at} ms: ${outcome} ${kind} run=${run} after ${durationMs} ms, ${tokens} tokens: ${detail}`;
 }
--- a/packages/heatherarch-lab/chaos/chaos_run.ts
+++ b/packages/heatherarch-lab/chaos/chaos_run.ts
@@ -10,18 +10,22 @@
 import { Cluster } from "../cluster.ts";
 import { buildDeployment, type Deployment } from "../deployment.ts";
 import { sendOne } from "../mixed_load.ts";
-import { Balancer } from "./balancer.ts";
+import { LoadBalancer } from "./load_balancer.ts";
 import {
   buildChaosReport,
   type ChaosReport,
-  isBroken,
+  isUnexpectedFailure,
   type TimedRecord,
 } from "./chaos_report.ts";
-import { ConfigWatch } from "./config_watch.ts";
+import { ConfigMonitor } from "./config_monitor.ts";
 import { type DrainRecord, FaultDriver } from "./fault_driver.ts";
-import { ChaosNetwork } from "./network.ts";
+import { ChaosNetwork } from "./chaos_network.ts";
 import { listViolations } from "./violation_list.ts";
-import { buildSchedule, isUnplanned, type ScheduledFault } from "./schedule.ts";
+import {
+  buildFaultSchedule,
+  isUnplanned,
+  type ScheduledFault,
+} from "./fault_schedule.ts";
 
 /** Options of {@linkcode runChaos}. */
 export interface ChaosOptions {
@@ -39,7 +43,7 @@
 }
 
 /** After an unplanned fault its effects may last this long. */
-const AFTERMATH_MS = 6000;
+const FAULT_RECOVERY_MS = 6000;
 const MAX_IN_FLIGHT = 150;
 const SETTLE_MS = 5000;
 const SETTINGS = {
@@ -56,9 +60,9 @@
 };
 
 /** The mix swings, so that roles change while failures come. */
-const MIX_SWING_MS = 5000;
-const LONG_PROMPTS = { maxPromptTokens: 5000, maxOutputTokens: 24 };
-const LONG_OUTPUTS = { maxPromptTokens: 200, maxOutputTokens: 160 };
+const MIX_PERIOD_MS = 5000;
+const LONG_PROMPT_MIX = { maxPromptTokens: 5000, maxOutputTokens: 24 };
+const LONG_OUTPUT_MIX = { maxPromptTokens: 200, maxOutputTokens: 160 };
 
 const PLANNING = { policy: "greedy", intervalMs: 1200, changeMs: 500 } as const;
 
@@ -116,7 +120,7 @@
         mesh,
       })),
     },
-    network: { translate: network.buildTranslation(zone) },
+    network: { translate: network.buildAddressTranslation(zone) },
   };
 }
 
@@ -125,10 +129,10 @@
   readonly #cluster: Cluster;
   readonly #network: ChaosNetwork;
   readonly #records: TimedRecord[] = [];
-  readonly #windows: FaultWindow[] = [];
+  readonly #faultWindows: FaultWindow[] = [];
   readonly #drains: DrainRecord[] = [];
-  readonly #watch: ConfigWatch;
-  readonly #violationsSeen = new Map<string, number>();
+  readonly #configMonitor: ConfigMonitor;
+  readonly #violationCounts = new Map<string, number>();
   #raceWinnersMax = 0;
   #startMs = 0;
   #startedAtUnixMs = 0;
@@ -137,40 +141,40 @@
     this.#options = options;
     this.#cluster = cluster;
     this.#network = network;
-    this.#watch = new ConfigWatch(cluster);
+    this.#configMonitor = new ConfigMonitor(cluster);
   }
 
   async run(): Promise<ChaosReport> {
     const { seed, seconds } = this.#options;
     const totalMs = seconds * 1000;
-    const balancer = new Balancer(this.#cluster.deployment.vms);
+    const balancer = new LoadBalancer(this.#cluster.deployment.vms);
     balancer.start();
-    this.#watch.start();
+    this.#configMonitor.start();
     const startMs = performance.now();
     this.#startMs = startMs;
     this.#startedAtUnixMs = Date.now();
     const load = this.#runLoad(balancer, startMs + totalMs);
-    const faults = this.#runFaults(buildSchedule(seed, totalMs), startMs);
-    const scraping = this.#scrapeViolations(startMs + totalMs);
+    const faults = this.#runFaults(buildFaultSchedule(seed, totalMs), startMs);
+    const scraping = this.#pollViolations(startMs + totalMs);
     await Promise.all([load, faults, scraping]);
     await sleep(SETTLE_MS);
     balancer.stop();
-    this.#watch.stop();
-    return await this.#report();
+    this.#configMonitor.stop();
+    return await this.#buildReport();
   }
 
-  async #runLoad(balancer: Balancer, untilMs: number): Promise<void> {
+  async #runLoad(balancer: LoadBalancer, untilMs: number): Promise<void> {
     const caller = new Caller();
     const random = new Random(this.#options.seed + 1);
-    const gapMs = 1000 / (this.#options.requestsPerSecond ?? 30);
+    const meanIntervalMs = 1000 / (this.#options.requestsPerSecond ?? 30);
     const inFlight = new Set<Promise<void>>();
     while (performance.now() < untilMs) {
       if (inFlight.size < MAX_IN_FLIGHT) {
-        const sent = this.#sendTimed(caller, balancer, random);
-        inFlight.add(sent);
-        void sent.finally(() => inFlight.delete(sent));
+        const pendingRequest = this.#sendTimed(caller, balancer, random);
+        inFlight.add(pendingRequest);
+        void pendingRequest.finally(() => inFlight.delete(pendingRequest));
       }
-      await sleep(random.drawExponential(gapMs));
+      await sleep(random.drawExponential(meanIntervalMs));
     }
     await Promise.all(inFlight);
     await caller.close();
@@ -178,15 +182,15 @@
 
   async #sendTimed(
     caller: Caller,
-    balancer: Balancer,
+    balancer: LoadBalancer,
     random: Random,
   ): Promise<void> {
     const startMs = performance.now();
-    const vms = [balancer.pick(random), balancer.pick(random)];
+    const vms = [balancer.pickVm(random), balancer.pickVm(random)];
     const deployment = { ...this.#cluster.deployment, vms };
-    const mix = Math.floor(startMs / MIX_SWING_MS) % 2 === 0
-      ? LONG_PROMPTS
-      : LONG_OUTPUTS;
+    const mix = Math.floor(startMs / MIX_PERIOD_MS) % 2 === 0
+      ? LONG_PROMPT_MIX
+      : LONG_OUTPUT_MIX;
     const records = await sendOne(caller, deployment, random, mix);
     const endMs = performance.now();
     for (const record of records) {
@@ -199,13 +203,18 @@
     startMs: number,
   ): Promise<void> {
     const driver = new FaultDriver(this.#cluster, this.#network, {
-      onAccepted: (change) => {
-        if (!this.#isDisturbed(performance.now() - 1, performance.now())) {
-          this.#watch.expect(change);
+      onChangeAccepted: (change) => {
+        if (
+          !this.#overlapsUnplannedFault(
+            performance.now() - 1,
+            performance.now(),
+          )
+        ) {
+          this.#configMonitor.expectPropagation(change);
         }
       },
-      onDrained: (record) => this.#drains.push(record),
-      onRace: (winners) => {
+      onDrainChecked: (record) => this.#drains.push(record),
+      onRaceFinished: (winners) => {
         this.#raceWinnersMax = Math.max(this.#raceWinnersMax, winners);
       },
     });
@@ -223,8 +232,8 @@
       startMs: performance.now(),
       endMs: Infinity,
     };
-    this.#windows.push(window);
-    if (isUnplanned(fault.kind)) this.#watch.forgive();
+    this.#faultWindows.push(window);
+    if (isUnplanned(fault.kind)) this.#configMonitor.dropPendingChanges();
     this.#options.print?.(
       `${Math.round(fault.atMs)} ms: ${fault.kind} for ${fault.durationMs} ms`,
     );
@@ -233,61 +242,63 @@
       return true;
     });
     window.endMs = performance.now();
-    if (!done) this.#windows.splice(this.#windows.indexOf(window), 1);
+    if (!done) this.#faultWindows.splice(this.#faultWindows.indexOf(window), 1);
   }
 
   /** Whether an unplanned fault or its aftermath touches the time span. */
-  #isDisturbed(startMs: number, endMs: number): boolean {
-    return this.#windows.some((window) =>
+  #overlapsUnplannedFault(startMs: number, endMs: number): boolean {
+    return this.#faultWindows.some((window) =>
       isUnplanned(window.fault.kind) &&
-      window.startMs <= endMs && window.endMs + AFTERMATH_MS >= startMs
+      window.startMs <= endMs && window.endMs + FAULT_RECOVERY_MS >= startMs
     );
   }
 
-  async #scrapeViolations(untilMs: number): Promise<void> {
+  async #pollViolations(untilMs: number): Promise<void> {
     while (performance.now() < untilMs) {
       for (const vm of this.#cluster.deployment.vms) {
         const pid = this.#cluster.readPid(vm.id);
-        const count = await readViolations(vm.operators).catch(() => undefined);
+        const count = await fetchViolationCount(vm.operators).catch(() =>
+          undefined
+        );
         if (count !== undefined) {
-          this.#violationsSeen.set(`${vm.id}/${pid}`, count);
+          this.#violationCounts.set(`${vm.id}/${pid}`, count);
         }
       }
       await sleep(500);
     }
   }
 
-  async #report(): Promise<ChaosReport> {
-    const broken = this.#records.filter(isBroken);
-    const planned = broken.filter(({ startMs, endMs }) =>
-      !this.#isDisturbed(startMs, endMs)
+  async #buildReport(): Promise<ChaosReport> {
+    const failures = this.#records.filter(isUnexpectedFailure);
+    const plannedFailures = failures.filter(({ startMs, endMs }) =>
+      !this.#overlapsUnplannedFault(startMs, endMs)
     );
     return buildChaosReport({
       seed: this.#options.seed,
       startMs: this.#startMs,
       ledger: await this.#cluster.readLedger(),
       records: this.#records,
-      cutByPlannedChange: planned,
-      cutByFailure: broken.length - planned.length,
+      cutByPlannedChange: plannedFailures,
+      cutByFailure: failures.length - plannedFailures.length,
       drains: this.#drains,
       faults: this.#countFaults(),
       roleChanges: await this.#countRoleChanges(),
-      invariants: sum([...this.#violationsSeen.values()]),
+      invariantViolations: sum([...this.#violationCounts.values()]),
       violationList: listViolations({
         folder: this.#cluster.directory,
         vms: this.#cluster.deployment.vms.map(({ id }) => id),
         startedAtUnixMs: this.#startedAtUnixMs,
       }),
       raceWinnersMax: this.#raceWinnersMax,
-      spreadMsMax: this.#watch.spreadMsMax,
-      reverts: this.#watch.reverts,
-      offsets: this.#watch.listOffsets(),
+      maxPropagationMs: this.#configMonitor.maxPropagationMs,
+      configReverts: this.#configMonitor.revertCount,
+      configOffsets: this.#configMonitor.listOffsets(),
     });
   }
 
   #countFaults(): Record<string, number> {
     const counts: Record<string, number> = {};
-    for (const { fault } of this.#windows) {
+    for (const { fault } of this.#faultWindows) {
       counts[fault.kind] = (counts[fault.kind] ?? 0) + 1;
     }
     return counts;
@@ -299,7 +310,7 @@
       const inZone = this.#cluster.deployment.vms.filter((vm) =>
         vm.availabilityZone === zone
       );
-      const seen = await Promise.all(
+      const roleChanges = await Promise.all(
         inZone.map((vm) =>
           this.#cluster.readStatus(vm).then(
             (status) => status.lease.roleChanges,
@@ -307,7 +318,7 @@
           )
         ),
       );
-      count += Math.max(...seen);
+      count += Math.max(...roleChanges);
     }
     return count;
   }
@@ -317,7 +328,7 @@
   return counts.reduce((total, count) => total + count, 0);
 }
 
-async function readViolations(operators: string): Promise<number> {
+async function fetchViolationCount(operators: string): Promise<number> {
   const answer = await request(`http://${operators}/metrics`, {
     signal: AbortSignal.timeout(800),
   });
--- a/packages/heatherarch-lab/chaos/config_watch.ts
+++ b/packages/heatherarch-lab/chaos/config_monitor.ts
@@ -8,29 +8,29 @@
 import type { Cluster } from "../cluster.ts";
 import type { AcceptedChange } from "./fault_driver.ts";
 
-const POLL_MS = 100;
+const POLL_INTERVAL_MS = 100;
 /** Longest time that a change may take everywhere (the users' figure). */
-export const SPREAD_LIMIT_MS = 14_000;
+export const MAX_PROPAGATION_MS = 14_000;
 
 /** Watches a cluster. */
-export class ConfigWatch {
+export class ConfigMonitor {
   readonly #cluster: Cluster;
   readonly #offsets = new Map<string, { pid: number; offset: number }>();
-  readonly #pending = new Map<AcceptedChange, Set<string>>();
-  #spreadMsMax = 0;
-  #reverts = 0;
-  #stopped = false;
+  readonly #vmsWithoutChange = new Map<AcceptedChange, Set<string>>();
+  #maxPropagationMs = 0;
+  #revertCount = 0;
+  #isStopped = false;
 
   constructor(cluster: Cluster) {
     this.#cluster = cluster;
   }
 
-  get spreadMsMax(): number {
-    return this.#spreadMsMax;
+  get maxPropagationMs(): number {
+    return this.#maxPropagationMs;
   }
 
-  get reverts(): number {
-    return this.#reverts;
+  get revertCount(): number {
+    return this.#revertCount;
   }
 
   /** Offset that each VM had applied when it was last asked. */
@@ -39,44 +39,47 @@
   }
 
   start(): void {
-    for (const { id } of this.#cluster.deployment.vms) void this.#watch(id);
+    for (const { id } of this.#cluster.deployment.vms) void this.#pollVm(id);
   }
 
   stop(): void {
-    this.#stopped = true;
+    this.#isStopped = true;
   }
 
   /** A change was accepted: every VM is to apply it. */
-  expect(change: AcceptedChange): void {
+  expectPropagation(change: AcceptedChange): void {
     const ids = this.#cluster.deployment.vms.map((vm) => vm.id);
-    this.#pending.set(change, new Set(ids));
+    this.#vmsWithoutChange.set(change, new Set(ids));
   }
 
   /** Counts no spread time for changes that an unplanned fault may have held up. */
-  forgive(): void {
-    this.#pending.clear();
+  dropPendingChanges(): void {
+    this.#vmsWithoutChange.clear();
   }
 
-  async #watch(id: string): Promise<void> {
+  async #pollVm(id: string): Promise<void> {
     const vm = this.#cluster.deployment.vms.find((entry) => entry.id === id);
-    while (!this.#stopped && vm !== undefined) {
+    while (!this.#isStopped && vm !== undefined) {
       const pid = this.#cluster.readPid(id) ?? 0;
       const status = await this.#cluster.readStatus(vm).catch(() => undefined);
       if (status !== undefined && pid === this.#cluster.readPid(id)) {
-        this.#note(id, pid, status.config.offset);
+        this.#recordOffset(id, pid, status.config.offset);
       }
-      await sleep(POLL_MS);
+      await sleep(POLL_INTERVAL_MS);
     }
   }
 
-  #note(id: string, pid: number, offset: number): void {
+  #recordOffset(id: string, pid: number, offset: number): void {
     const known = this.#offsets.get(id);
-    if (known?.pid === pid && offset < known.offset) this.#reverts++;
+    if (known?.pid === pid && offset < known.offset) this.#revertCount++;
     this.#offsets.set(id, { pid, offset });
-    for (const [change, missing] of this.#pending) {
-      if (offset < change.offset || !missing.delete(id)) continue;
-      this.#spreadMsMax = Math.max(this.#spreadMsMax, Date.now() - change.atMs);
-      if (missing.size === 0) this.#pending.delete(change);
+    for (const [change, pendingVms] of this.#vmsWithoutChange) {
+      if (offset < change.offset || !pendingVms.delete(id)) continue;
+      this.#maxPropagationMs = Math.max(
+        this.#maxPropagationMs,
+        Date.now() - change.atMs,
+      );
+      if (pendingVms.size === 0) this.#vmsWithoutChange.delete(change);
     }
   }
 }
--- a/packages/heatherarch-lab/chaos/fault_driver.ts
+++ b/packages/heatherarch-lab/chaos/fault_driver.ts
@@ -7,8 +7,8 @@
 import type { Target } from "heatherarch-settings";
 import type { Cluster } from "../cluster.ts";
 import type { DeployedVm } from "../deployment.ts";
-import type { ChaosNetwork } from "./network.ts";
-import type { FaultKind, ScheduledFault } from "./schedule.ts";
+import type { ChaosNetwork } from "./chaos_network.ts";
+import type { FaultKind, ScheduledFault } from "./fault_schedule.ts";
 
 /** A change of configuration that was accepted during the run. */
 export interface AcceptedChange {
@@ -26,21 +26,21 @@
 
 /** What the driver tells the run. */
 export interface FaultListener {
-  onAccepted(change: AcceptedChange): void;
-  onDrained(record: DrainRecord): void;
-  onRace(winners: number): void;
+  onChangeAccepted(change: AcceptedChange): void;
+  onDrainChecked(record: DrainRecord): void;
+  onRaceFinished(winners: number): void;
 }
 
-const PLATFORM_NORMAL = {
+const NO_LOG_FAULTS = {
   down: false,
   slowMs: 0,
   loseAnswerShare: 0,
   duplicateShare: 0,
   retainRecords: 100_000,
 };
-const TRIMMED_RECORDS = 60;
-const LOSING_SHARE = 0.3;
-const EXIT_LIMIT_MS = 30_000;
+const TRIMMED_LOG_RECORDS = 60;
+const FAULT_PROBABILITY = 0.3;
+const EXIT_TIMEOUT_MS = 30_000;
 
 /** Drives faults. */
 export class FaultDriver {
@@ -48,7 +48,7 @@
   readonly #network: ChaosNetwork;
   readonly #listener: FaultListener;
   /** VMs and targets that a fault has in hand; another one leaves them alone. */
-  readonly #busy = new Set<string>();
+  readonly #lockedIds = new Set<string>();
 
   constructor(
     cluster: Cluster,
@@ -68,32 +68,45 @@
     > = {
       killVm: (f) => this.#stopVm(f, "SIGKILL"),
       terminateVm: (f) => this.#stopVm(f, "SIGTERM"),
-      pauseVm: (f) => this.#pause(f, this.#pickVm(f.pick)),
-      pauseHolder: async (f) => this.#pause(f, await this.#findHolder(f.pick)),
+      pauseVm: (f) => this.#pauseVm(f, this.#pickVm(f.selector)),
+      pauseHolder: async (f) =>
+        this.#pauseVm(f, await this.#findHolder(f.selector)),
       cutZone: (f) =>
-        this.#forZone(f, (zone, mode) => this.#network.setZone(zone, mode)),
+        this.#cutZoneLinks(
+          f,
+          (zone, mode) => this.#network.setZoneLinks(zone, mode),
+        ),
       cutPlatform: (f) =>
-        this.#forZone(f, (zone, mode) => this.#network.setPlatform(zone, mode)),
-      silenceConnections: (f) => this.#silence(f),
-      platformDown: (f) => this.#platform(f, { down: true }),
-      platformSlow: (f) => this.#platform(f, { slowMs: 400 }),
+        this.#cutZoneLinks(
+          f,
+          (zone, mode) => this.#network.setPlatformLinks(zone, mode),
+        ),
+      silenceConnections: (f) => this.#silenceConnections(f),
+      platformDown: (f) => this.#injectLogFaults(f, { down: true }),
+      platformSlow: (f) => this.#injectLogFaults(f, { slowMs: 400 }),
       loseAppendAnswers: (f) =>
-        this.#platform(f, { loseAnswerShare: LOSING_SHARE }),
-      repeatAppends: (f) => this.#platform(f, { duplicateShare: LOSING_SHARE }),
-      trimLog: (f) => this.#platform(f, { retainRecords: TRIMMED_RECORDS }),
-      engineCrash: (f) => this.#crash(this.#pickEngine(f.pick), f.durationMs),
-      engineCrashInOrder: (f) => this.#crashInOrder(f),
-      engineFreeze: (f) => this.#freeze(f),
-      engineTruncate: (f) => this.#truncate(f),
-      engineCrossAnswers: (f) => this.#cross(f),
-      serviceLoseAnswers: (f) => this.#loseAnswers(f),
+        this.#injectLogFaults(f, { loseAnswerShare: FAULT_PROBABILITY }),
+      repeatAppends: (f) =>
+        this.#injectLogFaults(f, { duplicateShare: FAULT_PROBABILITY }),
+      trimLog: (f) =>
+        this.#injectLogFaults(f, { retainRecords: TRIMMED_LOG_RECORDS }),
+      engineCrash: (f) =>
+        this.#crashTarget(this.#pickEngine(f.selector), f.durationMs),
+      engineCrashInOrder: (f) => this.#crashDuringOrder(f),
+      engineFreeze: (f) => this.#freezeEngine(f),
+      engineTruncate: (f) => this.#truncateResponses(f),
+      engineCrossAnswers: (f) => this.#crossResponses(f),
+      serviceLoseAnswers: (f) => this.#loseResponses(f),
       serviceCrash: (f) =>
-        this.#crash(this.#pickService(f.pick), Math.min(f.durationMs, 1500)),
-      drainTarget: (f) => this.#direct(f, "drain"),
-      withdrawTarget: (f) => this.#direct(f, "withdraw"),
-      operatorRace: (f) => this.#race(f),
-      reviseProfile: (f) => this.#revise(f),
-      listLag: (f) => this.#lagList(f),
+        this.#crashTarget(
+          this.#pickService(f.selector),
+          Math.min(f.durationMs, 1500),
+        ),
+      drainTarget: (f) => this.#testDirective(f, "drain"),
+      withdrawTarget: (f) => this.#testDirective(f, "withdraw"),
+      operatorRace: (f) => this.#raceOperators(f),
+      reviseProfile: (f) => this.#reviseProfile(f),
+      listLag: (f) => this.#delayVmList(f),
     };
     return await handlers[fault.kind](fault);
   }
@@ -125,14 +138,14 @@
     return this.#pickVm(pick);
   }
 
-  async #hold(id: string, work: () => Promise<void>): Promise<boolean> {
-    if (this.#busy.has(id)) return false;
-    this.#busy.add(id);
+  async #withLock(id: string, work: () => Promise<void>): Promise<boolean> {
+    if (this.#lockedIds.has(id)) return false;
+    this.#lockedIds.add(id);
     try {
       await work();
       return true;
     } finally {
-      this.#busy.delete(id);
+      this.#lockedIds.delete(id);
     }
   }
 
@@ -141,15 +154,15 @@
     fault: ScheduledFault,
     signal: "SIGKILL" | "SIGTERM",
   ): Promise<boolean> {
-    const vm = this.#pickVm(fault.pick);
-    return this.#hold(
+    const vm = this.#pickVm(fault.selector);
+    return this.#withLock(
       `zone ${vm.availabilityZone}`,
       () =>
-        this.#hold(vm.id, async () => {
+        this.#withLock(vm.id, async () => {
           this.#cluster.signalVm(vm.id, signal);
           await Promise.race([
             this.#cluster.waitExit(vm.id),
-            sleep(EXIT_LIMIT_MS),
+            sleep(EXIT_TIMEOUT_MS),
           ]);
           await sleep(Math.min(fault.durationMs, 1500));
           this.#cluster.startVm(vm);
@@ -158,62 +171,62 @@
     );
   }
 
-  #pause(fault: ScheduledFault, vm: DeployedVm): Promise<boolean> {
-    return this.#hold(vm.id, async () => {
+  #pauseVm(fault: ScheduledFault, vm: DeployedVm): Promise<boolean> {
+    return this.#withLock(vm.id, async () => {
       this.#cluster.signalVm(vm.id, "SIGSTOP");
       await sleep(fault.durationMs);
       this.#cluster.signalVm(vm.id, "SIGCONT");
     });
   }
 
-  #forZone(
+  #cutZoneLinks(
     fault: ScheduledFault,
-    set: (zone: string, mode: "cut" | "open") => void,
+    setMode: (zone: string, mode: "cut" | "open") => void,
   ): Promise<boolean> {
     const zones = this.#cluster.deployment.fleet.availabilityZones;
-    const zone = zones[fault.pick % zones.length];
-    return this.#hold(`links ${zone}`, async () => {
-      set(zone, "cut");
+    const zone = zones[fault.selector % zones.length];
+    return this.#withLock(`links ${zone}`, async () => {
+      setMode(zone, "cut");
       await sleep(fault.durationMs);
-      set(zone, "open");
+      setMode(zone, "open");
     });
   }
 
-  async #silence(fault: ScheduledFault): Promise<boolean> {
-    const direction = fault.pick % 2 === 0 ? "silentForward" : "silentBack";
-    this.#network.silenceSome(fault.pick, direction);
+  async #silenceConnections(fault: ScheduledFault): Promise<boolean> {
+    const direction = fault.selector % 2 === 0 ? "silentForward" : "silentBack";
+    this.#network.silenceConnections(fault.selector, direction);
     await sleep(fault.durationMs);
     return true;
   }
 
-  #platform(
+  #injectLogFaults(
     fault: ScheduledFault,
-    faults: Partial<typeof PLATFORM_NORMAL>,
+    faults: Partial<typeof NO_LOG_FAULTS>,
   ): Promise<boolean> {
-    return this.#hold("platform", async () => {
+    return this.#withLock("platform", async () => {
       await this.#cluster.command({ kind: "log", faults });
       await sleep(fault.durationMs);
-      await this.#cluster.command({ kind: "log", faults: PLATFORM_NORMAL });
+      await this.#cluster.command({ kind: "log", faults: NO_LOG_FAULTS });
     });
   }
 
-  #crash(target: Target, downMs: number): Promise<boolean> {
-    return this.#hold(target.id, async () => {
+  #crashTarget(target: Target, downMs: number): Promise<boolean> {
+    return this.#withLock(target.id, async () => {
       await this.#cluster.command({ kind: "crash", target: target.id, downMs });
       await sleep(downMs);
     });
   }
 
-  async #crashInOrder(fault: ScheduledFault): Promise<boolean> {
-    const target = this.#pickEngine(fault.pick).id;
+  async #crashDuringOrder(fault: ScheduledFault): Promise<boolean> {
+    const target = this.#pickEngine(fault.selector).id;
     await this.#cluster.command({ kind: "crashInOrder", target, afterMs: 150 });
     await sleep(fault.durationMs);
     return true;
   }
 
-  #freeze(fault: ScheduledFault): Promise<boolean> {
-    const { id } = this.#pickEngine(fault.pick);
-    return this.#hold(id, async () => {
+  #freezeEngine(fault: ScheduledFault): Promise<boolean> {
+    const { id } = this.#pickEngine(fault.selector);
+    return this.#withLock(id, async () => {
       await this.#cluster.command({
         kind: "freeze",
         target: id,
@@ -223,20 +236,20 @@
     });
   }
 
-  #truncate(fault: ScheduledFault): Promise<boolean> {
-    const { id } = this.#pickEngine(fault.pick);
-    return this.#hold(id, async () => {
+  #truncateResponses(fault: ScheduledFault): Promise<boolean> {
+    const { id } = this.#pickEngine(fault.selector);
+    return this.#withLock(id, async () => {
       await this.#cluster.command({ kind: "truncate", target: id, after: 3 });
       await sleep(fault.durationMs);
       await this.#cluster.command({ kind: "truncate", target: id, after: 0 });
     });
   }
 
-  #cross(fault: ScheduledFault): Promise<boolean> {
-    const { id } = fault.pick % 4 === 0
-      ? this.#pickService(fault.pick)
-      : this.#pickEngine(fault.pick);
-    return this.#hold(id, async () => {
+  #crossResponses(fault: ScheduledFault): Promise<boolean> {
+    const { id } = fault.selector % 4 === 0
+      ? this.#pickService(fault.selector)
+      : this.#pickEngine(fault.selector);
+    return this.#withLock(id, async () => {
       await this.#cluster.command({
         kind: "crossAnswers",
         target: id,
@@ -251,9 +264,9 @@
     });
   }
 
-  #loseAnswers(fault: ScheduledFault): Promise<boolean> {
-    const { id } = this.#pickService(fault.pick);
-    return this.#hold(id, async () => {
+  #loseResponses(fault: ScheduledFault): Promise<boolean> {
+    const { id } = this.#pickService(fault.selector);
+    return this.#withLock(id, async () => {
       await this.#cluster.command({
         kind: "loseAnswers",
         target: id,
@@ -269,28 +282,28 @@
   }
 
   /** Drains or withdraws a target, watches what it still gets, and restores it. */
-  #direct(
+  #testDirective(
     fault: ScheduledFault,
     directive: "drain" | "withdraw",
   ): Promise<boolean> {
-    const target = fault.pick % 3 === 0
-      ? this.#pickService(fault.pick)
-      : this.#pickEngine(fault.pick);
-    return this.#hold(target.id, async () => {
+    const target = fault.selector % 3 === 0
+      ? this.#pickService(fault.selector)
+      : this.#pickEngine(fault.selector);
+    return this.#withLock(target.id, async () => {
       const accepted = await this.#publishDirective(
         target.id,
         directive,
-        fault.pick,
+        fault.selector,
       );
       if (accepted === undefined) return;
       await sleep(Math.max(1500, fault.durationMs));
       const { lastWorkAtMs } = await this.#cluster.readLedger();
-      this.#listener.onDrained({
+      this.#listener.onDrainChecked({
         target: target.id,
         atMs: accepted.atMs,
         lastWorkAtMs: lastWorkAtMs[target.id],
       });
-      await this.#publishDirective(target.id, "restore", fault.pick);
+      await this.#publishDirective(target.id, "restore", fault.selector);
     });
   }
 
@@ -299,12 +312,12 @@
     directive: string,
     pick: number,
   ): Promise<AcceptedChange | undefined> {
-    const read = (directives: Record<string, { revision: number }>) =>
+    const getRevision = (directives: Record<string, { revision: number }>) =>
       directives[target]?.revision ?? -1;
     const change = { kind: "directTarget", target, directive };
     return await this.#publish(
       change,
-      (config) => read(config.directives),
+      (config) => getRevision(config.directives),
       pick,
     );
   }
@@ -312,7 +325,7 @@
   /** Publishes through a VM that answers, against the present revision. */
   async #publish(
     change: unknown,
-    readBase: (config: ConfigView) => number,
+    getBaseRevision: (config: ConfigResponse) => number,
     pick: number,
   ): Promise<AcceptedChange | undefined> {
     for (let attempt = 0; attempt < 20; attempt++) {
@@ -320,14 +333,14 @@
       try {
         const config = await readConfig(vm);
         const atMs = Date.now();
-        const answer = await this.#cluster.publish(
+        const response = await this.#cluster.publish(
           change,
-          readBase(config),
+          getBaseRevision(config),
           vm,
         );
-        if (answer.status === 200 && answer.body.verdict === "accepted") {
-          const accepted = { offset: answer.body.offset ?? -1, atMs };
-          this.#listener.onAccepted(accepted);
+        if (response.status === 200 && response.body.verdict === "accepted") {
+          const accepted = { offset: response.body.offset ?? -1, atMs };
+          this.#listener.onChangeAccepted(accepted);
           return accepted;
         }
       } catch {
@@ -339,43 +352,50 @@
   }
 
   /** Two operators change the same thing from the same base through two VMs. */
-  async #race(fault: ScheduledFault): Promise<boolean> {
-    const first = this.#pickVm(fault.pick);
-    const second = this.#pickVm(fault.pick + 1);
+  async #raceOperators(fault: ScheduledFault): Promise<boolean> {
+    const first = this.#pickVm(fault.selector);
+    const second = this.#pickVm(fault.selector + 1);
     const config = await readConfig(first).catch(() => undefined);
     if (config === undefined) return false;
     const base = config.profiles.default?.revision ?? -1;
-    const build = (deadlineMs: number) => ({
+    const buildChange = (deadlineMs: number) => ({
       kind: "putProfile",
       profile: { name: "default", deadlineMs, kvTransferMinTokens: 256 },
     });
-    const answers = await Promise.all([
-      this.#cluster.publish(build(30_000), base, first).catch(() => undefined),
-      this.#cluster.publish(build(31_000), base, second).catch(() => undefined),
+    const responses = await Promise.all([
+      this.#cluster.publish(buildChange(30_000), base, first).catch(() =>
+        undefined
+      ),
+      this.#cluster.publish(buildChange(31_000), base, second).catch(() =>
+        undefined
+      ),
     ]);
-    const won = answers.filter((answer) => answer?.body.verdict === "accepted");
-    for (const answer of won) {
-      this.#listener.onAccepted({
+    const acceptedResponses = responses.filter((answer) =>
+      answer?.body.verdict === "accepted"
+    );
+    for (const answer of acceptedResponses) {
+      this.#listener.onChangeAccepted({
         offset: answer?.body.offset ?? -1,
         atMs: Date.now(),
       });
     }
-    this.#listener.onRace(won.length);
+    this.#listener.onRaceFinished(acceptedResponses.length);
     return true;
   }
 
-  async #revise(fault: ScheduledFault): Promise<boolean> {
-    const deadlineMs = 30_000 + fault.pick % 1000;
+  async #reviseProfile(fault: ScheduledFault): Promise<boolean> {
+    const deadlineMs = 30_000 + fault.selector % 1000;
     const change = {
       kind: "putProfile",
       profile: { name: "default", deadlineMs, kvTransferMinTokens: 256 },
     };
-    const readBase = (config: ConfigView) =>
+    const getBaseRevision = (config: ConfigResponse) =>
       config.profiles.default?.revision ?? -1;
-    return await this.#publish(change, readBase, fault.pick) !== undefined;
+    return await this.#publish(change, getBaseRevision, fault.selector) !==
+      undefined;
   }
 
-  async #lagList(fault: ScheduledFault): Promise<boolean> {
+  async #delayVmList(fault: ScheduledFault): Promise<boolean> {
     await this.#cluster.command({
       kind: "vms",
       vms: [],
@@ -386,14 +406,14 @@
   }
 }
 
-interface ConfigView {
+interface ConfigResponse {
   readonly profiles: Record<string, { revision: number }>;
   readonly directives: Record<string, { revision: number }>;
 }
 
-async function readConfig(vm: DeployedVm): Promise<ConfigView> {
-  const answer = await fetch(`http://${vm.operators}/v1/config`, {
+async function readConfig(vm: DeployedVm): Promise<ConfigResponse> {
+  const response = await fetch(`http://${vm.operators}/v1/config`, {
     signal: AbortSignal.timeout(1500),
   });
-  return await answer.json() as ConfigView;
+  return await response.json() as ConfigResponse;
 }
--- a/packages/heatherarch-lab/chaos/schedule.ts
+++ b/packages/heatherarch-lab/chaos/fault_schedule.ts
@@ -49,13 +49,13 @@
   readonly atMs: number;
   readonly durationMs: number;
   /** Which VM, zone, target or link: taken modulo their number. */
-  readonly pick: number;
+  readonly selector: number;
 }
 
 /** Length of a phase, milliseconds; unplanned and planned phases take turns. */
 const PHASE_MS = 12_000;
 /** Quiet time at the end of a phase, in which all heals. */
-const QUIET_MS = 3500;
+const PHASE_RECOVERY_MS = 3500;
 
 /** Whether a fault is one that nobody planned. */
 export function isUnplanned(kind: FaultKind): boolean {
@@ -63,7 +63,10 @@
 }
 
 /** Builds the schedule of a run. */
-export function buildSchedule(seed: number, totalMs: number): ScheduledFault[] {
+export function buildFaultSchedule(
+  seed: number,
+  totalMs: number,
+): ScheduledFault[] {
   const random = new Random(seed);
   const schedule: ScheduledFault[] = [];
   for (
@@ -72,7 +75,7 @@
     startMs += PHASE_MS, phase++
   ) {
     const kinds = phase % 2 === 0 ? PLANNED_CHANGES : UNPLANNED_FAULTS;
-    const endMs = Math.min(startMs + PHASE_MS, totalMs) - QUIET_MS;
+    const endMs = Math.min(startMs + PHASE_MS, totalMs) - PHASE_RECOVERY_MS;
     for (
       let atMs = startMs;
       atMs < endMs;
@@ -85,9 +88,9 @@
           atMs,
           durationMs: Math.min(
             random.drawInteger(800, 5000),
-            endMs + QUIET_MS / 2 - atMs,
+            endMs + PHASE_RECOVERY_MS / 2 - atMs,
           ),
-          pick: random.drawInteger(0, 1_000_000),
+          selector: random.drawInteger(0, 1_000_000),
         });
       }
     }
--- a/packages/heatherarch-lab/chaos/balancer.ts
+++ b/packages/heatherarch-lab/chaos/load_balancer.ts
@@ -7,38 +7,38 @@
 import { type Random, sleep } from "heatherarch-core";
 import type { DeployedVm } from "../deployment.ts";
 
-const POLL_MS = 150;
+const POLL_INTERVAL_MS = 150;
 
 /** Knows which VMs are ready. */
-export class Balancer {
+export class LoadBalancer {
   readonly #vms: readonly DeployedVm[];
-  readonly #ready = new Set<string>();
-  #stopped = false;
+  readonly #readyIds = new Set<string>();
+  #isStopped = false;
 
   constructor(vms: readonly DeployedVm[]) {
     this.#vms = vms;
   }
 
   start(): void {
-    for (const vm of this.#vms) void this.#watch(vm);
+    for (const vm of this.#vms) void this.#pollReadiness(vm);
   }
 
   stop(): void {
-    this.#stopped = true;
+    this.#isStopped = true;
   }
 
   /** A ready VM, or any where none is. */
-  pick(random: Random): DeployedVm {
-    const ready = this.#vms.filter((vm) => this.#ready.has(vm.id));
+  pickVm(random: Random): DeployedVm {
+    const ready = this.#vms.filter((vm) => this.#readyIds.has(vm.id));
     return random.drawItem(ready.length > 0 ? ready : this.#vms);
   }
 
-  async #watch(vm: DeployedVm): Promise<void> {
-    while (!this.#stopped) {
+  async #pollReadiness(vm: DeployedVm): Promise<void> {
+    while (!this.#isStopped) {
       const ready = await isReady(vm);
-      if (ready) this.#ready.add(vm.id);
-      else this.#ready.delete(vm.id);
-      await sleep(POLL_MS);
+      if (ready) this.#readyIds.add(vm.id);
+      else this.#readyIds.delete(vm.id);
+      await sleep(POLL_INTERVAL_MS);
     }
   }
 }
--- a/packages/heatherarch-lab/chaos/recovery.ts
+++ b/packages/heatherarch-lab/chaos/recovery.ts
@@ -8,7 +8,7 @@
 import { Cluster } from "../cluster.ts";
 import { buildDeployment, type DeployedVm, SHAPES } from "../deployment.ts";
 import { type LoadRecord, sendOne } from "../mixed_load.ts";
-import { ChaosNetwork } from "./network.ts";
+import { ChaosNetwork } from "./chaos_network.ts";
 
 /** Times in seconds, and the share of requests that a cut zone answered. */
 export interface RecoveryReport {
@@ -28,9 +28,9 @@
   };
 }
 
-const POLL_MS = 20;
-const LIMIT_MS = 60_000;
-const CUT_MS = 8000;
+const POLL_INTERVAL_MS = 20;
+const TIMEOUT_MS = 60_000;
+const PARTITION_MS = 8000;
 const OUTAGE_MS = 8000;
 
 /** Measures all times once. */
@@ -62,20 +62,22 @@
           mesh,
         })),
       },
-      network: { translate: network.buildTranslation(vm.availabilityZone) },
+      network: {
+        translate: network.buildAddressTranslation(vm.availabilityZone),
+      },
     }),
   });
   try {
     await cluster.start();
-    const recovery = new Recovery(cluster, network);
-    await recovery.waitForOrder("2");
+    const recovery = new RecoveryMeasurement(cluster, network);
+    await recovery.publishAndWaitForOrders("2");
     const report: RecoveryReport = {
-      holderKilledToNextOrder: await recovery.measureHolder("SIGKILL", "3"),
-      holderStoppedToNextOrder: await recovery.measureHolder("SIGTERM", "4"),
-      platformBackToCaughtUp: await recovery.measureOutage(),
-      startToReadyPlatformUp: await recovery.measureStart(false),
-      startToReadyPlatformDown: await recovery.measureStart(true),
-      ...await recovery.measureCut(),
+      holderKilledToNextOrder: await recovery.measureFailover("SIGKILL", "3"),
+      holderStoppedToNextOrder: await recovery.measureFailover("SIGTERM", "4"),
+      platformBackToCaughtUp: await recovery.measureOutageRecovery(),
+      startToReadyPlatformUp: await recovery.measureStartup(false),
+      startToReadyPlatformDown: await recovery.measureStartup(true),
+      ...await recovery.measurePartition(),
     };
     print(JSON.stringify(report));
     return report;
@@ -85,7 +87,7 @@
   }
 }
 
-class Recovery {
+class RecoveryMeasurement {
   readonly #cluster: Cluster;
   readonly #network: ChaosNetwork;
   readonly #zones: readonly string[];
@@ -98,7 +100,7 @@
   }
 
   /** Publishes a model version and waits until the first zone's engines were all ordered to it. */
-  async waitForOrder(version: string): Promise<void> {
+  async publishAndWaitForOrders(version: string): Promise<void> {
     const { vms } = this.#cluster.deployment;
     const before = await this.#countOrders();
     await this.#publishVersion(version, vms[vms.length - 1]);
@@ -106,7 +108,7 @@
     await sleep(2000);
   }
 
-  async measureHolder(
+  async measureFailover(
     signal: "SIGKILL" | "SIGTERM",
     version: string,
   ): Promise<number> {
@@ -117,7 +119,7 @@
     this.#cluster.signalVm(holder.id, signal);
     const publishing = this.#publishVersion(version, vms[vms.length - 1]);
     await this.#waitUntil(async () => await this.#countOrders() > before);
-    const seconds = secondsSince(startMs);
+    const seconds = computeSecondsSince(startMs);
     await publishing;
     await this.#cluster.waitExit(holder.id);
     this.#cluster.startVm(holder);
@@ -127,67 +129,72 @@
     return seconds;
   }
 
-  async measureOutage(): Promise<number> {
+  async measureOutageRecovery(): Promise<number> {
     await this.#cluster.command({ kind: "log", faults: { down: true } });
     await sleep(OUTAGE_MS);
     await this.#cluster.command({ kind: "log", faults: { down: false } });
     const startMs = performance.now();
     await this.#waitUntil(async () => {
-      const stale = await this.#readAll((status) =>
+      const stale = await this.#readFromAllVms((status) =>
         status.config.staleMs ?? Infinity
       );
       const limit = performance.now() - startMs;
       // A VM that is no relay is current through its peers; relays must have read.
       return stale.filter((ms) => ms < limit).length >= this.#zones.length;
     });
-    return secondsSince(startMs);
+    return computeSecondsSince(startMs);
   }
 
-  async measureStart(platformDown: boolean): Promise<number> {
+  async measureStartup(isPlatformDown: boolean): Promise<number> {
     const [vm] = this.#cluster.deployment.vms;
     this.#cluster.signalVm(vm.id, "SIGTERM");
     await this.#cluster.waitExit(vm.id);
-    if (platformDown) {
+    if (isPlatformDown) {
       await this.#cluster.command({ kind: "log", faults: { down: true } });
     }
     await sleep(500);
     const startMs = performance.now();
     this.#cluster.startVm(vm);
     await this.#cluster.waitReady([vm]);
-    const seconds = secondsSince(startMs);
-    if (platformDown) {
+    const seconds = computeSecondsSince(startMs);
+    if (isPlatformDown) {
       await this.#cluster.command({ kind: "log", faults: { down: false } });
     }
     await sleep(3000);
     return seconds;
   }
 
-  async measureCut(): Promise<
+  async measurePartition(): Promise<
     Pick<RecoveryReport, "healedToAgreed" | "cutZone">
   > {
     const zone = this.#zones[1];
     const { vms } = this.#cluster.deployment;
     const inside = vms.filter((vm) => vm.availabilityZone === zone);
     const [outside] = vms;
-    this.#network.setZone(zone, "cut");
-    const load = this.#sendTo(inside, CUT_MS);
+    this.#network.setZoneLinks(zone, "cut");
+    const load = this.#runLoad(inside, PARTITION_MS);
     const change = { kind: "putProfile", profile: { name: "during-the-cut" } };
     const answer = await this.#cluster.publish(change, -1, outside);
     const offset = answer.body.offset ?? Infinity;
     const records = await load;
-    this.#network.setZone(zone, "open");
+    this.#network.setZoneLinks(zone, "open");
     const startMs = performance.now();
     await this.#waitUntil(async () => {
-      const offsets = await this.#readAll((status) => status.config.offset);
+      const offsets = await this.#readFromAllVms((status) =>
+        status.config.offset
+      );
       return offsets.every((applied) => applied >= offset);
     });
     return {
-      healedToAgreed: secondsSince(startMs),
-      cutZone: summarizeCut(records),
+      healedToAgreed: computeSecondsSince(startMs),
+      cutZone: summarizePartition(records),
     };
   }
 
-  async #sendTo(vms: readonly DeployedVm[], ms: number): Promise<LoadRecord[]> {
+  async #runLoad(
+    vms: readonly DeployedVm[],
+    ms: number,
+  ): Promise<LoadRecord[]> {
     const caller = new Caller();
     const random = new Random(5);
     const deployment = { ...this.#cluster.deployment, vms };
@@ -236,7 +243,7 @@
     return found as DeployedVm;
   }
 
-  async #readAll(
+  async #readFromAllVms(
     read: (status: Awaited<ReturnType<Cluster["readStatus"]>>) => number,
   ): Promise<number[]> {
     const { vms } = this.#cluster.deployment;
@@ -246,35 +253,41 @@
   }
 
   async #waitUntil(check: () => Promise<boolean>): Promise<void> {
-    const untilMs = performance.now() + LIMIT_MS;
+    const untilMs = performance.now() + TIMEOUT_MS;
     while (!(await check().catch(() => false))) {
       if (performance.now() > untilMs) {
         throw new Error("recovery took too long");
       }
-      await sleep(POLL_MS);
+      await sleep(POLL_INTERVAL_MS);
     }
   }
 }
 
-function summarizeCut(
+function summarizePartition(
   records: readonly LoadRecord[],
 ): RecoveryReport["cutZone"] {
-  const share = (what: string, holds: (record: LoadRecord) => boolean) => {
+  const computeShare = (
+    what: string,
+    matches: (record: LoadRecord) => boolean,
+  ) => {
     const all = records.filter((record) => record.what === what);
     return all.length === 0
       ? 0
-      : Math.round(1000 * all.filter(holds).length / all.length) / 1000;
+      : Math.round(1000 * all.filter(matches).length / all.length) / 1000;
   };
-  const answered = ({ result }: LoadRecord) => result.outcome === "whole";
+  const isComplete = ({ result }: LoadRecord) => result.outcome === "whole";
   return {
     requests: records.length,
-    readingsAnsweredShare: share("reading", answered),
-    lookupsAnsweredShare: share("lookup", answered),
-    bookingsAnsweredShare: share("booking", answered),
-    bookingsRefusedShare: share("booking", ({ result }) => result.run === "no"),
+    readingsAnsweredShare: computeShare("reading", isComplete),
+    lookupsAnsweredShare: computeShare("lookup", isComplete),
+    bookingsAnsweredShare: computeShare("booking", isComplete),
+    bookingsRefusedShare: computeShare(
+      "booking",
+      ({ result }) => result.run === "no",
+    ),
   };
 }
 
-function secondsSince(startMs: number): number {
+function computeSecondsSince(startMs: number): number {
   return Math.round(performance.now() - startMs) / 1000;
 }
--- a/packages/heatherarch-lab/chaos/violation_list.ts
+++ b/packages/heatherarch-lab/chaos/violation_list.ts
@@ -28,7 +28,7 @@
 }
 
 /** Lines that are kept of each VM. */
-const KEPT_LINES = 20;
+const CONTEXT_LINES = 20;
 
 /** Reads the violations of all VMs, in the order of their times. */
 export function listViolations(
@@ -59,7 +59,7 @@
       invariant: String(entry.invariant),
       detail: String(entry.detail),
       atMs: Date.parse(String(entry.timestamp)) - startedAtUnixMs,
-      lines: lines.slice(Math.max(0, index + 1 - KEPT_LINES), index + 1),
+      lines: lines.slice(Math.max(0, index + 1 - CONTEXT_LINES), index + 1),
     }];
   });
 }
--- a/packages/heatherarch-lab/mutations.ts
+++ b/packages/heatherarch-lab/mutations.ts
@@ -36,7 +36,7 @@
       const result = await runProof(proof, {
         seed,
         runs: mutationRuns,
-        off: guard,
+        disabledGuard: guard,
       });
       const { failed: caught, runs, reason } = result;
       results.push({ proof: proof.name, guard, caught, seed, runs, reason });
--- a/packages/heatherarch-lab/proofs/claims_proof.ts
+++ b/packages/heatherarch-lab/proofs/claims_proof.ts
@@ -14,16 +14,16 @@
   CLAIMS_FORMAT,
   type TimedRecord,
 } from "heatherarch-claims";
-import { buildGuardSet, type Proof, requirePromise } from "./proof.ts";
+import { assertProperty, buildGuardSet, type Proof } from "./proof.ts";
 
 const OWNERS = 3;
 const KEYS = 5;
-const WINDOW_MS = 10_000;
+const KEY_WINDOW_MS = 10_000;
 const START_MS = 1_000_000;
 const KEY_AGES = [0, 5000];
 
 /** Guard of the owner, not of the fold: nothing is granted before the own claim is read. */
-const READ_UP_TO_OWN_CLAIM = "readUpToOwnClaim";
+const READ_OWN_CLAIM = "readUpToOwnClaim";
 
 type Operation =
   | {
@@ -31,7 +31,7 @@
     readonly owner: number;
     readonly key: number;
     readonly ageMs: number;
-    readonly fate: Fate;
+    readonly fate: AppendFate;
   }
   | {
     readonly kind: "end";
@@ -44,9 +44,9 @@
   | { readonly kind: "arrive" }
   | { readonly kind: "wait"; readonly ms: number };
 
-type Fate = "prompt" | "late" | "twice";
+type AppendFate = "prompt" | "late" | "twice";
 
-interface Pending {
+interface PendingClaim {
   readonly claimId: string;
   readonly key: string;
 }
@@ -54,28 +54,28 @@
 interface Owner {
   fold: ClaimFold;
   /** Claims that wait for their verdict. */
-  waiting: Map<string, Pending>;
+  pendingClaims: Map<string, PendingClaim>;
   /** Granted claims that have neither run out nor been released. */
-  held: Pending[];
+  heldClaims: PendingClaim[];
 }
 
 /** The stream of one shard and its owners. */
-class ClaimWorld {
-  readonly #off: string | undefined;
+class ClaimSimulation {
+  readonly #disabledGuard: string | undefined;
   readonly #log: TimedRecord[] = [];
-  readonly #late: ClaimRecord[] = [];
+  readonly #delayed: ClaimRecord[] = [];
   readonly #owners: Owner[] = [];
   /** Runs by key: the oracle. */
   readonly #runs = new Map<string, number>();
   /** Which claim holds each key, by the order of the log: the second oracle. */
   readonly #holders = new Map<string, string>();
-  readonly #seen = new Set<string>();
-  #first = 0;
+  readonly #seenIds = new Set<string>();
+  #oldestOffset = 0;
   #nowMs = START_MS;
-  #ids = 0;
+  #idCount = 0;
 
-  constructor(off: string | undefined) {
-    this.#off = off;
+  constructor(disabledGuard: string | undefined) {
+    this.#disabledGuard = disabledGuard;
     for (let i = 0; i < OWNERS; i++) this.#owners.push(this.#createOwner());
   }
 
@@ -84,7 +84,7 @@
       case "claim":
         return this.#claim(operation);
       case "end":
-        return this.#end(this.#owners[operation.owner], operation.how);
+        return this.#endClaim(this.#owners[operation.owner], operation.how);
       case "read":
         return this.#read(this.#owners[operation.owner], operation.limit);
       case "restart":
@@ -93,7 +93,7 @@
       case "trim":
         return this.#trim(this.#owners[operation.owner]);
       case "arrive": {
-        const record = this.#late.shift();
+        const record = this.#delayed.shift();
         if (record !== undefined) this.#append(record);
         return;
       }
@@ -104,16 +104,16 @@
 
   #createOwner(): Owner {
     const fold = new ClaimFold({
-      keyWindowMs: WINDOW_MS,
+      keyWindowMs: KEY_WINDOW_MS,
       futureSkewMs: 1000,
-      disabledGuards: buildGuardSet<ClaimGuard>(this.#off),
+      disabledGuards: buildGuardSet<ClaimGuard>(this.#disabledGuard),
     });
-    return { fold, waiting: new Map(), held: [] };
+    return { fold, pendingClaims: new Map(), heldClaims: [] };
   }
 
   #claim(operation: Extract<Operation, { kind: "claim" }>): void {
     const owner = this.#owners[operation.owner];
-    const claimId = `claim${this.#ids++}`;
+    const claimId = `claim${this.#idCount++}`;
     // A key's time is part of it, so the same key always carries the same time.
     const { text: key, madeAtMs } = buildKey(operation.key, operation.ageMs);
     const entry: ClaimEntry = {
@@ -124,38 +124,38 @@
       fingerprint: "f",
       vm: "vm",
     };
-    owner.waiting.set(claimId, { claimId, key });
-    this.#send([entry], operation.fate);
-    if (this.#off === READ_UP_TO_OWN_CLAIM) this.#grantUnread(owner, claimId);
+    owner.pendingClaims.set(claimId, { claimId, key });
+    this.#appendBatch([entry], operation.fate);
+    if (this.#disabledGuard === READ_OWN_CLAIM) this.#grantNow(owner, claimId);
   }
 
   /** What an owner would do that trusts an acknowledged append. */
-  #grantUnread(owner: Owner, claimId: string): void {
-    const pending = owner.waiting.get(claimId) as Pending;
-    owner.waiting.delete(claimId);
+  #grantNow(owner: Owner, claimId: string): void {
+    const pending = owner.pendingClaims.get(claimId) as PendingClaim;
+    owner.pendingClaims.delete(claimId);
     if (owner.fold.getKey(pending.key) === undefined) this.#run(owner, pending);
   }
 
-  #send(entries: ClaimEntry[], fate: Fate): void {
+  #appendBatch(entries: ClaimEntry[], fate: AppendFate): void {
     const record: ClaimRecord = {
       type: "batch",
       format: CLAIMS_FORMAT,
-      id: `batch${this.#ids++}`,
+      id: `batch${this.#idCount++}`,
       entries,
     };
-    if (fate !== "prompt") this.#late.push(record);
+    if (fate !== "prompt") this.#delayed.push(record);
     if (fate !== "late") this.#append(record);
   }
 
   #append(data: ClaimRecord): void {
-    const offset = this.#first + this.#log.length;
+    const offset = this.#oldestOffset + this.#log.length;
     this.#log.push({ offset, appendedAtMs: this.#nowMs, data });
-    if (data.type !== "batch" || this.#seen.has(data.id)) return;
-    this.#seen.add(data.id);
-    for (const entry of data.entries) this.#noteHolder(entry);
+    if (data.type !== "batch" || this.#seenIds.has(data.id)) return;
+    this.#seenIds.add(data.id);
+    for (const entry of data.entries) this.#recordHolder(entry);
   }
 
-  #noteHolder(entry: ClaimEntry): void {
+  #recordHolder(entry: ClaimEntry): void {
     const holder = this.#holders.get(entry.key);
     if (entry.op === "release" && holder === entry.claimId) {
       this.#holders.delete(entry.key);
@@ -168,19 +168,19 @@
 
   #isRemembered(madeAtMs: number): boolean {
     const ageMs = this.#nowMs - madeAtMs;
-    return ageMs < WINDOW_MS && ageMs >= -1000;
+    return ageMs < KEY_WINDOW_MS && ageMs >= -1000;
   }
 
   /** An owner that has read everything agrees with the log's order. */
   #checkHolders(owner: Owner): void {
-    if (owner.fold.offset !== this.#first + this.#log.length - 1) return;
+    if (owner.fold.offset !== this.#oldestOffset + this.#log.length - 1) return;
     for (let number = 0; number < KEYS; number++) {
       for (const ageMs of KEY_AGES) {
         const key = buildKey(number, ageMs);
         const known = owner.fold.getKey(key.text)?.claimId;
         if (!this.#isRemembered(key.madeAtMs) || known === undefined) continue;
         const holder = this.#holders.get(key.text);
-        requirePromise(
+        assertProperty(
           known === holder,
           "the first claim holds",
           `${known}, not ${holder}`,
@@ -189,12 +189,12 @@
     }
   }
 
-  #end(owner: Owner, how: "conclude" | "release"): void {
-    const held = owner.held.shift();
+  #endClaim(owner: Owner, how: "conclude" | "release"): void {
+    const held = owner.heldClaims.shift();
     if (held === undefined) return;
     const { claimId, key } = held;
     if (how === "release") this.#runs.set(key, (this.#runs.get(key) ?? 1) - 1);
-    this.#send([
+    this.#appendBatch([
       how === "release" ? { op: "release", claimId, key } : {
         op: "conclude",
         claimId,
@@ -206,44 +206,44 @@
 
   #read(owner: Owner, limit: number): void {
     const from = owner.fold.offset + 1;
-    if (from < this.#first) {
+    if (from < this.#oldestOffset) {
       // Trimmed: a snapshot must bridge the gap, else the owner grants nothing.
-      owner.waiting.clear();
+      owner.pendingClaims.clear();
       owner.fold.loadSnapshot(this.#log);
       return;
     }
     for (
       const record of this.#log.slice(
-        from - this.#first,
-        from - this.#first + limit,
+        from - this.#oldestOffset,
+        from - this.#oldestOffset + limit,
       )
     ) {
       for (const [claimId, verdict] of owner.fold.apply(record)) {
-        const pending = owner.waiting.get(claimId);
+        const pending = owner.pendingClaims.get(claimId);
         if (pending === undefined) continue;
-        owner.waiting.delete(claimId);
+        owner.pendingClaims.delete(claimId);
         if (verdict.kind === "granted") this.#run(owner, pending);
       }
     }
     this.#checkHolders(owner);
   }
 
-  #run(owner: Owner, pending: Pending): void {
+  #run(owner: Owner, pending: PendingClaim): void {
     const runs = (this.#runs.get(pending.key) ?? 0) + 1;
     this.#runs.set(pending.key, runs);
-    owner.held.push(pending);
-    requirePromise(runs <= 1, "a key runs at most once", pending.key);
+    owner.heldClaims.push(pending);
+    assertProperty(runs <= 1, "a key runs at most once", pending.key);
   }
 
   /** A snapshot by an owner that has read all, then everything before it goes. */
   #trim(owner: Owner): void {
     this.#read(owner, Infinity);
-    if (owner.fold.offset !== this.#first + this.#log.length - 1) return;
-    const parts = owner.fold.buildSnapshot(() => `snap${this.#ids++}`);
+    if (owner.fold.offset !== this.#oldestOffset + this.#log.length - 1) return;
+    const parts = owner.fold.buildSnapshot(() => `snap${this.#idCount++}`);
     const keepFrom = this.#log.length;
     for (const part of parts) this.#append(part);
     this.#log.splice(0, keepFrom);
-    this.#first += keepFrom;
+    this.#oldestOffset += keepFrom;
   }
 }
 
@@ -266,7 +266,7 @@
       owner: OWNER,
       key: fc.integer({ min: 0, max: KEYS - 1 }),
       ageMs: fc.constantFrom(...KEY_AGES),
-      fate: fc.constantFrom<Fate>("prompt", "prompt", "late", "twice"),
+      fate: fc.constantFrom<AppendFate>("prompt", "prompt", "late", "twice"),
     }),
   },
   {
@@ -309,12 +309,12 @@
 /** Claims under random schedules. */
 export const CLAIMS_PROOF: Proof = {
   name: "claims",
-  guards: [...CLAIM_GUARDS, READ_UP_TO_OWN_CLAIM],
+  guards: [...CLAIM_GUARDS, READ_OWN_CLAIM],
   build: (off) =>
     fc.property(
       fc.array(OPERATION, { minLength: 20, maxLength: 120, size: "max" }),
       (operations) => {
-        const world = new ClaimWorld(off);
+        const world = new ClaimSimulation(off);
         for (const operation of operations) world.apply(operation);
       },
     ),
--- a/packages/heatherarch-lab/proofs/config_proof.ts
+++ b/packages/heatherarch-lab/proofs/config_proof.ts
@@ -16,7 +16,7 @@
   loadConfigSnapshot,
   type LogRecord,
 } from "heatherarch-log";
-import { buildGuardSet, type Proof, requirePromise } from "./proof.ts";
+import { assertProperty, buildGuardSet, type Proof } from "./proof.ts";
 
 const VIEWS = 3;
 const NAMES = ["fast", "slow"];
@@ -27,8 +27,8 @@
     readonly view: number;
     readonly name: number;
     readonly value: number;
-    readonly deletes: boolean;
-    readonly twice: boolean;
+    readonly isDeletion: boolean;
+    readonly isRepeated: boolean;
   }
   | { readonly kind: "read"; readonly view: number; readonly limit: number }
   | { readonly kind: "ask"; readonly view: number; readonly peer: number }
@@ -36,7 +36,7 @@
   | { readonly kind: "trim"; readonly view: number }
   | { readonly kind: "arrive" };
 
-interface Expected {
+interface ExpectedProfile {
   readonly revision: number;
   readonly value: number;
 }
@@ -52,21 +52,21 @@
 }
 
 /** The stream, the processes that follow it, and the oracle. */
-class ConfigWorld {
-  readonly #off: string | undefined;
+class ConfigSimulation {
+  readonly #disabledGuard: string | undefined;
   readonly #log: LogRecord[] = [];
-  readonly #late: unknown[] = [];
+  readonly #delayed: unknown[] = [];
   readonly #views: ConfigView[] = [];
-  readonly #applied: number[] = [];
-  readonly #oracle = new Map<string, Expected>();
-  readonly #seen = new Set<string>();
+  readonly #appliedOffsets: number[] = [];
+  readonly #expectedProfiles = new Map<string, ExpectedProfile>();
+  readonly #seenIds = new Set<string>();
   /** What the oracle held after each offset. */
-  readonly #expected: ReadonlyMap<string, Expected>[] = [];
-  #first = 0;
-  #ids = 0;
+  readonly #expectedByOffset: ReadonlyMap<string, ExpectedProfile>[] = [];
+  #oldestOffset = 0;
+  #idCount = 0;
 
-  constructor(off: string | undefined) {
-    this.#off = off;
+  constructor(disabledGuard: string | undefined) {
+    this.#disabledGuard = disabledGuard;
     for (let i = 0; i < VIEWS; i++) this.#restart(i);
   }
 
@@ -77,23 +77,23 @@
       case "read":
         return this.#read(operation.view, operation.limit);
       case "ask":
-        return this.#ask(operation.view, operation.peer);
+        return this.#fetchFromPeer(operation.view, operation.peer);
       case "restart":
         return this.#restart(operation.view);
       case "trim":
         return this.#trim(operation.view);
       case "arrive":
-        if (this.#late.length > 0) this.#append(this.#late.shift());
+        if (this.#delayed.length > 0) this.#append(this.#delayed.shift());
     }
   }
 
   #restart(index: number): void {
     this.#views[index] = new ConfigView({
       maxRecentRecords: 4,
-      disabledGuards: buildGuardSet<ConfigGuard>(this.#off),
-      disabledViewGuards: buildGuardSet<ConfigViewGuard>(this.#off),
+      disabledGuards: buildGuardSet<ConfigGuard>(this.#disabledGuard),
+      disabledViewGuards: buildGuardSet<ConfigViewGuard>(this.#disabledGuard),
     });
-    this.#applied[index] = -1;
+    this.#appliedOffsets[index] = -1;
   }
 
   #publish(operation: Extract<Operation, { kind: "publish" }>): void {
@@ -102,36 +102,38 @@
     const record = {
       type: "change",
       format: CONFIG_FORMAT,
-      id: `id${this.#ids++}`,
+      id: `id${this.#idCount++}`,
       author: `operator${operation.view}`,
       atMs: 0,
       baseRevision: state.profiles[name]?.revision ?? -1,
-      change: operation.deletes ? { kind: "deleteProfile", name } : {
+      change: operation.isDeletion ? { kind: "deleteProfile", name } : {
         kind: "putProfile",
         profile: { name, deadlineMs: operation.value },
       },
     };
     this.#append(record);
-    if (operation.twice) this.#late.push(record);
+    if (operation.isRepeated) this.#delayed.push(record);
   }
 
   #append(data: unknown): void {
-    const offset = this.#first + this.#log.length;
+    const offset = this.#oldestOffset + this.#log.length;
     this.#log.push({ offset, appendedAtMs: 0, data });
-    this.#applyToOracle(offset, data as never);
-    this.#expected[offset] = new Map(this.#oracle);
+    this.#applyToExpected(offset, data as never);
+    this.#expectedByOffset[offset] = new Map(this.#expectedProfiles);
   }
 
-  #applyToOracle(offset: number, record: PublishedRecord): void {
-    if (record.type !== "change" || this.#seen.has(record.id)) return;
-    this.#seen.add(record.id);
+  #applyToExpected(offset: number, record: PublishedRecord): void {
+    if (record.type !== "change" || this.#seenIds.has(record.id)) return;
+    this.#seenIds.add(record.id);
     const { change } = record;
     const name = change.name ?? change.profile?.name ?? "";
-    if ((this.#oracle.get(name)?.revision ?? -1) !== record.baseRevision) {
+    if (
+      (this.#expectedProfiles.get(name)?.revision ?? -1) !== record.baseRevision
+    ) {
       return;
     }
-    if (change.profile === undefined) this.#oracle.delete(name);
-    else {this.#oracle.set(name, {
+    if (change.profile === undefined) this.#expectedProfiles.delete(name);
+    else {this.#expectedProfiles.set(name, {
         revision: offset,
         value: change.profile.deadlineMs,
       });}
@@ -140,17 +142,17 @@
   #read(index: number, limit: number): void {
     const view = this.#views[index];
     const from = view.state.offset + 1;
-    if (from < this.#first) {
+    if (from < this.#oldestOffset) {
       const state = loadConfigSnapshot(this.#log);
       if (state !== undefined) view.loadState(state);
     } else {
-      const start = from - this.#first;
+      const start = from - this.#oldestOffset;
       view.applyRecords(this.#log.slice(start, start + limit));
     }
     this.#check(index);
   }
 
-  #ask(index: number, peer: number): void {
+  #fetchFromPeer(index: number, peer: number): void {
     const view = this.#views[index];
     // A peer may answer late: what it says was asked for long ago.
     const update = this.#views[peer].buildUpdate(0);
@@ -162,9 +164,9 @@
   #trim(index: number): void {
     this.#read(index, Infinity);
     const { state } = this.#views[index];
-    if (state.offset !== this.#first + this.#log.length - 1) return;
+    if (state.offset !== this.#oldestOffset + this.#log.length - 1) return;
     const keepFrom = this.#log.length;
-    const id = `snap${this.#ids++}`;
+    const id = `snap${this.#idCount++}`;
     this.#append({
       type: "snapshot",
       format: CONFIG_FORMAT,
@@ -173,18 +175,18 @@
       state,
     });
     this.#log.splice(0, keepFrom);
-    this.#first += keepFrom;
+    this.#oldestOffset += keepFrom;
   }
 
   #check(index: number): void {
     const { state } = this.#views[index];
-    requirePromise(
-      state.offset >= this.#applied[index],
+    assertProperty(
+      state.offset >= this.#appliedOffsets[index],
       "the configuration never reverts",
-      `${state.offset} after ${this.#applied[index]}`,
+      `${state.offset} after ${this.#appliedOffsets[index]}`,
     );
-    this.#applied[index] = state.offset;
-    requirePromise(
+    this.#appliedOffsets[index] = state.offset;
+    assertProperty(
       this.#isExpected(state),
       "the same offset gives the same state",
       `offset ${state.offset}`,
@@ -193,12 +195,12 @@
 
   #isExpected(state: ConfigState): boolean {
     if (state.offset < 0) return Object.keys(state.profiles).length === 0;
-    const expected = this.#expected[state.offset];
+    const expected = this.#expectedByOffset[state.offset];
     return NAMES.every((name) => {
-      const has = state.profiles[name];
-      const wants = expected.get(name);
-      return has?.revision === wants?.revision &&
-        has?.profile.deadlineMs === wants?.value;
+      const actual = state.profiles[name];
+      const wanted = expected.get(name);
+      return actual?.revision === wanted?.revision &&
+        actual?.profile.deadlineMs === wanted?.value;
     });
   }
 }
@@ -213,8 +215,8 @@
       view: VIEW,
       name: fc.integer({ min: 0, max: NAMES.length - 1 }),
       value: fc.integer({ min: 50, max: 5000 }),
-      deletes: fc.boolean(),
-      twice: fc.boolean(),
+      isDeletion: fc.boolean(),
+      isRepeated: fc.boolean(),
     }),
   },
   {
@@ -252,7 +254,7 @@
     fc.property(
       fc.array(OPERATION, { minLength: 10, maxLength: 80, size: "max" }),
       (operations) => {
-        const world = new ConfigWorld(off);
+        const world = new ConfigSimulation(off);
         for (const operation of operations) world.apply(operation);
       },
     ),
--- a/packages/heatherarch-lab/proofs/config_reads_proof.ts
+++ b/packages/heatherarch-lab/proofs/config_reads_proof.ts
@@ -9,18 +9,18 @@
 import {
   measureDelays,
   REQUEST_TIMEOUT_MS,
-  type Silence,
+  type SilentPeriod,
   TICK_MS,
-} from "./config_reads_world.ts";
-import { type Proof, requirePromise } from "./proof.ts";
+} from "./config_reads_simulation.ts";
+import { assertProperty, type Proof } from "./proof.ts";
 
 const GUARDS = ["holdFromBound", "limitFromBound", "pauseFromBound"] as const;
 
 const BOUND_MS = 2000;
 /** Part of the bound in which a reader has the change; the rest is for hubs. */
-const READ_PART = 0.75;
+const READER_BOUND_SHARE = 0.75;
 /** Times as they are where they don't follow from the bound, milliseconds. */
-const UNBOUND: Readonly<
+const FIXED_TIMINGS: Readonly<
   Record<typeof GUARDS[number], Partial<ConfigReadTiming>>
 > = {
   holdFromBound: { waitMs: 2000 },
@@ -30,14 +30,14 @@
 
 interface Schedule {
   /** Pauses and silences in turn, milliseconds. */
-  readonly turns: readonly {
+  readonly periods: readonly {
     readonly afterMs: number;
     readonly forMs: number;
   }[];
   readonly unit: number;
 }
 
-function buildSilences({ turns }: Schedule): Silence[] {
+function buildSilentPeriods({ periods: turns }: Schedule): SilentPeriod[] {
   let nowMs = 0;
   return turns.map(({ afterMs, forMs }) => {
     const fromMs = nowMs + afterMs;
@@ -50,22 +50,22 @@
   schedule: Schedule,
   off: string | undefined,
 ): Promise<void> {
-  const planned = planConfigReads({
+  const derivedTiming = planConfigReads({
     configBoundMs: BOUND_MS,
     configWaitMs: BOUND_MS / 2,
     requestTimeoutMs: REQUEST_TIMEOUT_MS,
   });
-  const without = GUARDS.find((guard) => guard === off);
+  const disabled = GUARDS.find((guard) => guard === off);
   const [delayMs] = await measureDelays({
-    reads: without === undefined
-      ? planned
-      : { ...planned, ...UNBOUND[without] },
-    stores: [buildSilences(schedule)],
-    afterMs: 2 * BOUND_MS,
+    reads: disabled === undefined
+      ? derivedTiming
+      : { ...derivedTiming, ...FIXED_TIMINGS[disabled] },
+    stores: [buildSilentPeriods(schedule)],
+    observationMs: 2 * BOUND_MS,
     drawUnit: () => schedule.unit,
   });
-  requirePromise(
-    delayMs <= BOUND_MS * READ_PART + 5 * TICK_MS,
+  assertProperty(
+    delayMs <= BOUND_MS * READER_BOUND_SHARE + 5 * TICK_MS,
     "a change is read in time",
     `${delayMs} ms after the store's return`,
   );
@@ -78,7 +78,7 @@
   build: (off) =>
     fc.asyncProperty(
       fc.record({
-        turns: fc.array(
+        periods: fc.array(
           fc.record({
             afterMs: fc.integer({ min: TICK_MS, max: 2000 }),
             forMs: fc.integer({ min: TICK_MS, max: 4000 }),
--- a/packages/heatherarch-lab/proofs/config_reads_world.ts
+++ b/packages/heatherarch-lab/proofs/config_reads_simulation.ts
@@ -12,18 +12,18 @@
 } from "heatherarch-forward";
 
 /** When a store is silent: what reaches it then, or is held as it begins, is never answered. */
-export interface Silence {
+export interface SilentPeriod {
   readonly fromMs: number;
   readonly untilMs: number;
 }
 
 /** Options of {@linkcode measureDelays}. */
-export interface ConfigReadsWorldOptions {
+export interface ConfigReadsSimulationOptions {
   readonly reads: ConfigReadTiming;
   /** Silences of each reader's store, in the order of their times. */
-  readonly stores: readonly (readonly Silence[])[];
+  readonly stores: readonly (readonly SilentPeriod[])[];
   /** Time for which a reader is followed after the last silence, milliseconds. */
-  readonly afterMs: number;
+  readonly observationMs: number;
   /** Uniform in [0, 1). */
   readonly drawUnit: () => number;
 }
@@ -32,26 +32,28 @@
 /** Longest wait for an answer of a store, milliseconds. */
 export const REQUEST_TIMEOUT_MS = 1500;
 /** Time that a store takes over an answer, milliseconds. */
-const ANSWER_MS = 10;
+const RESPONSE_DELAY_MS = 10;
 /** A change is acknowledged so long after the store is back, milliseconds. */
-const ACK_MS = 50;
+const ACK_DELAY_MS = 50;
 
 /** A store that is changed right after its last silence, and serves one reader. */
-class SilentStore {
-  readonly backAtMs: number;
-  readonly changeAtMs: number;
+class SilentStoreSimulation {
+  readonly recoveredAtMs: number;
+  readonly changedAtMs: number;
   readonly #clock: ManualClock;
-  readonly #silences: readonly Silence[];
+  readonly #silentPeriods: readonly SilentPeriod[];
 
-  constructor(clock: ManualClock, silences: readonly Silence[]) {
+  constructor(clock: ManualClock, silentPeriods: readonly SilentPeriod[]) {
     this.#clock = clock;
-    this.#silences = silences;
-    this.backAtMs = Math.max(...silences.map(({ untilMs }) => untilMs));
-    this.changeAtMs = this.backAtMs + ACK_MS;
+    this.#silentPeriods = silentPeriods;
+    this.recoveredAtMs = Math.max(
+      ...silentPeriods.map(({ untilMs }) => untilMs),
+    );
+    this.changedAtMs = this.recoveredAtMs + ACK_DELAY_MS;
   }
 
   load(timeoutMs = REQUEST_TIMEOUT_MS): Promise<TopicSlice<number>> {
-    return this.#answer(this.#nowMs, timeoutMs);
+    return this.#respond(this.#nowMs, timeoutMs);
   }
 
   readChanges(
@@ -60,29 +62,29 @@
     timeoutMs = REQUEST_TIMEOUT_MS,
   ): Promise<TopicSlice<number>> {
     const untilMs = this.#nowMs + waitMs;
-    const answerAtMs = from > 0 || this.changeAtMs > untilMs
+    const responseAtMs = from > 0 || this.changedAtMs > untilMs
       ? untilMs
-      : Math.max(this.#nowMs, this.changeAtMs);
-    return this.#answer(answerAtMs, waitMs + timeoutMs);
+      : Math.max(this.#nowMs, this.changedAtMs);
+    return this.#respond(responseAtMs, waitMs + timeoutMs);
   }
 
   get #nowMs(): number {
     return this.#clock.readMonotonicMs();
   }
 
-  #answer(atMs: number, timeoutMs: number): Promise<TopicSlice<number>> {
-    const askedAtMs = this.#nowMs;
-    const isLost = this.#silences.some(({ fromMs, untilMs }) =>
-      askedAtMs < untilMs && atMs >= fromMs
+  #respond(atMs: number, timeoutMs: number): Promise<TopicSlice<number>> {
+    const requestedAtMs = this.#nowMs;
+    const isLost = this.#silentPeriods.some(({ fromMs, untilMs }) =>
+      requestedAtMs < untilMs && atMs >= fromMs
     );
-    const next = atMs >= this.changeAtMs ? 1 : 0;
+    const next = atMs >= this.changedAtMs ? 1 : 0;
     return new Promise((resolve, reject) => {
       setTimeout(
         () => {
           if (isLost) reject(new Error("timeout"));
           else resolve({ entries: [], next });
         },
-        isLost ? timeoutMs : atMs - askedAtMs + ANSWER_MS,
+        isLost ? timeoutMs : atMs - requestedAtMs + RESPONSE_DELAY_MS,
       );
     });
   }
@@ -93,13 +95,13 @@
  * reader that does not have it in the time for which it is followed.
  */
 export async function measureDelays(
-  { reads, stores, afterMs, drawUnit }: ConfigReadsWorldOptions,
+  { reads, stores, observationMs, drawUnit }: ConfigReadsSimulationOptions,
 ): Promise<number[]> {
   mock.timers.enable({ apis: ["setTimeout"] });
   const clock = new ManualClock();
   const delaysMs = stores.map(() => Infinity);
-  const followers = stores.map((silences, index) => {
-    const port = new SilentStore(clock, silences);
+  const followers = stores.map((storeSilentPeriods, index) => {
+    const port = new SilentStoreSimulation(clock, storeSilentPeriods);
     const follower: TopicFollower<number> = new TopicFollower<number>({
       name: "configs",
       port,
@@ -111,15 +113,15 @@
       onList: () => undefined,
       onChanges: () => {
         const nowMs = clock.readMonotonicMs();
-        if (nowMs < port.changeAtMs) return;
-        delaysMs[index] = nowMs - port.backAtMs;
+        if (nowMs < port.changedAtMs) return;
+        delaysMs[index] = nowMs - port.recoveredAtMs;
         follower.stop();
       },
     });
     return follower;
   });
   const endMs = Math.max(...stores.flat().map(({ untilMs }) => untilMs)) +
-    afterMs;
+    observationMs;
   try {
     for (const follower of followers) follower.start();
     while (clock.readMonotonicMs() < endMs) {
--- a/packages/heatherarch-lab/proofs/fake_host.ts
+++ b/packages/heatherarch-lab/proofs/fake_host.ts
@@ -35,7 +35,7 @@
 } from "heatherarch-targets";
 
 /** One try that a fake engine was given. */
-export interface FakeTry {
+export interface FakeAttempt {
   readonly target: string;
   readonly call: EngineCall;
   readonly sink: EngineSink;
@@ -47,48 +47,48 @@
   readonly engines: readonly string[];
   readonly clock?: Clock;
   /** Answers calls on plain services. */
-  readonly answerService?: (
+  readonly handleServiceCall?: (
     target: string,
     call: ServiceCall,
   ) => Promise<BufferedResponse>;
-  readonly answerClaim?: () => Promise<ClaimResult>;
-  readonly withResume?: boolean;
+  readonly handleClaim?: () => Promise<ClaimResult>;
+  readonly supportsResume?: boolean;
 }
 
 /** A host and what it was asked. */
 export interface FakeHost {
   readonly host: GatewayHost;
-  readonly tries: FakeTry[];
-  readonly ends: RequestResult[];
+  readonly attempts: FakeAttempt[];
+  readonly results: RequestResult[];
   /** Targets that get no new work. */
-  readonly unusable: Set<string>;
+  readonly unavailableTargets: Set<string>;
 }
 
 /** A request that nothing is known of. */
-export const UNWATCHED: AdmittedRequest = {
+export const STUB_ADMITTED_REQUEST: AdmittedRequest = {
   recordLoss: () => undefined,
   mayRetry: () => true,
   end: () => undefined,
 };
 
-const READING_PROMPT_TOKENS = 7;
-const FAR_DEADLINE_MS = 60_000;
+const PROMPT_TOKENS = 7;
+const TIMEOUT_MS = 60_000;
 
 /** A generation that a fake host is asked for; its engines answer what the prompt gives. */
-export function buildReading(
+export function buildGenerationOptions(
   { clock }: GatewayHost,
   maxTokens: number,
 ): Omit<GenerationOptions, "host" | "sink"> {
   return {
-    admitted: UNWATCHED,
+    admitted: STUB_ADMITTED_REQUEST,
     requestId: "r",
     service: "reader",
     model: "m",
     prompt: "what does the fare rule say",
-    promptTokens: READING_PROMPT_TOKENS,
+    promptTokens: PROMPT_TOKENS,
     maxTokens,
     profile: { ...DEFAULT_PROFILE, kvTransferMinTokens: 0 },
-    deadlineAtMs: clock.readMonotonicMs() + FAR_DEADLINE_MS,
+    deadlineAtMs: clock.readMonotonicMs() + TIMEOUT_MS,
   };
 }
 
@@ -108,9 +108,9 @@
 
 /** Creates a host whose engines do nothing by themselves. */
 export function createFakeHost(options: FakeHostOptions): FakeHost {
-  const tries: FakeTry[] = [];
-  const ends: RequestResult[] = [];
-  const unusable = new Set<string>();
+  const attempts: FakeAttempt[] = [];
+  const results: RequestResult[] = [];
+  const unavailableTargets = new Set<string>();
   const clock = options.clock ?? new RuntimeClock();
   const model = new EngineModel();
   const settings = buildTestSettings();
@@ -122,16 +122,16 @@
     claimLimits: settings.claims,
     targets: {
       listCandidates: () =>
-        options.engines.filter((id) => !unusable.has(id)).map((id) =>
+        options.engines.filter((id) => !unavailableTargets.has(id)).map((id) =>
           buildCandidate(id)
         ),
       findTarget: (id) => buildTarget(id),
       getEngine: (target) =>
-        createFakeEngine(target.id, tries, options.withResume ?? false),
+        createFakeEngine(target.id, attempts, options.supportsResume ?? false),
       getService: (target) => ({
         readState: () => Promise.resolve({ running: 0, leaving: false }),
         send: (call) =>
-          options.answerService?.(target.id, call) ??
+          options.handleServiceCall?.(target.id, call) ??
             Promise.resolve({ kind: "notSent", detail: "" }),
         close: () => Promise.resolve(),
       }),
@@ -146,16 +146,16 @@
       share: settings.requests.lookupReserveShare,
     }),
     claims: {
-      claim: options.answerClaim ??
+      claim: options.handleClaim ??
         (() =>
           Promise.resolve({
             kind: "refused",
             error: new ServeError("internal", "no claims"),
           })),
     },
-    requestWatch: { admit: () => UNWATCHED },
+    requestWatch: { admit: () => STUB_ADMITTED_REQUEST },
     events: {
-      recordResult: (end) => ends.push(end),
+      recordResult: (end) => results.push(end),
       recordRetry: () => undefined,
       recordContinuation: () => undefined,
       recordHedge: () => undefined,
@@ -168,7 +168,7 @@
     readRemoteStream: () =>
       Promise.resolve({ texts: [], state: "unknown", model: "" }),
   };
-  return { host, tries, ends, unusable };
+  return { host, attempts, results, unavailableTargets };
 }
 
 function buildCandidate(id: string): Candidate {
@@ -197,12 +197,12 @@
 
 function createFakeEngine(
   target: string,
-  tries: FakeTry[],
-  withResume: boolean,
+  attempts: FakeAttempt[],
+  supportsResume: boolean,
 ): EnginePort {
   const start = (call: EngineCall, sink: EngineSink) => {
-    const attempt: FakeTry = { target, call, sink, aborted: false };
-    tries.push(attempt);
+    const attempt: FakeAttempt = { target, call, sink, aborted: false };
+    attempts.push(attempt);
     return {
       isSent: true,
       abort: () => {
@@ -213,7 +213,9 @@
   return {
     readState: () => Promise.reject(new Error("not used")),
     generate: start,
-    ...(withResume ? { resume: (call, _from, sink) => start(call, sink) } : {}),
+    ...(supportsResume
+      ? { resume: (call, _from, sink) => start(call, sink) }
+      : {}),
     sendOrder: () => Promise.resolve({ kind: "accepted" }),
     close: () => Promise.resolve(),
   };
--- a/packages/heatherarch-lab/proofs/generation_proof.ts
+++ b/packages/heatherarch-lab/proofs/generation_proof.ts
@@ -12,8 +12,12 @@
 } from "heatherarch-gateway";
 import { computeCompletion } from "heatherarch-standins";
 import type { EngineFailure } from "heatherarch-targets";
-import { buildReading, createFakeHost, type FakeTry } from "./fake_host.ts";
-import { buildGuardSet, type Proof, requirePromise } from "./proof.ts";
+import {
+  buildGenerationOptions,
+  createFakeHost,
+  type FakeAttempt,
+} from "./fake_host.ts";
+import { assertProperty, buildGuardSet, type Proof } from "./proof.ts";
 
 const MAX_TOKENS = 6;
 
@@ -31,55 +35,63 @@
   };
 
 /** Picks a try; high numbers mean the newest one. */
-function pickTry(tries: readonly FakeTry[], attempt: number): number {
-  return attempt >= 2 ? tries.length - 1 : Math.min(attempt, tries.length - 1);
+function pickAttemptIndex(
+  attempts: readonly FakeAttempt[],
+  attempt: number,
+): number {
+  return attempt >= 2
+    ? attempts.length - 1
+    : Math.min(attempt, attempts.length - 1);
 }
 
 function checkOperations(
   operations: readonly Operation[],
-  off: ReadonlySet<GenerationGuard>,
+  disabledGuards: ReadonlySet<GenerationGuard>,
 ): void {
-  const { host, tries } = createFakeHost({ engines: ["e1", "e2", "e3"] });
-  const reading = buildReading(host, MAX_TOKENS);
-  const sent: number[] = [];
+  const { host, attempts } = createFakeHost({ engines: ["e1", "e2", "e3"] });
+  const options = buildGenerationOptions(host, MAX_TOKENS);
+  const sentTokenCounts: number[] = [];
   let text = "";
   let outcome = "running";
   const generation = new Generation({
-    ...reading,
+    ...options,
     host,
     sink: {
       onTokens: (texts) => {
         text += texts.join("");
       },
       onEnd: () => {
-        requirePromise(outcome === "running", "one final answer", outcome);
+        assertProperty(outcome === "running", "one final answer", outcome);
         outcome = "ended";
       },
       onError: () => {
-        requirePromise(outcome === "running", "one final answer", outcome);
+        assertProperty(outcome === "running", "one final answer", outcome);
         outcome = "failed";
       },
     },
-    disabledGuards: off,
+    disabledGuards,
   });
   try {
     generation.start();
     for (const operation of operations) {
-      const at = pickTry(tries, operation.attempt);
-      deliver(tries[at], sent, { at, operation });
-      const expected = computeCompletion(reading.prompt, MAX_TOKENS);
-      requirePromise(
+      const index = pickAttemptIndex(attempts, operation.attempt);
+      applyToAttempt(attempts[index], sentTokenCounts, {
+        at: index,
+        operation,
+      });
+      const expected = computeCompletion(options.prompt, MAX_TOKENS);
+      assertProperty(
         expected.startsWith(text),
         "the answer is the request's own",
         text,
       );
-      requirePromise(
-        tries.every(({ call }) => call.maxTokens > 0),
+      assertProperty(
+        attempts.every(({ call }) => call.maxTokens > 0),
         "no engine is asked for nothing",
       );
-      const whole = text === expected;
-      requirePromise(
-        outcome !== "ended" || whole,
+      const isComplete = text === expected;
+      assertProperty(
+        outcome !== "ended" || isComplete,
         "an ended answer is whole",
         text,
       );
@@ -90,17 +102,17 @@
 }
 
 /** What a try's engine does; it always generates what its own prompt gives. */
-function deliver(
-  attempt: FakeTry,
-  sent: number[],
-  { at, operation }: { at: number; operation: Operation },
+function applyToAttempt(
+  attempt: FakeAttempt,
+  sentTokenCounts: number[],
+  { at: index, operation }: { at: number; operation: Operation },
 ): void {
-  const before = sent[at] ?? 0;
+  const before = sentTokenCounts[index] ?? 0;
   switch (operation.kind) {
     case "tokens": {
       const count = Math.min(operation.count, attempt.call.maxTokens - before);
       if (count <= 0) return;
-      sent[at] = before + count;
+      sentTokenCounts[index] = before + count;
       const all = computeCompletion(attempt.call.prompt, before + count);
       const tokens = all.match(/\S+ /g) ?? [];
       attempt.sink.onTokens(tokens.slice(before));
--- a/packages/heatherarch-lab/proofs/lease_proof.ts
+++ b/packages/heatherarch-lab/proofs/lease_proof.ts
@@ -11,12 +11,12 @@
   type LeaseGuard,
   LeaseStateMachine,
 } from "heatherarch-lease";
-import { buildGuardSet, type Proof, requirePromise } from "./proof.ts";
+import { assertProperty, buildGuardSet, type Proof } from "./proof.ts";
 
 const PROCESSES = 2;
 const DURATION_MS = 1000;
-const DRIFT_MS = 520;
-const RENEW_MS = 250;
+const MAX_DRIFT_MS = 520;
+const RENEW_INTERVAL_MS = 250;
 /** Clock rates that drift apart by less than the bound within one lease. */
 const CLOCK_RATES = [1.2, 0.8];
 
@@ -37,23 +37,23 @@
 interface Process {
   readonly incarnation: string;
   machine: LeaseStateMachine;
-  readSentAtMs: number;
+  lastReadSentMs: number;
 }
 
 /** The log, the processes and the one engine of a schedule. */
-class LeaseWorld {
-  readonly #off: ReadonlySet<LeaseGuard>;
+class LeaseSimulation {
+  readonly #disabledGuards: ReadonlySet<LeaseGuard>;
   readonly #log: unknown[] = [];
-  readonly #late: unknown[] = [];
+  readonly #delayed: unknown[] = [];
   readonly #processes: Process[] = [];
-  readonly #readWhenClaimed = new Map<string, number>();
-  #realMs = 0;
-  #ids = 0;
-  #incarnations = 0;
-  #highestOrder = -1;
-
-  constructor(off: ReadonlySet<LeaseGuard>) {
-    this.#off = off;
+  readonly #readOffsetAtClaim = new Map<string, number>();
+  #trueTimeMs = 0;
+  #idCount = 0;
+  #incarnationCount = 0;
+  #highestOrderToken = -1;
+
+  constructor(disabledGuards: ReadonlySet<LeaseGuard>) {
+    this.#disabledGuards = disabledGuards;
     for (let i = 0; i < PROCESSES; i++) {
       this.#processes.push(this.#createProcess(i));
     }
@@ -62,7 +62,7 @@
   apply(operation: Operation): void {
     switch (operation.kind) {
       case "wait":
-        this.#realMs += operation.ms;
+        this.#trueTimeMs += operation.ms;
         break;
       case "read":
         this.#read(operation.process, operation.limit);
@@ -71,7 +71,7 @@
         this.#tick(operation.process, operation.fate);
         break;
       case "order":
-        this.#order(operation.process);
+        this.#sendOrder(operation.process);
         break;
       case "restart":
         this.#processes[operation.process] = this.#createProcess(
@@ -79,27 +79,27 @@
         );
         break;
       case "arrive":
-        if (this.#late.length > 0) this.#log.push(this.#late.shift());
+        if (this.#delayed.length > 0) this.#log.push(this.#delayed.shift());
         break;
     }
   }
 
   #createProcess(index: number): Process {
-    const incarnation = `run${this.#incarnations++}`;
+    const incarnation = `run${this.#incarnationCount++}`;
     const machine = new LeaseStateMachine({
       vm: `vm${index}`,
       incarnation,
       durationMs: DURATION_MS,
-      driftMs: DRIFT_MS,
-      renewMs: RENEW_MS,
-      createId: () => `id${this.#ids++}`,
-      disabledGuards: this.#off,
+      driftMs: MAX_DRIFT_MS,
+      renewMs: RENEW_INTERVAL_MS,
+      createId: () => `id${this.#idCount++}`,
+      disabledGuards: this.#disabledGuards,
     });
-    return { incarnation, machine, readSentAtMs: -Infinity };
+    return { incarnation, machine, lastReadSentMs: -Infinity };
   }
 
   #readClock(index: number): number {
-    return 1e6 * index + this.#realMs * CLOCK_RATES[index];
+    return 1e6 * index + this.#trueTimeMs * CLOCK_RATES[index];
   }
 
   #read(index: number, limit: number): void {
@@ -116,7 +116,7 @@
       this.#checkDisplacement(before, process.machine.state.claim, offset);
     }
     if (process.machine.state.offset === this.#log.length - 1) {
-      process.readSentAtMs = nowMs;
+      process.lastReadSentMs = nowMs;
     }
   }
 
@@ -130,8 +130,8 @@
       return;
     }
     const id = (this.#log[offset] as { id: string }).id;
-    const readUpTo = this.#readWhenClaimed.get(id) ?? Infinity;
-    requirePromise(
+    const readUpTo = this.#readOffsetAtClaim.get(id) ?? Infinity;
+    assertProperty(
       before.lastSignOffset <= readUpTo,
       "no live holder is displaced unseen",
       `sign at ${before.lastSignOffset}, read up to ${readUpTo}`,
@@ -142,36 +142,36 @@
     const process = this.#processes[index];
     const actions = process.machine.tick(
       this.#readClock(index),
-      process.readSentAtMs,
+      process.lastReadSentMs,
     );
     for (const action of actions) this.#append(process, action, fate);
   }
 
   #append(process: Process, { record }: LeaseAction, fate: AppendFate): void {
     if (record.type === "claim") {
-      this.#readWhenClaimed.set(record.id, process.machine.state.offset);
+      this.#readOffsetAtClaim.set(record.id, process.machine.state.offset);
     }
     if (fate === "lost") return;
-    if (fate === "late" || fate === "twice") this.#late.push(record);
+    if (fate === "late" || fate === "twice") this.#delayed.push(record);
     if (fate !== "late") this.#log.push(record);
   }
 
   /** Check and write are one step, as the executor's guard makes them. */
-  #order(index: number): void {
+  #sendOrder(index: number): void {
     const { machine, incarnation } = this.#processes[index];
     if (!machine.hasAuthority(this.#readClock(index))) return;
     const claim = this.#log[machine.fencing] as { incarnation?: string };
-    requirePromise(
+    assertProperty(
       claim.incarnation === incarnation,
       "only the claimant orders under its claim",
       `${incarnation} under the claim of ${claim.incarnation}`,
     );
-    requirePromise(
-      machine.fencing >= this.#highestOrder,
+    assertProperty(
+      machine.fencing >= this.#highestOrderToken,
       "lapsed authority has no effect",
-      `order under ${machine.fencing} after one under ${this.#highestOrder}`,
+      `order under ${machine.fencing} after one under ${this.#highestOrderToken}`,
     );
-    this.#highestOrder = machine.fencing;
+    this.#highestOrderToken = machine.fencing;
   }
 }
 
@@ -234,7 +234,7 @@
     fc.property(
       fc.array(OPERATION, { minLength: 40, maxLength: 220, size: "max" }),
       (operations) => {
-        const world = new LeaseWorld(buildGuardSet<LeaseGuard>(off));
+        const world = new LeaseSimulation(buildGuardSet<LeaseGuard>(off));
         for (const operation of operations) world.apply(operation);
       },
     ),
--- a/packages/heatherarch-lab/proofs/leaving_proof.ts
+++ b/packages/heatherarch-lab/proofs/leaving_proof.ts
@@ -11,7 +11,7 @@
   type LeavingMark,
   LeavingSet,
 } from "heatherarch-mesh";
-import { buildGuardSet, type Proof, requirePromise } from "./proof.ts";
+import { assertProperty, buildGuardSet, type Proof } from "./proof.ts";
 
 const PEERS = 3;
 const TARGET = "engine";
@@ -22,20 +22,24 @@
   | { readonly kind: "other" }
   | { readonly kind: "read"; readonly peer: number }
   | { readonly kind: "send"; readonly from: number }
-  | { readonly kind: "arrive"; readonly to: number; readonly at: number };
+  | {
+    readonly kind: "arrive";
+    readonly to: number;
+    readonly messageIndex: number;
+  };
 
 /** Peers with messages in flight between them. */
-class LeavingWorld {
+class LeavingSimulation {
   readonly #sets: LeavingSet[] = [];
   readonly #offsets: number[] = [];
   readonly #inFlight: LeavingMark[][] = [];
   #restores: number[] = [];
-  #logEnd = 0;
+  #newestOffset = 0;
   #highestMark = -1;
 
-  constructor(off: ReadonlySet<LeavingGuard>) {
+  constructor(disabledGuards: ReadonlySet<LeavingGuard>) {
     for (let i = 0; i < PEERS; i++) {
-      this.#sets.push(new LeavingSet({ disabledGuards: off }));
+      this.#sets.push(new LeavingSet({ disabledGuards }));
       this.#offsets.push(0);
     }
   }
@@ -50,10 +54,10 @@
         break;
       }
       case "restore":
-        this.#restores.push(++this.#logEnd);
+        this.#restores.push(++this.#newestOffset);
         break;
       case "other":
-        this.#logEnd++;
+        this.#newestOffset++;
         break;
       case "read":
         this.#read(operation.peer);
@@ -62,21 +66,21 @@
         this.#inFlight.push(this.#sets[operation.from].listMarks());
         break;
       case "arrive":
-        this.#arrive(operation.to, operation.at);
+        this.#arrive(operation.to, operation.messageIndex);
         break;
     }
   }
 
   #read(peer: number): void {
-    this.#offsets[peer] = this.#logEnd;
+    this.#offsets[peer] = this.#newestOffset;
     for (const restore of this.#restores) {
       this.#sets[peer].restore(TARGET, restore);
     }
   }
 
-  #arrive(to: number, at: number): void {
+  #arrive(to: number, messageIndex: number): void {
     if (this.#inFlight.length === 0) return;
-    for (const mark of this.#inFlight[at % this.#inFlight.length]) {
+    for (const mark of this.#inFlight[messageIndex % this.#inFlight.length]) {
       this.#sets[to].mark(mark.target, mark.sinceOffset);
     }
   }
@@ -86,20 +90,24 @@
     for (let peer = 0; peer < PEERS; peer++) this.#read(peer);
     for (const set of this.#sets) this.#inFlight.push(set.listMarks());
     for (let peer = 0; peer < PEERS; peer++) {
-      for (let at = this.#inFlight.length - 1; at >= 0; at--) {
-        this.#arrive(peer, at);
+      for (
+        let messageIndex = this.#inFlight.length - 1;
+        messageIndex >= 0;
+        messageIndex--
+      ) {
+        this.#arrive(peer, messageIndex);
       }
     }
     const lastRestore = this.#restores.at(-1) ?? -1;
     const expected = this.#highestMark >= 0 && this.#highestMark >= lastRestore;
     for (const set of this.#sets) {
-      requirePromise(
+      assertProperty(
         set.has(TARGET) === expected,
         "leaving converges",
         `expected ${expected}`,
       );
       const [mark] = set.listMarks();
-      requirePromise(
+      assertProperty(
         !expected || mark.sinceOffset === this.#highestMark,
         "the highest mark is kept",
         `${mark?.sinceOffset} of ${this.#highestMark}`,
@@ -119,7 +127,7 @@
   fc.record({
     kind: fc.constant("arrive" as const),
     to: PEER,
-    at: fc.nat({ max: 50 }),
+    messageIndex: fc.nat({ max: 50 }),
   }),
 );
 
@@ -131,7 +139,7 @@
     fc.property(
       fc.array(OPERATION, { minLength: 4, maxLength: 60, size: "max" }),
       (operations) => {
-        const world = new LeavingWorld(buildGuardSet<LeavingGuard>(off));
+        const world = new LeavingSimulation(buildGuardSet<LeavingGuard>(off));
         for (const operation of operations) world.apply(operation);
         world.finish();
       },
--- a/packages/heatherarch-lab/proofs/membership_proof.ts
+++ b/packages/heatherarch-lab/proofs/membership_proof.ts
@@ -10,7 +10,7 @@
   MEMBERSHIP_GUARDS,
   type MembershipGuard,
 } from "heatherarch-mesh";
-import { buildGuardSet, type Proof, requirePromise } from "./proof.ts";
+import { assertProperty, buildGuardSet, type Proof } from "./proof.ts";
 
 const PEERS = 3;
 const SILENCE_MS = 1000;
@@ -27,21 +27,21 @@
   | { readonly kind: "list"; readonly peers: readonly number[] }
   | { readonly kind: "wait"; readonly ms: number };
 
-interface Expected {
+interface ExpectedMember {
   incarnation: number;
-  heardIncarnation: number;
-  heardAtMs: number;
+  contactIncarnation: number;
+  lastContactMs: number;
   offset: number;
   leaving: boolean;
 }
 
 /** One view, its peers and the oracle. */
-class MembershipWorld {
+class MembershipSimulation {
   readonly #membership: Membership;
-  readonly #expected: Expected[] = [];
+  readonly #expected: ExpectedMember[] = [];
   #nowMs = 0;
 
-  constructor(off: ReadonlySet<MembershipGuard>) {
+  constructor(disabledGuards: ReadonlySet<MembershipGuard>) {
     const self = {
       id: "self",
       incarnation: "r",
@@ -51,13 +51,13 @@
     this.#membership = new Membership({
       self,
       silenceMs: SILENCE_MS,
-      disabledGuards: off,
+      disabledGuards,
     });
     for (let i = 0; i < PEERS; i++) {
       this.#expected.push({
         incarnation: 0,
-        heardIncarnation: -1,
-        heardAtMs: -Infinity,
+        contactIncarnation: -1,
+        lastContactMs: -Infinity,
         offset: -1,
         leaving: false,
       });
@@ -67,13 +67,13 @@
   apply(operation: Operation): void {
     switch (operation.kind) {
       case "heard":
-        this.#hear(operation.peer);
+        this.#recordContact(operation.peer);
         break;
       case "restart":
         this.#expected[operation.peer].incarnation++;
         break;
       case "progress":
-        this.#progress(operation);
+        this.#recordProgress(operation);
         break;
       case "list":
         this.#membership.recordListing(
@@ -97,20 +97,20 @@
     };
   }
 
-  #hear(peer: number): void {
+  #recordContact(peer: number): void {
     this.#membership.recordContact(this.#buildPeer(peer), this.#nowMs);
     const expected = this.#expected[peer];
-    if (expected.heardIncarnation !== expected.incarnation) {
-      expected.heardIncarnation = expected.incarnation;
+    if (expected.contactIncarnation !== expected.incarnation) {
+      expected.contactIncarnation = expected.incarnation;
       expected.offset = -1;
       expected.leaving = false;
     }
-    expected.heardAtMs = this.#nowMs;
+    expected.lastContactMs = this.#nowMs;
   }
 
   /** Progress comes with a heartbeat, and so with an answer. */
-  #progress(operation: Extract<Operation, { kind: "progress" }>): void {
-    this.#hear(operation.peer);
+  #recordProgress(operation: Extract<Operation, { kind: "progress" }>): void {
+    this.#recordContact(operation.peer);
     const { offset, leaving } = operation;
     this.#membership.recordProgress(`vm${operation.peer}`, {
       configOffset: offset,
@@ -125,16 +125,16 @@
   #check(): void {
     const live = this.#membership.listLive();
     this.#expected.forEach((expected, peer) => {
-      const heard = this.#nowMs - expected.heardAtMs <= SILENCE_MS;
-      const wanted = heard && !expected.leaving;
-      requirePromise(
-        live.includes(`vm${peer}`) === wanted,
+      const isInContact = this.#nowMs - expected.lastContactMs <= SILENCE_MS;
+      const shouldBeLive = isInContact && !expected.leaving;
+      assertProperty(
+        live.includes(`vm${peer}`) === shouldBeLive,
         "a peer is live by what it answers",
-        `vm${peer} expected ${wanted}`,
+        `vm${peer} expected ${shouldBeLive}`,
       );
       const member = this.#membership.getMember(`vm${peer}`);
-      requirePromise(
-        !heard || member?.configOffset === expected.offset,
+      assertProperty(
+        !isInContact || member?.configOffset === expected.offset,
         "progress is that of the present incarnation and never lower",
         `${member?.configOffset}, not ${expected.offset}`,
       );
@@ -171,7 +171,9 @@
     fc.property(
       fc.array(OPERATION, { minLength: 4, maxLength: 60, size: "max" }),
       (operations) => {
-        const world = new MembershipWorld(buildGuardSet<MembershipGuard>(off));
+        const world = new MembershipSimulation(
+          buildGuardSet<MembershipGuard>(off),
+        );
         for (const operation of operations) world.apply(operation);
       },
     ),
--- a/packages/heatherarch-lab/proofs/order_write_proof.ts
+++ b/packages/heatherarch-lab/proofs/order_write_proof.ts
@@ -7,7 +7,7 @@
 import fc from "fast-check";
 import { EngineServer } from "heatherarch-standins";
 import { createEngine } from "heatherarch-targets";
-import { type Proof, requirePromise } from "./proof.ts";
+import { assertProperty, type Proof } from "./proof.ts";
 
 const CHECK_BEFORE_WRITE = "checkBeforeWrite";
 
@@ -19,7 +19,7 @@
 
 async function checkSchedule(
   schedule: Schedule,
-  off: string | undefined,
+  disabledGuard: string | undefined,
 ): Promise<void> {
   const { dialect } = schedule;
   const server = new EngineServer({
@@ -43,17 +43,17 @@
     if (!hasAuthority()) return;
     await engine.sendOrder({ kind: "setRole", role: "decode" }, {
       fencing: 1,
-      guard: off === CHECK_BEFORE_WRITE ? () => true : hasAuthority,
+      guard: disabledGuard === CHECK_BEFORE_WRITE ? () => true : hasAuthority,
       timeoutMs: 1000,
     });
-    const lapsed = schedule.checksLeft < 2;
-    requirePromise(
-      !lapsed || server.ledger.ordersObeyed === 0,
+    const hasLapsed = schedule.checksLeft < 2;
+    assertProperty(
+      !hasLapsed || server.ledger.ordersObeyed === 0,
       "lapsed authority has no effect",
       `${server.ledger.ordersObeyed} orders obeyed by a ${dialect} engine`,
     );
-    requirePromise(
-      lapsed || server.ledger.ordersObeyed === 1,
+    assertProperty(
+      hasLapsed || server.ledger.ordersObeyed === 1,
       "a valid order arrives",
     );
   } finally {
--- a/packages/heatherarch-lab/proofs/parser_proof.ts
+++ b/packages/heatherarch-lab/proofs/parser_proof.ts
@@ -12,7 +12,7 @@
   PARSER_GUARDS,
   type ParserGuard,
 } from "heatherarch-targets";
-import { buildGuardSet, type Proof, requirePromise } from "./proof.ts";
+import { assertProperty, buildGuardSet, type Proof } from "./proof.ts";
 
 const CALL: EngineCall = {
   tryId: "mine",
@@ -31,11 +31,13 @@
 interface Schedule {
   readonly dialect: "sse" | "ndjson";
   readonly parts: readonly Part[];
-  readonly marked: boolean;
-  readonly cuts: readonly number[];
+  readonly hasEndMarker: boolean;
+  readonly splitPoints: readonly number[];
 }
 
-function buildBytes({ dialect, parts, marked }: Schedule): Buffer {
+function buildBytes(
+  { dialect, parts, hasEndMarker: marked }: Schedule,
+): Buffer {
   const lines = parts.map((part) => {
     if (part.kind === "garbage") {
       return dialect === "sse" ? "data: {nonsense\n\n" : "{nonsense\n";
@@ -50,11 +52,11 @@
       }\n\n`
       : `${JSON.stringify({ tag: id, s: part.text })}\n`;
   });
-  if (marked) lines.push(buildEnd(dialect));
+  if (marked) lines.push(buildEndMarker(dialect));
   return Buffer.from(lines.join(""));
 }
 
-function buildEnd(dialect: "sse" | "ndjson"): string {
+function buildEndMarker(dialect: "sse" | "ndjson"): string {
   if (dialect === "ndjson") {
     return `${JSON.stringify({ tag: CALL.tryId, end: "length" })}\n`;
   }
@@ -67,54 +69,60 @@
 
 function checkSchedule(
   schedule: Schedule,
-  off: ReadonlySet<ParserGuard>,
+  disabledGuards: ReadonlySet<ParserGuard>,
 ): void {
   let text = "";
-  let ended = 0;
-  let failed = 0;
-  const create = schedule.dialect === "sse"
+  let endCount = 0;
+  let failureCount = 0;
+  const createParser = schedule.dialect === "sse"
     ? createSseParser
     : createNdjsonParser;
-  const parser = create(CALL, {
+  const parser = createParser(CALL, {
     onTokens: (texts) => {
-      if (ended + failed === 0) text += texts.join("");
+      if (endCount + failureCount === 0) text += texts.join("");
     },
     onEnd: () => {
-      if (failed === 0) ended++;
+      if (failureCount === 0) endCount++;
     },
     onFailure: () => {
-      if (ended === 0) failed++;
+      if (endCount === 0) failureCount++;
     },
-  }, { disabledGuards: off });
+  }, { disabledGuards });
   const bytes = buildBytes(schedule);
-  const cuts = [
-    ...schedule.cuts.map((cut) => cut % (bytes.length + 1)),
+  const splitPoints = [
+    ...schedule.splitPoints.map((cut) => cut % (bytes.length + 1)),
     bytes.length,
   ];
-  cuts.sort((a, b) => a - b);
-  let at = 0;
-  for (const cut of cuts) {
-    if (cut > at) parser.push(bytes.subarray(at, cut));
-    at = cut;
+  splitPoints.sort((a, b) => a - b);
+  let position = 0;
+  for (const cut of splitPoints) {
+    if (cut > position) parser.push(bytes.subarray(position, cut));
+    position = cut;
   }
   parser.finish();
-  const own = schedule.parts.filter((part) => part.kind === "token").map((
+  const ownTexts = schedule.parts.filter((part) => part.kind === "token").map((
     part,
   ) => part.text);
-  requirePromise(
-    own.join("").startsWith(text),
+  assertProperty(
+    ownTexts.join("").startsWith(text),
     "only own tokens are delivered",
     text,
   );
-  const clean = own.length === schedule.parts.length;
-  if (ended > 0) {
-    requirePromise(
-      clean && schedule.marked,
+  const isIntact = ownTexts.length === schedule.parts.length;
+  if (endCount > 0) {
+    assertProperty(
+      isIntact && schedule.hasEndMarker,
       "an answer is whole when its end marker came",
     );
-    requirePromise(text === own.join(""), "a whole answer has all its tokens");
+    assertProperty(
+      text === ownTexts.join(""),
+      "a whole answer has all its tokens",
+    );
   } else {
-    requirePromise(!(clean && schedule.marked), "a whole answer is taken");
+    assertProperty(
+      !(isIntact && schedule.hasEndMarker),
+      "a whole answer is taken",
+    );
   }
 }
 
@@ -145,8 +153,8 @@
     ),
     { maxLength: 12 },
   ),
-  marked: fc.boolean(),
-  cuts: fc.array(fc.nat({ max: 5000 }), { maxLength: 10 }),
+  hasEndMarker: fc.boolean(),
+  splitPoints: fc.array(fc.nat({ max: 5000 }), { maxLength: 10 }),
 });
 
 /** Answer parsers under random bytes. */
--- a/packages/heatherarch-lab/proofs/proof.ts
+++ b/packages/heatherarch-lab/proofs/proof.ts
@@ -12,7 +12,9 @@
   /** Guards whose absence the proof must notice. */
   readonly guards: readonly string[];
   /** Builds the property; `off` names the guard that is switched off, if any. */
-  readonly build: (off: string | undefined) => fc.IRawProperty<unknown>;
+  readonly build: (
+    disabledGuard: string | undefined,
+  ) => fc.IRawProperty<unknown>;
 }
 
 /** Result of a proof. */
@@ -29,7 +31,7 @@
 export interface RunProofOptions {
   readonly seed: number;
   readonly runs: number;
-  readonly off?: string;
+  readonly disabledGuard?: string;
 }
 
 /** Runs a proof. */
@@ -37,37 +39,37 @@
   proof: Proof,
   options: RunProofOptions,
 ): Promise<ProofResult> {
-  const { seed, runs, off } = options;
-  const details = await fc.check(
-    proof.build(off) as fc.IAsyncProperty<unknown>,
+  const { seed, runs, disabledGuard } = options;
+  const runDetails = await fc.check(
+    proof.build(disabledGuard) as fc.IAsyncProperty<unknown>,
     {
       seed,
       numRuns: runs,
       endOnFailure: true,
     },
   );
-  const error = details.errorInstance as Error | null;
+  const error = runDetails.errorInstance as Error | null;
   return {
-    failed: details.failed,
+    failed: runDetails.failed,
     seed,
-    path: details.counterexamplePath ?? "",
-    runs: details.numRuns,
+    path: runDetails.counterexamplePath ?? "",
+    runs: runDetails.numRuns,
     reason: (error?.message ?? "").split("\n")[0],
   };
 }
 
 /** The set with one guard, or none. */
 export function buildGuardSet<T extends string>(
-  off: string | undefined,
+  disabledGuard: string | undefined,
 ): ReadonlySet<T> {
-  return new Set(off === undefined ? [] : [off as T]);
+  return new Set(disabledGuard === undefined ? [] : [disabledGuard as T]);
 }
 
 /** Throws with a message naming the promise that a schedule broke. */
-export function requirePromise(
-  holds: boolean,
-  promise: string,
+export function assertProperty(
+  isSatisfied: boolean,
+  property: string,
   detail = "",
 ): void {
-  if (!holds) throw new Error(`${promise}: ${detail}`);
+  if (!isSatisfied) throw new Error(`${property}: ${detail}`);
 }
--- a/packages/heatherarch-lab/proofs/quarantine_proof.ts
+++ b/packages/heatherarch-lab/proofs/quarantine_proof.ts
@@ -11,32 +11,32 @@
   type QuarantineGuard,
   RequestQuarantine,
 } from "heatherarch-quarantine";
-import { buildGuardSet, type Proof, requirePromise } from "./proof.ts";
+import { assertProperty, buildGuardSet, type Proof } from "./proof.ts";
 
 const VMS = 3;
-const PLACES = 4;
+const TARGET_COUNT = 4;
 const STEP_MS = 100;
 const MAX_CRASHES = 3;
 /** Longest delay of a message, time after which all VMs know, and until a target is back, steps. */
-const MAX_DELAY = 3;
-const KNOWN_AFTER = 10;
-const RESTART_AFTER = 5;
+const MAX_DELAY_STEPS = 3;
+const PROPAGATION_STEPS = 10;
+const RESTART_STEPS = 5;
 const POISON = "poison";
 const POPULAR = "popular";
 const ACCOUNT = "account";
 
 /** A request that a VM is sent, and the place of the target that it picks. */
-interface Send {
+interface ScheduledRequest {
   readonly step: number;
   readonly vm: number;
   readonly request: typeof POISON | typeof POPULAR;
-  readonly place: number;
+  readonly targetIndex: number;
   /** Steps for which it runs. */
-  readonly takes: number;
+  readonly durationSteps: number;
 }
 
 /** A link that carries nothing for some steps. */
-interface Cut {
+interface LinkOutage {
   readonly from: number;
   readonly to: number;
   readonly atStep: number;
@@ -44,220 +44,234 @@
 }
 
 interface Schedule {
-  readonly sends: readonly Send[];
-  readonly cuts: readonly Cut[];
+  readonly requests: readonly ScheduledRequest[];
+  readonly linkOutages: readonly LinkOutage[];
   readonly delays: readonly number[];
 }
 
-interface Run {
+interface ActiveRun {
   readonly vm: number;
   readonly request: string;
-  readonly place: number;
+  readonly targetIndex: number;
   readonly endStep: number;
   readonly endTrial: () => void;
 }
 
-interface Message {
+interface PendingMessage {
   readonly to: number;
-  readonly notes: readonly CrashReport[];
+  readonly reports: readonly CrashReport[];
   readonly sentStep: number;
   readonly step: number;
 }
 
 /** The VMs, their links and the targets, in steps of equal length. */
-class QuarantineWorld {
+class QuarantineSimulation {
   readonly #schedule: Schedule;
   readonly #vms: RequestQuarantine[];
   readonly #cursors = new Map<string, number>();
-  readonly #lives = Array.from({ length: PLACES }, () => 1);
+  readonly #incarnations = Array.from({ length: TARGET_COUNT }, () => 1);
   /** Step from which on a place has a target. */
-  readonly #upFrom = Array.from({ length: PLACES }, () => 0);
+  readonly #availableFromStep = Array.from({ length: TARGET_COUNT }, () => 0);
   readonly #crashSteps: number[] = [];
-  #runs: Run[] = [];
-  #messages: Message[] = [];
+  #runs: ActiveRun[] = [];
+  #messages: PendingMessage[] = [];
   #step = 0;
-  #lateArrivals = 0;
-  #delays = 0;
+  #lateArrivalCount = 0;
+  #delayCount = 0;
   /** VMs at which a run of the popular request went well. */
-  readonly #succeeded = new Set<number>();
+  readonly #vmsWithSuccess = new Set<number>();
   #isHealed = false;
   /** A run of the popular request went well after its latest loss. */
-  #isPopularSound = true;
+  #hasPopularSucceeded = true;
 
-  constructor(schedule: Schedule, off: string | undefined) {
+  constructor(schedule: Schedule, disabledGuard: string | undefined) {
     this.#schedule = schedule;
     this.#vms = Array.from({ length: VMS }, () =>
       new RequestQuarantine({
         maxCrashes: MAX_CRASHES,
         holdMs: 1e9,
-        disabledGuards: buildGuardSet<QuarantineGuard>(off),
+        disabledGuards: buildGuardSet<QuarantineGuard>(disabledGuard),
       }));
   }
 
-  play(): void {
-    const last = Math.max(0, ...this.#schedule.sends.map(({ step }) => step));
-    for (; this.#step <= last + KNOWN_AFTER; this.#step++) {
-      this.#endRuns();
-      this.#exchange();
-      for (const send of this.#schedule.sends) {
+  run(): void {
+    const last = Math.max(
+      0,
+      ...this.#schedule.requests.map(({ step }) => step),
+    );
+    for (; this.#step <= last + PROPAGATION_STEPS; this.#step++) {
+      this.#completeRuns();
+      this.#exchangeReports();
+      for (const send of this.#schedule.requests) {
         if (send.step === this.#step) this.#send(send);
       }
     }
-    this.#deliverAll();
-    this.#judgeEnd();
+    this.#deliverPendingMessages();
+    this.#checkConvergence();
   }
 
-  #send({ vm, request, place, takes }: Send): void {
-    if (this.#step < this.#upFrom[place]) return;
+  #send(
+    { vm, request, targetIndex, durationSteps: takes }: ScheduledRequest,
+  ): void {
+    if (this.#step < this.#availableFromStep[targetIndex]) return;
     const quarantine = this.#vms[vm];
     const admission = quarantine.admit(request, this.#nowMs);
     if (admission.kind === "quarantined" || admission.kind === "onTrial") {
       return;
     }
     const isTrial = admission.kind === "trial";
-    const copies = this.#runs.filter((run) =>
+    const activeCopies = this.#runs.filter((run) =>
       run.vm === vm && run.request === request
     );
-    requirePromise(
-      !isTrial || !copies.some((run) => run.endTrial !== endNothing),
+    assertProperty(
+      !isTrial || !activeCopies.some((run) => run.endTrial !== endWithoutTrial),
       "copies of a last trial go one at a time",
     );
-    if (request === POISON) this.#noteArrival(vm);
-    const endTrial = isTrial ? admission.end : endNothing;
+    if (request === POISON) this.#recordPoisonArrival(vm);
+    const endTrial = isTrial ? admission.end : endWithoutTrial;
     const endStep = this.#step + takes;
-    this.#runs.push({ vm, request, place, endStep, endTrial });
+    this.#runs.push({ vm, request, targetIndex, endStep, endTrial });
   }
 
   /** VMs that were cut off lately are not in touch. */
-  #noteArrival(vm: number): void {
-    const third = this.#crashSteps[MAX_CRASHES - 1];
-    if (third === undefined || this.#step <= third + KNOWN_AFTER) return;
-    if (this.#isCutSince(vm, third)) return;
-    this.#lateArrivals++;
-    requirePromise(
-      this.#lateArrivals <= MAX_CRASHES,
+  #recordPoisonArrival(vm: number): void {
+    const thirdCrashStep = this.#crashSteps[MAX_CRASHES - 1];
+    if (
+      thirdCrashStep === undefined ||
+      this.#step <= thirdCrashStep + PROPAGATION_STEPS
+    ) return;
+    if (this.#wasRecentlyDisconnected(vm, thirdCrashStep)) return;
+    this.#lateArrivalCount++;
+    assertProperty(
+      this.#lateArrivalCount <= MAX_CRASHES,
       "a request that ended three targets reaches others three times at most",
     );
   }
 
-  #isCutSince(vm: number, step: number): boolean {
-    return this.#schedule.cuts.some((cut) =>
+  #wasRecentlyDisconnected(vm: number, step: number): boolean {
+    return this.#schedule.linkOutages.some((cut) =>
       (cut.from === vm || cut.to === vm) && cut.atStep <= this.#step &&
-      cut.atStep + cut.steps >= step - KNOWN_AFTER
+      cut.atStep + cut.steps >= step - PROPAGATION_STEPS
     );
   }
 
-  #endRuns(): void {
+  #completeRuns(): void {
     const ending = this.#runs.filter(({ endStep }) => endStep <= this.#step);
     for (const run of ending) {
       if (!this.#runs.includes(run)) continue;
-      if (run.request === POISON) this.#crash(run.place);
-      else this.#succeed(run);
+      if (run.request === POISON) this.#crashTarget(run.targetIndex);
+      else this.#completeRun(run);
     }
   }
 
   /** A target ends under a request: all that ran there is lost. */
-  #crash(place: number): void {
-    const life = `${place}/${this.#lives[place]++}`;
-    this.#upFrom[place] = this.#step + RESTART_AFTER;
+  #crashTarget(targetIndex: number): void {
+    const incarnation = `${targetIndex}/${this.#incarnations[targetIndex]++}`;
+    this.#availableFromStep[targetIndex] = this.#step + RESTART_STEPS;
     this.#crashSteps.push(this.#step);
-    const lost = this.#runs.filter((run) => run.place === place);
-    this.#runs = this.#runs.filter((run) => run.place !== place);
-    for (const { vm, request, endTrial } of lost) {
+    const lostRuns = this.#runs.filter((run) =>
+      run.targetIndex === targetIndex
+    );
+    this.#runs = this.#runs.filter((run) => run.targetIndex !== targetIndex);
+    for (const { vm, request, endTrial } of lostRuns) {
       endTrial();
-      this.#vms[vm].recordCrash(request, ACCOUNT, life, this.#nowMs);
-      if (request === POPULAR) this.#isPopularSound = false;
-      requirePromise(
-        request === POISON || !this.#succeeded.has(vm) ||
+      this.#vms[vm].recordCrash(request, ACCOUNT, incarnation, this.#nowMs);
+      if (request === POPULAR) this.#hasPopularSucceeded = false;
+      assertProperty(
+        request === POISON || !this.#vmsWithSuccess.has(vm) ||
           this.#vms[vm].countCrashes(POPULAR) === 0,
         "crashes do not add up against a request that succeeds",
       );
     }
-    const lives = new Set(this.#crashSteps).size;
+    const crashCount = new Set(this.#crashSteps).size;
     for (const quarantine of this.#vms) {
-      requirePromise(
-        quarantine.countCrashes(POISON) <= Math.max(lives, this.#countLives()),
+      assertProperty(
+        quarantine.countCrashes(POISON) <=
+          Math.max(crashCount, this.#countCrashedIncarnations()),
         "a life counts once",
       );
     }
   }
 
-  #countLives(): number {
-    return this.#lives.reduce((sum, life) => sum + life - 1, 0);
+  #countCrashedIncarnations(): number {
+    return this.#incarnations.reduce(
+      (sum, incarnation) => sum + incarnation - 1,
+      0,
+    );
   }
 
-  #succeed(run: Run): void {
+  #completeRun(run: ActiveRun): void {
     this.#runs = this.#runs.filter((other) => other !== run);
     run.endTrial();
     this.#vms[run.vm].markSuccess(run.request, this.#nowMs);
-    requirePromise(
+    assertProperty(
       this.#vms[run.vm].countCrashes(run.request) === 0,
       "a success clears",
     );
-    this.#succeeded.add(run.vm);
-    this.#isPopularSound = true;
+    this.#vmsWithSuccess.add(run.vm);
+    this.#hasPopularSucceeded = true;
   }
 
   /** Each VM tells each other one what is new since the last time, or all after a cut. */
-  #exchange(): void {
+  #exchangeReports(): void {
     for (let from = 0; from < VMS; from++) {
       for (let to = 0; to < VMS; to++) {
-        if (from !== to) this.#tell(from, to);
+        if (from !== to) this.#sendReports(from, to);
       }
     }
     const due = this.#messages.filter(({ step }) => step <= this.#step);
     this.#messages = this.#messages.filter(({ step }) => step > this.#step);
-    for (const { to, notes, sentStep } of due) {
+    for (const { to, reports: notes, sentStep } of due) {
       this.#vms[to].mergePeerReports(notes, sentStep * STEP_MS);
     }
   }
 
-  #tell(from: number, to: number): void {
+  #sendReports(from: number, to: number): void {
     const link = `${from}-${to}`;
-    const isCut = !this.#isHealed &&
-      this.#schedule.cuts.some((cut) =>
+    const isDown = !this.#isHealed &&
+      this.#schedule.linkOutages.some((cut) =>
         cut.from === from && cut.to === to && this.#step >= cut.atStep &&
         this.#step < cut.atStep + cut.steps
       );
-    if (isCut) {
+    if (isDown) {
       this.#cursors.delete(link);
       return;
     }
-    const told = this.#vms[from].listReports(
+    const page = this.#vms[from].listReports(
       this.#cursors.get(link),
       this.#nowMs,
     );
-    this.#cursors.set(link, told.cursor);
-    if (told.reports.length === 0) return;
+    this.#cursors.set(link, page.cursor);
+    if (page.reports.length === 0) return;
     const { delays } = this.#schedule;
-    const delay = delays[this.#delays++ % delays.length];
+    const delay = delays[this.#delayCount++ % delays.length];
     const sentStep = this.#step;
     const step = sentStep + delay;
-    this.#messages.push({ to, notes: told.reports, sentStep, step });
+    this.#messages.push({ to, reports: page.reports, sentStep, step });
   }
 
   /** All links work, until nothing is on its way. */
-  #deliverAll(): void {
+  #deliverPendingMessages(): void {
     this.#isHealed = true;
     this.#cursors.clear();
-    for (let i = 0; i <= (MAX_DELAY + 1) * VMS; i++, this.#step++) {
-      this.#exchange();
+    for (let i = 0; i <= (MAX_DELAY_STEPS + 1) * VMS; i++, this.#step++) {
+      this.#exchangeReports();
     }
   }
 
-  #judgeEnd(): void {
+  #checkConvergence(): void {
     for (const request of [POISON, POPULAR]) {
       const counts = this.#vms.map((vm) => vm.countCrashes(request));
-      requirePromise(
+      assertProperty(
         new Set(counts).size === 1,
         "VMs that have heard all agree",
         `${request}: ${counts}`,
       );
     }
-    const isHeld =
+    const isQuarantined =
       this.#vms[0].findQuarantined(POPULAR, this.#nowMs) !== undefined;
-    requirePromise(
-      !this.#isPopularSound || !isHeld,
+    assertProperty(
+      !this.#hasPopularSucceeded || !isQuarantined,
       "a request of which a run goes well is not held back",
     );
   }
@@ -267,18 +281,18 @@
   }
 }
 
-function endNothing(): void {
+function endWithoutTrial(): void {
   // No trial goes on.
 }
 
-const SEND = fc.record<Send>({
+const SCHEDULED_REQUEST = fc.record<ScheduledRequest>({
   step: fc.integer({ min: 0, max: 60 }),
   vm: fc.integer({ min: 0, max: VMS - 1 }),
   request: fc.constantFrom(POISON, POPULAR),
-  place: fc.integer({ min: 0, max: PLACES - 1 }),
-  takes: fc.integer({ min: 1, max: 6 }),
+  targetIndex: fc.integer({ min: 0, max: TARGET_COUNT - 1 }),
+  durationSteps: fc.integer({ min: 1, max: 6 }),
 });
-const CUT = fc.record<Cut>({
+const LINK_OUTAGE = fc.record<LinkOutage>({
   from: fc.integer({ min: 0, max: VMS - 1 }),
   to: fc.integer({ min: 0, max: VMS - 1 }),
   atStep: fc.integer({ min: 0, max: 50 }),
@@ -292,13 +306,13 @@
   build: (off) =>
     fc.property(
       fc.record<Schedule>({
-        sends: fc.array(SEND, { minLength: 1, maxLength: 60 }),
-        cuts: fc.array(CUT, { maxLength: 4 }),
-        delays: fc.array(fc.integer({ min: 0, max: MAX_DELAY }), {
+        requests: fc.array(SCHEDULED_REQUEST, { minLength: 1, maxLength: 60 }),
+        linkOutages: fc.array(LINK_OUTAGE, { maxLength: 4 }),
+        delays: fc.array(fc.integer({ min: 0, max: MAX_DELAY_STEPS }), {
           minLength: 1,
           maxLength: 8,
         }),
       }),
-      (schedule) => new QuarantineWorld(schedule, off).play(),
+      (schedule) => new QuarantineSimulation(schedule, off).run(),
     ),
 };
--- a/packages/heatherarch-lab/proofs/target_list_proof.ts
+++ b/packages/heatherarch-lab/proofs/target_list_proof.ts
@@ -12,23 +12,23 @@
   type Target,
   TargetDirectory,
 } from "heatherarch-forward";
-import { buildGuardSet, type Proof, requirePromise } from "./proof.ts";
+import { assertProperty, buildGuardSet, type Proof } from "./proof.ts";
 
 const VMS = 3;
 const STEP_MS = 100;
 /** Between readings of the list, as VMs with a bound of two seconds read it. */
-const POLL_MS = 700;
-const RETRY_MS = 200;
+const POLL_INTERVAL_MS = 700;
+const RETRY_DELAY_MS = 200;
 const HEARTBEAT_MS = 1000;
 /** Silence after which the store drops an entry. */
-const LAPSE_MS = 3 * HEARTBEAT_MS;
+const ENTRY_TIMEOUT_MS = 3 * HEARTBEAT_MS;
 /** Entries of living targets are back this long after an outage. */
-const RETURN_GRACE_MS = 2000;
+const PAUSE_GRACE_MS = 2000;
 const SERVICE = "s";
-const LIVING = "living";
-const LEAVER = "leaver";
-const EARLIER_LIVES = "laterLifeHolds";
-const OLDER_WORD = "newerReadingHolds";
+const LIVE_TARGET = "living";
+const LEAVING_TARGET = "leaver";
+const EARLIER_INCARNATIONS_GUARD = "laterLifeHolds";
+const OLDER_UPDATES_GUARD = "newerReadingHolds";
 
 /** What goes wrong from some step on, for some steps. */
 interface Fault {
@@ -44,70 +44,72 @@
   readonly leavesAtStep: number;
   readonly restartsAtSteps: readonly number[];
   /** Steps at which a VM is told what the list said at the start. */
-  readonly lateWords: readonly {
+  readonly staleUpdates: readonly {
     readonly vm: number;
     readonly atStep: number;
   }[];
   readonly steps: number;
 }
 
-interface ModelVm {
+interface SimulatedVm {
   readonly directory: TargetDirectory;
   nextReadMs: number;
   readAtMs: number;
   /** Whether it has stood still since its last reading. */
   wasPaused: boolean;
   /** Until when it may use what left while it stood still: it can't tell that from an outage. */
-  excusedUntilMs: number;
+  graceUntilMs: number;
 }
 
 /** The store, the targets and the VMs, in steps of equal length. */
-class TargetListWorld {
+class TargetListSimulation {
   readonly #schedule: Schedule;
-  readonly #vms: ModelVm[];
+  readonly #vms: SimulatedVm[];
   readonly #entries = new Map<string, Target>();
-  readonly #heardAtMs = new Map<string, number>();
-  #born = 1;
+  readonly #lastHeartbeatMs = new Map<string, number>();
+  #incarnation = 1;
   #nowMs = 0;
-  #awayUntilMs = -Infinity;
+  #outageEndMs = -Infinity;
 
-  constructor(schedule: Schedule, off: string | undefined) {
+  constructor(schedule: Schedule, disabledGuard: string | undefined) {
     this.#schedule = schedule;
     this.#vms = Array.from({ length: VMS }, (_, i) => ({
       directory: new TargetDirectory({
         targetHeartbeatMs: HEARTBEAT_MS,
-        disabledGuards: buildGuardSet<StoreOutageGuard>(off),
-        acceptsEarlierIncarnations: off === EARLIER_LIVES,
-        acceptsOlderUpdates: off === OLDER_WORD,
+        disabledGuards: buildGuardSet<StoreOutageGuard>(disabledGuard),
+        acceptsEarlierIncarnations:
+          disabledGuard === EARLIER_INCARNATIONS_GUARD,
+        acceptsOlderUpdates: disabledGuard === OLDER_UPDATES_GUARD,
       }),
       nextReadMs: i * STEP_MS,
       readAtMs: -Infinity,
       wasPaused: false,
-      excusedUntilMs: -Infinity,
+      graceUntilMs: -Infinity,
     }));
-    this.#list(LIVING);
-    this.#list(LEAVER);
+    this.#writeEntry(LIVE_TARGET);
+    this.#writeEntry(LEAVING_TARGET);
   }
 
   run(): void {
     for (let step = 0; step < this.#schedule.steps; step++) {
       this.#nowMs = step * STEP_MS;
-      if (this.#isReadByNobody(step)) this.#awayUntilMs = this.#nowMs;
-      this.#moveTargets(step);
-      this.#vms.forEach((vm, i) => this.#moveVm(vm, i, step));
+      if (this.#isUnreadable(step)) this.#outageEndMs = this.#nowMs;
+      this.#updateTargets(step);
+      this.#vms.forEach((vm, i) => this.#updateVm(vm, i, step));
       this.#vms.forEach((vm, i) => this.#check(vm, i));
     }
   }
 
   /** A store that turns everybody away can't be told from one that is away. */
-  #isReadByNobody(step: number): boolean {
-    if (this.#isOn("storeAway", step)) return true;
+  #isUnreadable(step: number): boolean {
+    if (this.#isFaultActive("storeAway", step)) return true;
     return this.#vms.every((_, i) =>
-      this.#isOn("turnedAway", step, i) || this.#isOn("paused", step, i)
+      this.#isFaultActive("turnedAway", step, i) ||
+      this.#isFaultActive("paused", step, i)
     );
   }
 
-  #isOn(kind: Fault["kind"], step: number, vm = 0): boolean {
+  #isFaultActive(kind: Fault["kind"], step: number, vm = 0): boolean {
     return this.#schedule.faults.some((fault) =>
       fault.kind === kind && step >= fault.atStep &&
       step < fault.atStep + fault.steps &&
@@ -116,24 +118,25 @@
   }
 
   /** A target writes with each heartbeat, and one heartbeat after the store is back. */
-  #moveTargets(step: number): void {
+  #updateTargets(step: number): void {
     const { leavesAtStep, restartsAtSteps } = this.#schedule;
-    if (restartsAtSteps.includes(step)) this.#born++;
-    if (step === leavesAtStep) this.#entries.delete(LEAVER);
-    const isAway = this.#isOn("storeAway", step);
-    const backMs = this.#nowMs - this.#awayUntilMs;
-    const isDue = this.#nowMs % HEARTBEAT_MS === 0 || backMs === HEARTBEAT_MS;
-    for (const id of [LIVING, LEAVER]) {
-      if (id === LEAVER && step >= leavesAtStep) continue;
-      if (!isAway && isDue) this.#list(id);
-      const silentMs = this.#nowMs - (this.#heardAtMs.get(id) ?? 0);
-      if (silentMs >= LAPSE_MS) this.#entries.delete(id);
+    if (restartsAtSteps.includes(step)) this.#incarnation++;
+    if (step === leavesAtStep) this.#entries.delete(LEAVING_TARGET);
+    const isStoreDown = this.#isFaultActive("storeAway", step);
+    const sinceOutageMs = this.#nowMs - this.#outageEndMs;
+    const isDue = this.#nowMs % HEARTBEAT_MS === 0 ||
+      sinceOutageMs === HEARTBEAT_MS;
+    for (const id of [LIVE_TARGET, LEAVING_TARGET]) {
+      if (id === LEAVING_TARGET && step >= leavesAtStep) continue;
+      if (!isStoreDown && isDue) this.#writeEntry(id);
+      const silentMs = this.#nowMs - (this.#lastHeartbeatMs.get(id) ?? 0);
+      if (silentMs >= ENTRY_TIMEOUT_MS) this.#entries.delete(id);
     }
   }
 
-  #list(instance: string): void {
-    const startedAtMs = this.#born;
-    this.#heardAtMs.set(instance, this.#nowMs);
+  #writeEntry(instance: string): void {
+    const startedAtMs = this.#incarnation;
+    this.#lastHeartbeatMs.set(instance, this.#nowMs);
     this.#entries.set(instance, {
       id: `${instance}@${startedAtMs}`,
       instance,
@@ -146,23 +149,24 @@
     });
   }
 
-  #moveVm(vm: ModelVm, i: number, step: number): void {
-    if (this.#isOn("paused", step, i)) {
+  #updateVm(vm: SimulatedVm, i: number, step: number): void {
+    if (this.#isFaultActive("paused", step, i)) {
       vm.wasPaused = true;
       return;
     }
-    this.#hearPeers(vm);
-    this.#hearLateWord(vm, i, step);
+    this.#receivePeerReadTimes(vm);
+    this.#receiveStaleUpdate(vm, i, step);
     vm.directory.dropExpired(this.#nowMs);
     if (this.#nowMs < vm.nextReadMs) return;
-    const isRefused = this.#isOn("storeAway", step) ||
-      this.#isOn("turnedAway", step, i);
-    vm.nextReadMs = this.#nowMs + (isRefused ? RETRY_MS : POLL_MS);
+    const isRefused = this.#isFaultActive("storeAway", step) ||
+      this.#isFaultActive("turnedAway", step, i);
+    vm.nextReadMs = this.#nowMs +
+      (isRefused ? RETRY_DELAY_MS : POLL_INTERVAL_MS);
     if (isRefused) vm.directory.recordReadFailure();
     else this.#read(vm);
   }
 
-  #hearPeers(vm: ModelVm): void {
+  #receivePeerReadTimes(vm: SimulatedVm): void {
     for (const peer of this.#vms) {
       if (peer === vm || peer.readAtMs === -Infinity) continue;
       vm.directory.recordPeerRead(peer.readAtMs);
@@ -170,41 +174,56 @@
   }
 
   /** A hub's word that is as old as the day. */
-  #hearLateWord(vm: ModelVm, i: number, step: number): void {
-    const isTold = this.#schedule.lateWords.some((word) =>
+  #receiveStaleUpdate(vm: SimulatedVm, i: number, step: number): void {
+    const isScheduled = this.#schedule.staleUpdates.some((word) =>
       word.vm === i && word.atStep === step
     );
     const known = vm.directory.listAll().find((target) =>
-      target.instance === LIVING
+      target.instance === LIVE_TARGET
     );
-    if (!isTold || known === undefined) return;
-    this.#hearMisdatedWord(vm, known);
-    this.#hearDatedWord(vm, known);
+    if (!isScheduled || known === undefined) return;
+    this.#receiveMisdatedUpdate(vm, known);
+    this.#receiveDatedUpdate(vm, known);
   }
 
   /** A hub that takes its word for younger than it is. */
-  #hearMisdatedWord({ directory, readAtMs }: ModelVm, known: Target): void {
-    const first = { ...known, id: `${LIVING}@1`, startedAtMs: 1 };
-    directory.applyFeed([{ key: first.id, value: first }], false, readAtMs);
+  #receiveMisdatedUpdate(
+    { directory, readAtMs }: SimulatedVm,
+    known: Target,
+  ): void {
+    const firstIncarnation = {
+      ...known,
+      id: `${LIVE_TARGET}@1`,
+      startedAtMs: 1,
+    };
+    directory.applyFeed(
+      [{ key: firstIncarnation.id, value: firstIncarnation }],
+      false,
+      readAtMs,
+    );
     const after = directory.findTarget(known.id);
-    requirePromise(after !== undefined, "the later life holds", known.id);
+    assertProperty(after !== undefined, "the later life holds", known.id);
   }
 
   /** A hub that has read nothing since the start, and says so. */
-  #hearDatedWord({ directory }: ModelVm, known: Target): void {
+  #receiveDatedUpdate({ directory }: SimulatedVm, known: Target): void {
     const before = [...listInstances(directory)].sort().join();
-    const leaver = {
+    const leavingTarget = {
       ...known,
-      id: `${LEAVER}@1`,
-      instance: LEAVER,
+      id: `${LEAVING_TARGET}@1`,
+      instance: LEAVING_TARGET,
       startedAtMs: 1,
     };
-    directory.applyFeed([{ key: leaver.id, value: leaver }], true, 0);
+    directory.applyFeed(
+      [{ key: leavingTarget.id, value: leavingTarget }],
+      true,
+      0,
+    );
     const after = [...listInstances(directory)].sort().join();
-    requirePromise(after === before, "a newer reading holds", after);
+    assertProperty(after === before, "a newer reading holds", after);
   }
 
-  #read(vm: ModelVm): void {
+  #read(vm: SimulatedVm): void {
     const wasPaused = vm.wasPaused;
     const entries = [...this.#entries].map((
       [key, value],
@@ -214,23 +233,24 @@
     }));
     vm.directory.applyList(entries, this.#nowMs);
     vm.readAtMs = this.#nowMs;
-    vm.wasPaused = wasPaused && !this.#entries.has(LIVING);
-    if (wasPaused) vm.excusedUntilMs = this.#nowMs + RETURN_GRACE_MS;
-    const isExcused = this.#awayUntilMs > -Infinity ||
-      this.#nowMs <= vm.excusedUntilMs;
-    const names = listInstances(vm.directory);
-    requirePromise(
-      isExcused || names.has(LEAVER) === this.#entries.has(LEAVER),
+    vm.wasPaused = wasPaused && !this.#entries.has(LIVE_TARGET);
+    if (wasPaused) vm.graceUntilMs = this.#nowMs + PAUSE_GRACE_MS;
+    const isInGrace = this.#outageEndMs > -Infinity ||
+      this.#nowMs <= vm.graceUntilMs;
+    const instances = listInstances(vm.directory);
+    assertProperty(
+      isInGrace ||
+        instances.has(LEAVING_TARGET) === this.#entries.has(LEAVING_TARGET),
       "what leaves is dropped with the first reading",
       `at ${this.#nowMs} ms`,
     );
   }
 
   /** A target that lives is known for all of the day to a VM that did not stand still. */
-  #check(vm: ModelVm, i: number): void {
+  #check(vm: SimulatedVm, i: number): void {
     if (vm.readAtMs === -Infinity || vm.wasPaused) return;
-    requirePromise(
-      listInstances(vm.directory).has(LIVING),
+    assertProperty(
+      listInstances(vm.directory).has(LIVE_TARGET),
       "a living target stays known",
       `vm ${i} at ${this.#nowMs} ms`,
     );
@@ -247,14 +267,14 @@
 const VM = fc.integer({ min: 0, max: VMS - 1 });
 
 /** Shorter outages of the store are not told from failed readings, and no lapse is expected. */
-const MIN_AWAY_STEPS = HEARTBEAT_MS / STEP_MS;
+const MIN_OUTAGE_STEPS = HEARTBEAT_MS / STEP_MS;
 
 const FAULT: fc.Arbitrary<Fault> = fc.oneof(
   fc.record({
     kind: fc.constant("storeAway" as const),
     vm: VM,
     atStep: AT_STEP,
-    steps: fc.integer({ min: MIN_AWAY_STEPS, max: 60 }),
+    steps: fc.integer({ min: MIN_OUTAGE_STEPS, max: 60 }),
   }),
   fc.record({
     kind: fc.constantFrom("turnedAway" as const, "paused" as const),
@@ -268,16 +288,22 @@
   faults: fc.array(FAULT, { maxLength: 4 }),
   leavesAtStep: AT_STEP,
   restartsAtSteps: fc.array(AT_STEP, { maxLength: 3 }),
-  lateWords: fc.array(fc.record({ vm: VM, atStep: AT_STEP }), { maxLength: 3 }),
+  staleUpdates: fc.array(fc.record({ vm: VM, atStep: AT_STEP }), {
+    maxLength: 3,
+  }),
   steps: fc.constant(MAX_STEPS),
 });
 
 /** The list of targets under random schedules. */
 export const TARGET_LIST_PROOF: Proof = {
   name: "target list",
-  guards: [...STORE_OUTAGE_GUARDS, EARLIER_LIVES, OLDER_WORD],
+  guards: [
+    ...STORE_OUTAGE_GUARDS,
+    EARLIER_INCARNATIONS_GUARD,
+    OLDER_UPDATES_GUARD,
+  ],
   build: (off) =>
     fc.property(SCHEDULE, (schedule) => {
-      new TargetListWorld(schedule, off).run();
+      new TargetListSimulation(schedule, off).run();
     }),
 };
--- a/packages/heatherarch-lab/tests/unit/config_reads_test.ts
+++ b/packages/heatherarch-lab/tests/unit/config_reads_test.ts
@@ -4,17 +4,17 @@
 import {
   measureDelays,
   REQUEST_TIMEOUT_MS,
-  type Silence,
+  type SilentPeriod,
   TICK_MS,
-} from "../../proofs/config_reads_world.ts";
+} from "../../proofs/config_reads_simulation.ts";
 
 /** Part of the bound that is left for hubs to tell a change on. */
 const HUB_PART = 0.25;
 
 /** Silences of several lengths that begin and end at every phase of a reader's period. */
-function listSilences(configBoundMs: number): Silence[] {
+function listSilences(configBoundMs: number): SilentPeriod[] {
   const stepMs = configBoundMs / 40;
-  const silences: Silence[] = [];
+  const silences: SilentPeriod[] = [];
   for (const part of [0.02, 0.3, 0.8, 1.75]) {
     for (let fromMs = stepMs; fromMs < 1.6 * configBoundMs; fromMs += stepMs) {
       silences.push({ fromMs, untilMs: fromMs + part * configBoundMs });
@@ -35,7 +35,7 @@
       const delaysMs = await measureDelays({
         reads,
         stores: listSilences(configBoundMs).map((silence) => [silence]),
-        afterMs: 3 * configBoundMs,
+        observationMs: 3 * configBoundMs,
         drawUnit: () => unit,
       });
       const longestMs = Math.max(...delaysMs);
--- a/packages/heatherarch-lab/tests/unit/lost_end_test.ts
+++ b/packages/heatherarch-lab/tests/unit/lost_end_test.ts
@@ -2,16 +2,19 @@
 import { test } from "node:test";
 import { Generation } from "heatherarch-gateway";
 import { computeCompletion } from "heatherarch-standins";
-import { buildReading, createFakeHost } from "../../proofs/mod.ts";
+import { buildGenerationOptions, createFakeHost } from "../../proofs/mod.ts";
 
 const MAX_TOKENS = 3;
 
 /** A generation whose engine sends all tokens and then breaks off; `ends` is what callers get. */
 function loseEnd(withResume: boolean) {
-  const { host, tries } = createFakeHost({ engines: ["e1", "e2"], withResume });
+  const { host, attempts: tries } = createFakeHost({
+    engines: ["e1", "e2"],
+    supportsResume: withResume,
+  });
   const ends: unknown[] = [];
   const generation = new Generation({
-    ...buildReading(host, MAX_TOKENS),
+    ...buildGenerationOptions(host, MAX_TOKENS),
     host,
     sink: {
       onTokens: () => undefined,
--- a/packages/heatherarch-lab/tests/unit/plain_call_test.ts
+++ b/packages/heatherarch-lab/tests/unit/plain_call_test.ts
@@ -12,7 +12,7 @@
 import {
   createFakeHost,
   type FakeHostOptions,
-  UNWATCHED,
+  STUB_ADMITTED_REQUEST,
 } from "../../proofs/mod.ts";
 
 const SERVICE: PlainService = {
@@ -57,8 +57,8 @@
   };
   const fake = createFakeHost({
     engines: ["s1", "s2"],
-    answerClaim: () => Promise.resolve({ kind: "granted", claim }),
-    answerService: (target, call) => {
+    handleClaim: () => Promise.resolve({ kind: "granted", claim }),
+    handleServiceCall: (target, call) => {
       if (call.guard && !call.guard()) {
         return Promise.resolve({ kind: "withheld", detail: "" });
       }
@@ -77,7 +77,7 @@
       body: undefined,
       deadlineAtMs: fake.host.clock.readMonotonicMs() + 1000,
       key: undefined,
-      admitted: UNWATCHED,
+      admitted: STUB_ADMITTED_REQUEST,
       ...fields,
     });
   return { sent, ended, call };
@@ -154,7 +154,7 @@
 test("during an outage only a service that honours keys itself is called", async () => {
   const error = new ServeError("platformUnavailable", "out");
   const host = {
-    answerClaim: () => Promise.resolve({ kind: "refused" as const, error }),
+    handleClaim: () => Promise.resolve({ kind: "refused" as const, error }),
   };
   const refused = createScene([], true, host);
   await assert.rejects(
