--- a/packages/heatherarch-mesh/loop_stall_detector.ts
+++ b/packages/heatherarch-mesh/loop_stall_detector.ts
@@ -16,7 +16,7 @@
   /** Longest interval between two ticks of a loop that is not stalled, milliseconds. */
   readonly getTickIntervalMs: () => number;
   /** Called when the loop runs again after a stall. */
-  readonly onStall?: (standstill: LoopStall) => void;
+  readonly onStall?: (stall: LoopStall) => void;
 }
 
 /** A period in which the loop did not run. */
--- a/packages/heatherarch-mesh/mesh_node.ts
+++ b/packages/heatherarch-mesh/mesh_node.ts
@@ -59,7 +59,7 @@
   /** Called when a link is closed while the node runs. */
   readonly onLinkClosed: (reason: LinkCloseReason) => void;
   /** Called when the process runs again after a stall. */
-  readonly onLoopStall?: (standstill: LoopStall) => void;
+  readonly onLoopStall?: (stall: LoopStall) => void;
   /** Called before the heartbeats of a round are built. */
   readonly onRound?: () => void;
 }
--- a/packages/heatherarch-mesh/round_interval.ts
+++ b/packages/heatherarch-mesh/round_interval.ts
@@ -1,5 +1,5 @@
 /**
- * Minimum interval between the rounds in which a VM tells its peers about changes.
+ * Minimum interval between the rounds in which a VM reports changes to its peers.
  *
  * In a burst, several VMs send prompts to the same engine before they learn of each other's. The
  * prompts queue there, and a short prompt that should be prefilled at once waits for five others.
--- a/packages/heatherarch-mesh/tests/unit/loop_stall_detector_test.ts
+++ b/packages/heatherarch-mesh/tests/unit/loop_stall_detector_test.ts
@@ -6,7 +6,7 @@
   const late: LoopStall[] = [];
   const watch = new LoopStallDetector({
     getTickIntervalMs: () => 250,
-    onStall: (standstill) => late.push(standstill),
+    onStall: (stall) => late.push(stall),
   });
   return { watch, late };
 }
--- a/packages/heatherarch-settings/tests/unit/settings_test.ts
+++ b/packages/heatherarch-settings/tests/unit/settings_test.ts
@@ -83,7 +83,7 @@
   ]);
 });
 
-test("an unknown field of a profile is an issue", () => {
+test("an unknown field of a profile is reported as an issue", () => {
   const issues = parseProfile({ name: "fast", dedlineMs: 10 })
     .val as InputIssue[];
   assert.match(issues[0].reason, /dedlineMs/);
