--- a/packages/heatherarch-settings/forward_settings.ts
+++ b/packages/heatherarch-settings/forward_settings.ts
@@ -16,7 +16,7 @@
   z.int().min(low).max(high).default(value);
 
 /**
- * Interval between reads of the target list as a share of its bound. After two failed reads there
+ * Pause between reads of the target list as a share of its bound. After two failed reads there
  * is still time for a third one.
  */
 const POLL_SHARE = 0.35;
@@ -62,7 +62,7 @@
     leavingBoundMs: buildMsSchema(100, 600_000, 2000),
     /** Interval at which a live target renews its entry in the target list. */
     targetHeartbeatMs: buildMsSchema(10, 600_000, 1200),
-    /** Interval between reads of the target list; by default a share of `leavingBoundMs`. */
+    /** Pause between reads of the target list; by default a share of `leavingBoundMs`. */
     targetPollMs: z.int().min(10).max(60_000).optional(),
   }).transform((store) => ({
     ...store,
