--- a/packages/heatherarch-lab/bench/claims_bench.ts
+++ b/packages/heatherarch-lab/bench/claims_bench.ts
@@ -23,19 +23,21 @@
 }
 
 const APPENDS_PER_SECOND = 300;
-const APPEND_MS = { low: 5, high: 50 };
-const SECONDS = 6;
+const APPEND_LATENCY_MS = { low: 5, high: 50 };
+const DURATION_S = 6;
 
 /** Measures several ways. */
 export async function runClaimsBench(): Promise<ClaimsReport[]> {
   const reports: ClaimsReport[] = [];
-  for (const [way, shards, maxBatch, callers] of WAYS) {
-    reports.push(await measureWay({ way, shards, maxBatch, callers }));
+  for (const [way, shards, maxBatch, callers] of CONFIGURATIONS) {
+    reports.push(
+      await measureConfiguration({ way, shards, maxBatch, callers }),
+    );
   }
   return reports;
 }
 
-const WAYS = [
+const CONFIGURATIONS = [
   ["one claim an append", 4, 1, 200],
   ["group commit, few callers", 4, 500, 20],
   ["group commit", 4, 500, 200],
@@ -43,13 +45,13 @@
   ["group commit, one shard", 1, 500, 2000],
 ] as const;
 
-async function measureWay(
+async function measureConfiguration(
   options: { way: string; shards: number; maxBatch: number; callers: number },
 ): Promise<ClaimsReport> {
   const { way, shards: count, maxBatch, callers } = options;
   const log = new MemoryLog({
     appendsPerSecond: APPENDS_PER_SECOND,
-    appendMs: APPEND_MS,
+    appendMs: APPEND_LATENCY_MS,
   });
   const shards = Array.from({ length: count }, (_, shard) =>
     new ClaimShard({
@@ -64,7 +66,7 @@
       futureSkewMs: 60_000,
     }));
   const times: number[] = [];
-  const untilMs = performance.now() + SECONDS * 1000;
+  const untilMs = performance.now() + DURATION_S * 1000;
   const cpuBefore = process.cpuUsage();
   const worker = async (): Promise<void> => {
     while (performance.now() < untilMs) {
@@ -89,8 +91,8 @@
     shards: count,
     maxBatch,
     callers,
-    claimsPerSecond: Math.round(times.length / SECONDS),
-    appendsPerSecond: Math.round(log.appends / SECONDS),
+    claimsPerSecond: Math.round(times.length / DURATION_S),
+    appendsPerSecond: Math.round(log.appends / DURATION_S),
     claimsPerAppend: roundTo(times.length / log.appends, 1),
     addedLatencyMs: computeQuantiles(times),
     cpuMicrosecondsPerClaim: roundTo((cpu.user + cpu.system) / times.length, 1),
--- a/packages/heatherarch-lab/bench/clairvoyant.ts
+++ b/packages/heatherarch-lab/bench/clairvoyant_goodput.ts
@@ -5,16 +5,20 @@
  *
  * @module
  */
-import { SHARED_SHARE, type TokenCosts, type TraceRequest } from "./trace.ts";
+import {
+  SHARED_PREFIX_SHARE,
+  type TokenCosts,
+  type TraceRequest,
+} from "./trace.ts";
 
 interface Job {
-  readonly releaseMs: number;
-  readonly dueMs: number;
+  readonly releasedAtMs: number;
+  readonly deadlineAtMs: number;
   readonly workMs: number;
 }
 
 /** Counts the readings that `engines` could answer in time. */
-export function countClairvoyant(
+export function countClairvoyantGoodput(
   requests: readonly TraceRequest[],
   engines: number,
   costs: TokenCosts,
@@ -47,14 +51,14 @@
   const seen = new Set<string>();
   return requests.filter((request) => request.outputTokens > 0).map(
     (request) => {
-      const cached = seen.has(request.prefixId) ? SHARED_SHARE : 0;
+      const cached = seen.has(request.prefixId) ? SHARED_PREFIX_SHARE : 0;
       seen.add(request.prefixId);
       const prefill = request.promptTokens * (1 - cached) * costs.prefill;
       const workMs = (prefill + request.outputTokens * costs.decode) * 1000 /
         engines;
       return {
-        releaseMs: request.atMs,
-        dueMs: request.atMs + request.deadlineMs,
+        releasedAtMs: request.atMs,
+        deadlineAtMs: request.atMs + request.deadlineMs,
         workMs,
       };
     },
@@ -63,11 +67,11 @@
 
 /** Whether one machine as fast as all engines together can finish all in time (preemptive EDF). */
 function isFeasible(jobs: readonly Job[]): boolean {
-  const arrivals = [...jobs].sort((a, b) => a.releaseMs - b.releaseMs);
+  const arrivals = [...jobs].sort((a, b) => a.releasedAtMs - b.releasedAtMs);
   const open: { dueMs: number; leftMs: number }[] = [];
   let nowMs = 0;
   for (let at = 0; at <= arrivals.length; at++) {
-    const untilMs = at < arrivals.length ? arrivals[at].releaseMs : Infinity;
+    const untilMs = at < arrivals.length ? arrivals[at].releasedAtMs : Infinity;
     while (open.length > 0 && nowMs < untilMs) {
       const job = open[0];
       const spentMs = Math.min(job.leftMs, untilMs - nowMs);
@@ -78,15 +82,15 @@
     }
     if (at === arrivals.length) break;
     nowMs = Math.max(nowMs, untilMs);
-    insertByDue(open, {
-      dueMs: arrivals[at].dueMs,
+    insertByDeadline(open, {
+      dueMs: arrivals[at].deadlineAtMs,
       leftMs: arrivals[at].workMs,
     });
   }
   return true;
 }
 
-function insertByDue(
+function insertByDeadline(
   open: { dueMs: number; leftMs: number }[],
   job: { dueMs: number; leftMs: number },
 ): void {
--- a/packages/heatherarch-lab/bench/control_bench.ts
+++ b/packages/heatherarch-lab/bench/control_bench.ts
@@ -55,8 +55,8 @@
   { peers: 50, runners: 218, changesPerSecond: 0 },
   { peers: 50, runners: 218, changesPerSecond: 2 },
 ] as const;
-const MEASURE_MS = 12_000;
-const WARM_MS = 3000;
+const MEASUREMENT_MS = 12_000;
+const WARMUP_MS = 3000;
 const HEARTBEAT_MS = 500;
 const HEARTBEAT_PER_LINK_MS = 80;
 const ZONE = "zone-a";
@@ -125,9 +125,9 @@
     plainService: "bookings",
     planning: { policy: "none" },
   });
-  const runners = await startRunners(size.runners);
+  const runners = await startTargetServers(size.runners);
   const peers: MeshNode[] = [];
-  const withRunners = addRunners(deployment, runners);
+  const withRunners = addTargets(deployment, runners);
   const cluster = new Cluster({ deployment: withRunners.deployment });
   try {
     await cluster.startStandins();
@@ -149,7 +149,7 @@
     const fleet = withRunners.fleet;
     const first = await cluster.publish({ kind: "publishFleet", fleet }, -1);
     if (first.status !== 200) throw new Error(JSON.stringify(first.body));
-    await sleep(WARM_MS);
+    await sleep(WARMUP_MS);
     return await measurePoint(cluster, vm, size);
   } finally {
     for (const peer of peers) peer.stop();
@@ -163,15 +163,15 @@
   vm: DeployedVm,
   size: { peers: number; runners: number; changesPerSecond: number },
 ): Promise<ControlPoint> {
-  const pid = cluster.readPid(vm.id) as number;
+  const pid = cluster.getPid(vm.id) as number;
   const startMs = performance.now();
   const before = readUsage(pid);
   const trafficBefore = (await cluster.readStatus(vm)).mesh;
   let publishing = Promise.resolve();
   if (size.changesPerSecond > 0) {
-    publishing = publishFor(cluster, size.changesPerSecond);
+    publishing = publishRepeatedly(cluster, size.changesPerSecond);
   }
-  await sleep(MEASURE_MS);
+  await sleep(MEASUREMENT_MS);
   await publishing;
   const after = readUsage(pid);
   const traffic = (await cluster.readStatus(vm)).mesh;
@@ -186,9 +186,12 @@
   };
 }
 
-async function publishFor(cluster: Cluster, perSecond: number): Promise<void> {
+async function publishRepeatedly(
+  cluster: Cluster,
+  perSecond: number,
+): Promise<void> {
   let base = -1;
-  const untilMs = performance.now() + MEASURE_MS - 1000;
+  const untilMs = performance.now() + MEASUREMENT_MS - 1000;
   while (performance.now() < untilMs) {
     const change = {
       kind: "putProfile",
@@ -201,7 +204,7 @@
 }
 
 /** Small servers that report a load that changes all the time. */
-async function startRunners(count: number): Promise<Server[]> {
+async function startTargetServers(count: number): Promise<Server[]> {
   const servers: Server[] = [];
   for (let i = 0; i < count; i++) {
     let reads = i;
@@ -230,7 +233,7 @@
   return servers;
 }
 
-function addRunners(deployment: Deployment, servers: readonly Server[]) {
+function addTargets(deployment: Deployment, servers: readonly Server[]) {
   const extra: Partial<Target>[] = servers.map((server, index) => ({
     id: `runner${index}`,
     service: "reader",
--- a/packages/heatherarch-lab/bench/machine_costs.ts
+++ b/packages/heatherarch-lab/bench/machine_costs.ts
@@ -32,13 +32,13 @@
   readonly stateMb?: number;
 }
 
-const RUNNERS = 3700;
-const NODES = 870;
-const ZONES = 17;
-const RUNNERS_PER_ZONE = 218;
-const SUBSET = 64;
-const ACCOUNTS = 12_000;
-const KEYS = 100_000;
+const TARGET_COUNT = 3700;
+const NODE_COUNT = 870;
+const ZONE_COUNT = 17;
+const TARGETS_PER_ZONE = 218;
+const SUBSET_SIZE = 64;
+const ACCOUNT_COUNT = 12_000;
+const KEY_COUNT = 100_000;
 const MEGABYTE = 1024 * 1024;
 
 /** Measures all machines. */
@@ -46,8 +46,8 @@
   return [
     ...measureConfig(),
     measureMembership(),
-    measureRouter(SUBSET),
-    measureRouter(RUNNERS_PER_ZONE),
+    measureRouter(SUBSET_SIZE),
+    measureRouter(TARGETS_PER_ZONE),
     measurePlanner(),
     measureLease(),
     ...measureClaims(),
@@ -68,7 +68,7 @@
 }
 
 function buildLargeFleet() {
-  const zones = Array.from({ length: ZONES }, (_, i) => `zone-${i}`);
+  const zones = Array.from({ length: ZONE_COUNT }, (_, i) => `zone-${i}`);
   return {
     deployment: "large",
     availabilityZones: zones,
@@ -77,14 +77,14 @@
       kind: "model",
       models: [`model${i}`],
     })),
-    targets: Array.from({ length: RUNNERS }, (_, i) => ({
+    targets: Array.from({ length: TARGET_COUNT }, (_, i) => ({
       id: `runner${i}`,
       service: `reader${i % 10}`,
-      availabilityZone: zones[i % ZONES],
+      availabilityZone: zones[i % ZONE_COUNT],
       address: `10.0.${i >> 8}.${i & 255}:8000`,
     })),
     accounts: Array.from(
-      { length: ACCOUNTS },
+      { length: ACCOUNT_COUNT },
       (_, i) => ({ name: `account${i}` }),
     ),
   };
@@ -122,7 +122,7 @@
   });
   const check = performance.now();
   parseFleet(fleet);
-  const size = `${RUNNERS} runners, ${ACCOUNTS} accounts`;
+  const size = `${TARGET_COUNT} runners, ${ACCOUNT_COUNT} accounts`;
   return [
     {
       machine: "config fold, one profile change",
@@ -151,8 +151,8 @@
     mesh: "10.0.0.1:1",
   };
   const membership = new Membership({ self, silenceMs: 5000 });
-  for (let i = 1; i < NODES; i++) {
-    const zone = `zone-${i % ZONES}`;
+  for (let i = 1; i < NODE_COUNT; i++) {
+    const zone = `zone-${i % ZONE_COUNT}`;
     membership.recordContact(
       { ...self, id: `vm${i}`, availabilityZone: zone },
       0,
@@ -164,7 +164,7 @@
   });
   return {
     machine: "membership, one round (expire, pick links)",
-    size: `${NODES} nodes`,
+    size: `${NODE_COUNT} nodes`,
     microseconds,
   };
 }
@@ -212,7 +212,7 @@
     changeWeight: 1,
     minimumPerRole: 1,
   }, new EngineModel());
-  const engines = Array.from({ length: RUNNERS_PER_ZONE }, (_, i) => ({
+  const engines = Array.from({ length: TARGETS_PER_ZONE }, (_, i) => ({
     id: `runner${i}`,
     role: i % 2 === 0 ? "prefill" as const : "decode" as const,
     running: i % 30,
@@ -226,7 +226,7 @@
   });
   return {
     machine: "role planner, one round",
-    size: `${RUNNERS_PER_ZONE} runners`,
+    size: `${TARGETS_PER_ZONE} runners`,
     microseconds,
   };
 }
@@ -256,7 +256,7 @@
   const fold = new ClaimFold({ keyWindowMs: 86_400_000, futureSkewMs: 60_000 });
   const perBatch = 50;
   const startMs = performance.now();
-  for (let batch = 0; batch < KEYS / perBatch; batch++) {
+  for (let batch = 0; batch < KEY_COUNT / perBatch; batch++) {
     const entries = Array.from({ length: perBatch }, (_, i) => ({
       op: "claim" as const,
       claimId: `claim${batch}-${i}`,
@@ -273,19 +273,22 @@
     };
     fold.apply({ offset: batch, appendedAtMs: 1_764_700_000_000, data });
   }
-  const microseconds = roundTo((performance.now() - startMs) * 1000 / KEYS, 2);
+  const microseconds = roundTo(
+    (performance.now() - startMs) * 1000 / KEY_COUNT,
+    2,
+  );
   const stateMb = roundTo(readHeapMb() - before, 1);
   const snapshot = measureStep(5, () => void fold.buildSnapshot(() => "id"));
   return [
     {
       machine: "claims fold, one claim",
-      size: `${KEYS} keys`,
+      size: `${KEY_COUNT} keys`,
       microseconds,
       stateMb,
     },
     {
       machine: "claims snapshot",
-      size: `${KEYS} keys`,
+      size: `${KEY_COUNT} keys`,
       microseconds: snapshot,
     },
   ];
@@ -294,7 +297,7 @@
 function measureAccounts(): MachineCost {
   const before = readHeapMb();
   const limits = new AccountLimits({ maxInFlight: 20_000 });
-  const accounts = Array.from({ length: ACCOUNTS }, (_, i) => ({
+  const accounts = Array.from({ length: ACCOUNT_COUNT }, (_, i) => ({
     name: `account${i}`,
     requestsPerSecond: 100,
     burst: 200,
@@ -302,13 +305,17 @@
     weight: 1,
   }));
   const microseconds = measureStep(50_000, (index) => {
-    const acquired = limits.acquire(accounts[index % ACCOUNTS], NODES, index);
+    const acquired = limits.acquire(
+      accounts[index % ACCOUNT_COUNT],
+      NODE_COUNT,
+      index,
+    );
     if (acquired.ok) (acquired.val as () => void)();
   });
   const stateMb = roundTo(readHeapMb() - before, 1);
   return {
     machine: "account limits, one request",
-    size: `${ACCOUNTS} accounts`,
+    size: `${ACCOUNT_COUNT} accounts`,
     microseconds,
     stateMb,
   };
--- a/packages/heatherarch-lab/bench/mix_bench.ts
+++ b/packages/heatherarch-lab/bench/mix_bench.ts
@@ -15,7 +15,7 @@
   type DeploymentShape,
   SHAPES,
 } from "../deployment.ts";
-import { countClairvoyant } from "./clairvoyant.ts";
+import { countClairvoyantGoodput } from "./clairvoyant_goodput.ts";
 import { computeQuantiles, roundTo } from "./statistics.ts";
 import {
   buildTracePrompt,
@@ -59,10 +59,10 @@
   prefillTokensPerSecond: 4000,
   kvMsPerToken: 0.004,
 };
-const CHANGE_MS = 4000;
+const ROLE_CHANGE_MS = 4000;
 
 /** Engine-seconds that a token costs at these speeds. */
-export function readTokenCosts(): TokenCosts {
+export function computeTokenCosts(): TokenCosts {
   const model = new EngineModel(MIX_SPEEDS);
   return {
     prefill: 1 / model.predictPrefillCapacity("prefill"),
@@ -138,10 +138,10 @@
   }
   const shape = SHAPES[options.deployment];
   const engines = shape.enginesPerZone * shape.availabilityZones.length;
-  const clairvoyantGoodput = countClairvoyant(
+  const clairvoyantGoodput = countClairvoyantGoodput(
     options.trace.requests,
     engines,
-    readTokenCosts(),
+    computeTokenCosts(),
   );
   const others = ARMS.filter((arm) => arm.name !== "ours").map((arm) =>
     arms[arm.name]?.goodput ?? 0
@@ -167,17 +167,17 @@
   };
 }
 
-interface Finished {
+interface FinishedRequest {
   readonly request: TraceRequest;
   readonly result: CallResult;
-  readonly inTime: boolean;
+  readonly isWithinDeadline: boolean;
 }
 
 /** One policy's run. */
 class ArmRun {
   readonly #arm: Arm;
   readonly #options: MixOptions;
-  readonly #finished: Finished[] = [];
+  readonly #finished: FinishedRequest[] = [];
   readonly #timeline: TimelinePoint[] = [];
   readonly #caller = new Caller();
 
@@ -196,7 +196,7 @@
       planning: {
         ...base.planning,
         policy: this.#arm.planning,
-        changeMs: CHANGE_MS,
+        changeMs: ROLE_CHANGE_MS,
         intervalMs: 1000,
       },
       speeds: MIX_SPEEDS,
@@ -204,7 +204,7 @@
     const cluster = new Cluster({
       deployment,
       standins: {
-        speeds: { ...MIX_SPEEDS, changeMs: CHANGE_MS },
+        speeds: { ...MIX_SPEEDS, changeMs: ROLE_CHANGE_MS },
         reportLagMs: this.#options.trace.reportLagMs ?? 200,
       },
       settings: {
@@ -223,7 +223,7 @@
       await cluster.start();
       await sleep(1000);
       const unloaded = await this.#measureUnloaded(deployment);
-      await this.#sendAll(cluster);
+      await this.#replayTrace(cluster);
       const roleChanges = await countRoleChanges(cluster);
       return {
         report: this.#summarize(roleChanges, unloaded),
@@ -250,13 +250,13 @@
     return computeQuantiles(times.slice(20)).p99;
   }
 
-  async #sendAll(cluster: Cluster): Promise<void> {
+  async #replayTrace(cluster: Cluster): Promise<void> {
     const { trace, seed } = this.#options;
     const random = new Random(seed);
     const startMs = performance.now();
     const sent: Promise<void>[] = [];
     const sampling = setInterval(
-      () => void this.#sample(cluster, startMs),
+      () => void this.#sampleRoles(cluster, startMs),
       1000,
     );
     let withdrawn = trace.withdrawAtMs === undefined;
@@ -299,10 +299,10 @@
       });
     const inTime = result.outcome === "whole" &&
       result.durationMs <= deadlineMs;
-    this.#finished.push({ request, result, inTime });
+    this.#finished.push({ request, result, isWithinDeadline: inTime });
   }
 
-  async #sample(cluster: Cluster, startMs: number): Promise<void> {
+  async #sampleRoles(cluster: Cluster, startMs: number): Promise<void> {
     const ledger = await cluster.readLedger().catch(() => undefined);
     if (ledger === undefined) return;
     const second = Math.round((performance.now() - startMs) / 1000);
@@ -326,7 +326,7 @@
     const lookups = this.#finished.filter(({ request }) =>
       request.outputTokens === 0
     );
-    const good = readings.filter(({ inTime }) => inTime);
+    const good = readings.filter(({ isWithinDeadline: inTime }) => inTime);
     this.#fillTimeline(readings);
     const whole = readings.filter(({ result }) => result.outcome === "whole");
     const count = (...outcomes: string[]) =>
@@ -345,7 +345,7 @@
       offered: readings.length,
       roleChanges,
       ttftP95Ms: p95((result) => result.firstTokenMs),
-      tokenGapP95Ms: p95((result) => result.gapMs),
+      tokenGapP95Ms: p95((result) => result.tokenGapMs),
       lookupP99Ms: roundTo(
         computeQuantiles(lookups.map(({ result }) => result.durationMs)).p99,
         1,
@@ -359,12 +359,14 @@
   }
 
   /** Puts each reading into the second in which it arrived. */
-  #fillTimeline(readings: readonly Finished[]): void {
+  #fillTimeline(readings: readonly FinishedRequest[]): void {
     for (const [at, point] of this.#timeline.entries()) {
       const inSecond = readings.filter(({ request }) =>
         Math.floor(request.atMs / 1000) === point.second - 1
       );
-      const goodput = inSecond.filter(({ inTime }) => inTime).length;
+      const goodput = inSecond.filter(({ isWithinDeadline: inTime }) =>
+        inTime
+      ).length;
       this.#timeline[at] = { ...point, offered: inSecond.length, goodput };
     }
   }
--- a/packages/heatherarch-lab/bench/overload_result.ts
+++ b/packages/heatherarch-lab/bench/overload_result.ts
@@ -6,17 +6,17 @@
 import type { GenerationParams } from "heatherarch-forward";
 
 /** A kind of request. Sizes are lognormal. */
-export interface OverloadKind {
+export interface OverloadRequestKind {
   readonly name: string;
   /** Requests a second of the whole fleet. */
   readonly rate: number;
   readonly sharedTokens: number;
   /** Standard deviation of the shared sizes as a part of their mean. */
-  readonly sharedSpread: number;
+  readonly sharedTokensCv: number;
   /** Beginnings that the requests share. */
-  readonly beginnings: number;
-  readonly ownTokens: number;
-  readonly ownSpread: number;
+  readonly prefixCount: number;
+  readonly uniqueTokens: number;
+  readonly uniqueTokensCv: number;
   readonly aimMs: number;
   readonly deadlineMs: number;
   readonly lane: number;
@@ -26,7 +26,7 @@
 }
 
 /** Shares of requests, 0 to 1. */
-export interface Shares {
+export interface ServedShares {
   readonly served: number;
   readonly onTime: number;
   /** Of the worth that was asked for. */
@@ -34,49 +34,54 @@
 }
 
 /** What became of one kind of request. */
-export interface KindResult extends Shares {
+export interface KindResult extends ServedShares {
   readonly asked: number;
-  readonly largestTenth: Shares;
-  readonly fifthBelow: Shares;
+  readonly largestTenth: ServedShares;
+  readonly fifthBelow: ServedShares;
 }
 
 /** What one caller wants. */
-export interface Wish {
-  readonly kind: OverloadKind;
+export interface SimulatedRequest {
+  readonly kind: OverloadRequestKind;
   readonly prompt: GenerationParams;
-  readonly atMs: number;
+  readonly arrivedAtMs: number;
   /** When its first token came; undefined if it came to nobody. */
   firstTokenAtMs: number | undefined;
 }
 
 /** Worth of a request by its size against the mean of its kind: a part that is fixed, and the rest. */
-const PLAIN_WORTH = 0.3;
-const SIZE_WORTH = 0.7;
-const MOST_WORTH = 4;
-const LARGEST_TENTH = 0.9;
-const FIFTH_BELOW = 0.7;
+const FIXED_WORTH_SHARE = 0.3;
+const SIZE_WORTH_SHARE = 0.7;
+const MAX_WORTH_FACTOR = 4;
+const LARGEST_TENTH_START = 0.9;
+const FIFTH_BELOW_START = 0.7;
 
 /** Rates all requests of one kind. */
-export function rateKind(wishes: readonly Wish[]): KindResult {
+export function summarizeKind(wishes: readonly SimulatedRequest[]): KindResult {
   const bySize = [...wishes]
     .sort((a, b) => a.prompt.promptTokens - b.prompt.promptTokens);
-  const tenthAt = Math.floor(bySize.length * LARGEST_TENTH);
-  const fifthAt = Math.floor(bySize.length * FIFTH_BELOW);
+  const tenthAt = Math.floor(bySize.length * LARGEST_TENTH_START);
+  const fifthAt = Math.floor(bySize.length * FIFTH_BELOW_START);
   return {
     asked: wishes.length,
-    ...rateShares(bySize),
-    largestTenth: rateShares(bySize.slice(tenthAt)),
-    fifthBelow: rateShares(bySize.slice(fifthAt, tenthAt)),
+    ...computeServedShares(bySize),
+    largestTenth: computeServedShares(bySize.slice(tenthAt)),
+    fifthBelow: computeServedShares(bySize.slice(fifthAt, tenthAt)),
   };
 }
 
 /** Rates requests of any kinds. */
-export function rateShares(wishes: readonly Wish[]): Shares {
+export function computeServedShares(
+  wishes: readonly SimulatedRequest[],
+): ServedShares {
   const served = wishes.filter((wish) => wish.firstTokenAtMs !== undefined);
   const onTime = served.filter(isOnTime);
   const count = Math.max(1, wishes.length);
   const asked = wishes.reduce((sum, wish) => sum + computeWorth(wish), 0);
-  const earned = served.reduce((sum, wish) => sum + computeEarned(wish), 0);
+  const earned = served.reduce(
+    (sum, wish) => sum + computeEarnedWorth(wish),
+    0,
+  );
   return {
     served: served.length / count,
     onTime: onTime.length / count,
@@ -85,17 +90,20 @@
 }
 
 /** Larger requests are worth more, up to a bound. */
-function computeWorth({ kind, prompt }: Wish): number {
-  const size = prompt.promptTokens / (kind.sharedTokens + kind.ownTokens);
-  return kind.worth * Math.min(MOST_WORTH, PLAIN_WORTH + SIZE_WORTH * size);
+function computeWorth({ kind, prompt }: SimulatedRequest): number {
+  const size = prompt.promptTokens / (kind.sharedTokens + kind.uniqueTokens);
+  return kind.worth *
+    Math.min(MAX_WORTH_FACTOR, FIXED_WORTH_SHARE + SIZE_WORTH_SHARE * size);
 }
 
-function computeEarned(wish: Wish): number {
+function computeEarnedWorth(wish: SimulatedRequest): number {
   const worth = computeWorth(wish);
   const { kind } = wish;
   return isOnTime(wish) ? worth : worth * kind.lateWorth / kind.worth;
 }
 
-function isOnTime({ firstTokenAtMs = Infinity, atMs, kind }: Wish): boolean {
+function isOnTime(
+  { firstTokenAtMs = Infinity, arrivedAtMs: atMs, kind }: SimulatedRequest,
+): boolean {
   return firstTokenAtMs - atMs <= kind.aimMs;
 }
--- a/packages/heatherarch-lab/bench/overload_world.ts
+++ b/packages/heatherarch-lab/bench/overload_simulation.ts
@@ -26,14 +26,14 @@
   WorkTracker,
 } from "heatherarch-forward";
 import {
+  computeServedShares,
   type KindResult,
-  type OverloadKind,
-  rateKind,
-  rateShares,
-  type Wish,
+  type OverloadRequestKind,
+  type SimulatedRequest,
+  summarizeKind,
 } from "./overload_result.ts";
-import { PromptDraw } from "./prompt_draw.ts";
-import { StepEngine } from "./step_engine.ts";
+import { PromptGenerator } from "./prompt_generator.ts";
+import { SimulatedPrefillEngine } from "./simulated_prefill_engine.ts";
 
 /** A stretch of time with its own load. */
 export interface OverloadPhase {
@@ -42,13 +42,13 @@
   readonly load: Readonly<Record<string, number>>;
 }
 
-/** Options of {@linkcode playOverload}. */
+/** Options of {@linkcode simulateOverload}. */
 export interface OverloadOptions {
   readonly seed: number;
   readonly vms: number;
   /** Slowness of each reading engine. */
   readonly engines: readonly number[];
-  readonly kinds: readonly OverloadKind[];
+  readonly kinds: readonly OverloadRequestKind[];
   readonly phases: readonly OverloadPhase[];
 }
 
@@ -62,36 +62,36 @@
 }
 
 /** One try of a caller. */
-interface Call {
-  readonly wish: Wish;
+interface Attempt {
+  readonly request: SimulatedRequest;
   readonly vm: number;
-  readonly atMs: number;
-  readonly isRepeat: boolean;
+  readonly startedAtMs: number;
+  readonly isRetry: boolean;
 }
 
 interface Vm {
   readonly queue: PrefillQueue;
   readonly model: PrefillTimeModel;
   readonly placer: PromptPlacer;
-  readonly ledger: WorkTracker;
-  readonly spread: EngineJitter;
-  hasNews: boolean;
-  toldAtMs: number;
+  readonly workTracker: WorkTracker;
+  readonly jitter: EngineJitter;
+  isDirty: boolean;
+  sentAtMs: number;
 }
 
 const STEP_MS = 2;
 /** Pause between the looks of a queue. */
-const LOOK_MS = 10;
+const DISPATCH_INTERVAL_MS = 10;
 /** VMs tell each other of changes of their work at once, but for this pause between two times. */
-const TELL_GAP_MS = 5;
+const MIN_SEND_GAP_MS = 5;
 /** From an engine's last token to its answer at the VM, milliseconds. */
-const ANSWER_MS = 16;
+const RESPONSE_DELAY_MS = 16;
 /** From the answer to the first token at the caller, milliseconds. */
-const FIRST_TOKEN_MS = 35;
+const FIRST_TOKEN_DELAY_MS = 35;
 /** The fleet's bound on readings for late calls. */
-const LATE_SHARE = 0.25;
-const ANSWER_SLACK_MS = 10;
-const FETCH_MS = 15;
+const MAX_LATE_PREFILL_SHARE = 0.25;
+const RESPONSE_MARGIN_MS = 10;
+const KV_TRANSFER_MS = 15;
 const TRAITS: EngineTraits = {
   slots: 64,
   kvTokens: 468_842,
@@ -100,74 +100,74 @@
   roleChangeMs: 3000,
 };
 /** Callers come back as told, within this part of the time that they have left. */
-const MOST_RETURN_PART = 1 / 3;
+const MAX_RETRY_DELAY_SHARE = 1 / 3;
 /** Part of the KV cache that keeps beginnings. */
-const KEPT_PART = 0.8;
+const PREFIX_CACHE_SHARE = 0.8;
 
 /** Plays one run. */
-export function playOverload(options: OverloadOptions): OverloadResult {
-  return new OverloadWorld(options).play();
+export function simulateOverload(options: OverloadOptions): OverloadResult {
+  return new OverloadSimulation(options).run();
 }
 
-class OverloadWorld {
+class OverloadSimulation {
   readonly #options: OverloadOptions;
   readonly #random: Random;
-  readonly #prompts: PromptDraw;
+  readonly #prompts: PromptGenerator;
   readonly #clock = new ManualClock();
-  readonly #engines: readonly StepEngine[];
+  readonly #engines: readonly SimulatedPrefillEngine[];
   readonly #targets: readonly Target[];
   readonly #vms: readonly Vm[];
-  readonly #wishes: Wish[] = [];
+  readonly #requests: SimulatedRequest[] = [];
   /** Fresh tokens that each engine has taken in, and the count at each beginning's last use. */
-  readonly #taken: number[];
-  readonly #held = new Map<string, Map<string, number>>();
+  readonly #acceptedTokens: number[];
+  readonly #prefixUses = new Map<string, Map<string, number>>();
   /** What ends at some time, in the order of time. */
-  #due: { atMs: number; run: () => void }[] = [];
+  #scheduled: { atMs: number; run: () => void }[] = [];
 
   constructor(options: OverloadOptions) {
     this.#options = options;
     this.#random = new Random(options.seed);
-    this.#prompts = new PromptDraw(this.#random);
+    this.#prompts = new PromptGenerator(this.#random);
     this.#engines = options.engines.map((slowness) =>
-      new StepEngine({ slowness })
+      new SimulatedPrefillEngine({ slowdown: slowness })
     );
     this.#targets = options.engines.map((_, i) => buildTarget(i));
-    this.#taken = options.engines.map(() => 0);
-    this.#vms = Array.from({ length: options.vms }, (_, i) => this.#build(i));
+    this.#acceptedTokens = options.engines.map(() => 0);
+    this.#vms = Array.from({ length: options.vms }, (_, i) => this.#buildVm(i));
   }
 
-  play(): OverloadResult {
+  run(): OverloadResult {
     for (const { seconds, load } of this.#options.phases) {
       const endMs = this.#nowMs + seconds * 1000;
-      while (this.#nowMs < endMs) this.#step(load);
+      while (this.#nowMs < endMs) this.#advance(load);
     }
     const endMs = this.#nowMs;
-    while (this.#due.length > 0 || this.#isWaiting) this.#step({});
-    return this.#report(endMs);
+    while (this.#scheduled.length > 0 || this.#hasBacklog) this.#advance({});
+    return this.#buildResult(endMs);
   }
 
-  #build(vm: number): Vm {
+  #buildVm(vm: number): Vm {
     const model = new PrefillTimeModel();
     const ledger = new WorkTracker();
     const built: Vm = {
       queue: new PrefillQueue({ clock: this.#clock, isTimerEnabled: false }),
       model,
       placer: new PromptPlacer({ model }),
-      ledger,
-      spread: new EngineJitter({
+      workTracker: ledger,
+      jitter: new EngineJitter({
         vmId: `vm-${vm}`,
         drawUnit: () => this.#random.drawUnit(),
       }),
-      hasNews: false,
-      toldAtMs: -Infinity,
+      isDirty: false,
+      sentAtMs: -Infinity,
     };
     ledger.registerOwnWorkListener(() => {
-      built.hasNews = true;
+      built.isDirty = true;
     });
     return built;
   }
 
-  get #isWaiting(): boolean {
+  get #hasBacklog(): boolean {
     return this.#vms.some(({ queue }) => queue.size > 0);
   }
 
@@ -175,31 +175,31 @@
     return this.#clock.readMonotonicMs();
   }
 
-  #step(load: Readonly<Record<string, number>>): void {
+  #advance(load: Readonly<Record<string, number>>): void {
     this.#clock.advance(STEP_MS);
     for (const engine of this.#engines) engine.advance(this.#nowMs);
-    this.#runDue();
-    this.#tellWork();
+    this.#runScheduled();
+    this.#sendWork();
     this.#drawArrivals(load);
-    if (this.#nowMs % LOOK_MS !== 0) return;
+    if (this.#nowMs % DISPATCH_INTERVAL_MS !== 0) return;
     for (const { queue } of this.#vms) if (queue.size > 0) queue.dispatch();
   }
 
-  #runDue(): void {
-    const due = this.#due.filter(({ atMs }) => atMs <= this.#nowMs);
-    this.#due = this.#due.filter(({ atMs }) => atMs > this.#nowMs);
+  #runScheduled(): void {
+    const due = this.#scheduled.filter(({ atMs }) => atMs <= this.#nowMs);
+    this.#scheduled = this.#scheduled.filter(({ atMs }) => atMs > this.#nowMs);
     for (const { run } of due) run();
   }
 
-  #tellWork(): void {
+  #sendWork(): void {
     this.#vms.forEach((vm, from) => {
-      if (!vm.hasNews || this.#nowMs - vm.toldAtMs < TELL_GAP_MS) return;
-      vm.hasNews = false;
-      vm.toldAtMs = this.#nowMs;
-      const rows = vm.ledger.listOwnRows(this.#nowMs);
+      if (!vm.isDirty || this.#nowMs - vm.sentAtMs < MIN_SEND_GAP_MS) return;
+      vm.isDirty = false;
+      vm.sentAtMs = this.#nowMs;
+      const rows = vm.workTracker.listOwnRows(this.#nowMs);
       for (const peer of this.#vms) {
         if (peer === vm) continue;
-        peer.ledger.setPeerWork(`vm-${from}`, rows, this.#nowMs);
+        peer.workTracker.setPeerWork(`vm-${from}`, rows, this.#nowMs);
       }
     });
   }
@@ -208,63 +208,73 @@
     for (const kind of this.#options.kinds) {
       let expected = kind.rate * (load[kind.name] ?? 0) * STEP_MS / 1000;
       for (; expected > 0; expected--) {
-        if (this.#random.drawUnit() < expected) this.#ask(kind);
+        if (this.#random.drawUnit() < expected) this.#createRequest(kind);
       }
     }
   }
 
-  #ask(kind: OverloadKind): void {
-    const wish: Wish = {
+  #createRequest(kind: OverloadRequestKind): void {
+    const wish: SimulatedRequest = {
       kind,
       prompt: this.#prompts.draw(kind),
-      atMs: this.#nowMs,
+      arrivedAtMs: this.#nowMs,
       firstTokenAtMs: undefined,
     };
-    this.#wishes.push(wish);
+    this.#requests.push(wish);
     this.#enqueue(wish, false);
   }
 
-  #enqueue(wish: Wish, isRepeat: boolean): void {
+  #enqueue(wish: SimulatedRequest, isRepeat: boolean): void {
     const vm = this.#random.drawInteger(0, this.#vms.length - 1);
-    const call: Call = { wish, vm, atMs: this.#nowMs, isRepeat };
+    const call: Attempt = {
+      request: wish,
+      vm,
+      startedAtMs: this.#nowMs,
+      isRetry: isRepeat,
+    };
     const { kind, prompt } = wish;
     const { queue, model } = this.#vms[vm];
     queue.enqueue({
       lane: kind.lane,
       kind: kind.name,
       tokens: prompt.promptTokens,
-      waitStartedAtMs: call.atMs,
+      waitStartedAtMs: call.startedAtMs,
       aimMs: kind.aimMs,
-      timeoutAtMs: findLeaving(call),
-      firstTokenDelayMs: FIRST_TOKEN_MS + model.latencyMs,
-      findPlacement: () => this.#place(call),
-      mayPrefillLate: () => this.#mayReadLate(vm),
+      timeoutAtMs: computeTimeout(call),
+      firstTokenDelayMs: FIRST_TOKEN_DELAY_MS + model.latencyMs,
+      findPlacement: () => this.#findPlacement(call),
+      mayPrefillLate: () => this.#mayPrefillLate(vm),
       onOutcome: (verdict) => {
-        if (verdict.kind === "placed") this.#read(call, verdict.placed);
+        if (verdict.kind === "placed") this.#prefill(call, verdict.placed);
         else if (verdict.kind === "tooLate") {
-          this.#refuse(call, verdict.placement);
+          this.#handleRejection(call, verdict.placement);
         }
       },
     });
   }
 
-  #refuse({ wish, atMs, isRepeat }: Call, { readyMs }: PromptPlacement): void {
+  #handleRejection(
+    { request: wish, startedAtMs: atMs, isRetry: isRepeat }: Attempt,
+    { readyMs }: PromptPlacement,
+  ): void {
     if (isRepeat) return;
     const { aimMs, deadlineMs } = wish.kind;
     const waitedMs = this.#nowMs - atMs;
     const draw = (): number => this.#random.drawUnit();
     const toldMs = computeRetryAfterMs(waitedMs, readyMs - aimMs, draw);
-    const mostMs = (deadlineMs - waitedMs) * MOST_RETURN_PART;
-    this.#due.push({
+    const mostMs = (deadlineMs - waitedMs) * MAX_RETRY_DELAY_SHARE;
+    this.#scheduled.push({
       atMs: this.#nowMs + Math.min(toldMs, mostMs),
       run: () => this.#enqueue(wish, true),
     });
   }
 
-  #place({ vm, wish: { prompt } }: Call): PromptPlacement | undefined {
-    const { ledger, placer, spread } = this.#vms[vm];
+  #findPlacement(
+    { vm, request: { prompt } }: Attempt,
+  ): PromptPlacement | undefined {
+    const { workTracker: ledger, placer, jitter: spread } = this.#vms[vm];
     const key = placer.findPrefixKey(prompt);
-    const holders = key === undefined ? [] : this.#listHolders(key);
+    const holders = key === undefined ? [] : this.#listPrefixHolders(key);
     return placer.pickEngine(prompt, {
       candidates: this.#targets.map((target) => ({
         target,
@@ -278,26 +288,29 @@
     });
   }
 
-  #listHolders(key: string): Target[] {
-    const held = this.#held.get(key);
+  #listPrefixHolders(key: string): Target[] {
+    const held = this.#prefixUses.get(key);
     if (held === undefined) return [];
     return this.#targets.filter(({ id }, i) => {
       const at = held.get(id);
       return at !== undefined &&
-        this.#taken[i] - at < TRAITS.kvTokens * KEPT_PART;
+        this.#acceptedTokens[i] - at < TRAITS.kvTokens * PREFIX_CACHE_SHARE;
     });
   }
 
-  #mayReadLate(vm: number): boolean {
-    const { ledger } = this.#vms[vm];
+  #mayPrefillLate(vm: number): boolean {
+    const { workTracker: ledger } = this.#vms[vm];
     const busy = this.#targets.filter(({ id }) =>
       ledger.hasLatePrefill(id, this.#nowMs)
     );
-    const most = Math.max(1, Math.floor(this.#targets.length * LATE_SHARE));
+    const most = Math.max(
+      1,
+      Math.floor(this.#targets.length * MAX_LATE_PREFILL_SHARE),
+    );
     return busy.length < most;
   }
 
-  #read(call: Call, { placement, lane }: LanePlacement): void {
+  #prefill(call: Attempt, { placement, lane }: LanePlacement): void {
     const {
       target,
       costMs,
@@ -306,26 +319,27 @@
       isCold,
       fetchFrom,
     } = placement;
-    const { ledger, model, placer } = this.#vms[call.vm];
+    const { workTracker: ledger, model, placer } = this.#vms[call.vm];
     const startMs = this.#nowMs;
-    const latencyMs = model.latencyMs + ANSWER_SLACK_MS;
+    const latencyMs = model.latencyMs + RESPONSE_MARGIN_MS;
     const endRead = ledger.beginPrefill(
       target.id,
       { costMs, lane, latencyMs },
       startMs,
     );
-    const { prompt } = call.wish;
+    const { prompt } = call.request;
     const key = placer.findPrefixKey(prompt);
     const heldTokens = key === undefined || isCold
       ? 0
       : sumPrefixTokens(prompt);
     const freshTokens = prompt.promptTokens - heldTokens;
     const i = this.#targets.indexOf(target);
-    this.#taken[i] += prompt.promptTokens - (fetchFrom ? 0 : heldTokens);
-    if (key !== undefined) this.#noteHeld(key, i);
+    this.#acceptedTokens[i] += prompt.promptTokens -
+      (fetchFrom ? 0 : heldTokens);
+    if (key !== undefined) this.#recordPrefixUse(key, i);
     const finish = (): void => {
       endRead();
-      this.#answer(call);
+      this.#recordFirstToken(call);
       const tookMs = this.#nowMs - startMs;
       if (key === undefined) {
         model.learn(target.id, { costMs, backlogMs, tookMs });
@@ -337,35 +351,36 @@
         });
       }
     };
-    this.#engines[i].accept({
+    this.#engines[i].enqueue({
       freshTokens,
-      heldTokens,
-      setupMs: fetchFrom === undefined ? 0 : FETCH_MS,
-      onRead: (atMs) => this.#due.push({ atMs: atMs + ANSWER_MS, run: finish }),
+      cachedTokens: heldTokens,
+      setupMs: fetchFrom === undefined ? 0 : KV_TRANSFER_MS,
+      onPrefilled: (atMs) =>
+        this.#scheduled.push({ atMs: atMs + RESPONSE_DELAY_MS, run: finish }),
     }, startMs);
   }
 
   /** The first token reaches the caller, unless it has left. */
-  #answer(call: Call): void {
-    const atMs = this.#nowMs + FIRST_TOKEN_MS;
-    if (atMs <= findLeaving(call)) call.wish.firstTokenAtMs = atMs;
+  #recordFirstToken(call: Attempt): void {
+    const atMs = this.#nowMs + FIRST_TOKEN_DELAY_MS;
+    if (atMs <= computeTimeout(call)) call.request.firstTokenAtMs = atMs;
   }
 
-  #noteHeld(key: string, engine: number): void {
-    const held = this.#held.get(key) ?? new Map<string, number>();
-    held.set(this.#targets[engine].id, this.#taken[engine]);
-    this.#held.set(key, held);
+  #recordPrefixUse(key: string, engine: number): void {
+    const held = this.#prefixUses.get(key) ?? new Map<string, number>();
+    held.set(this.#targets[engine].id, this.#acceptedTokens[engine]);
+    this.#prefixUses.set(key, held);
   }
 
-  #report(endMs: number): OverloadResult {
+  #buildResult(endMs: number): OverloadResult {
     const kinds: Record<string, KindResult> = {};
     for (const kind of this.#options.kinds) {
-      kinds[kind.name] = rateKind(
-        this.#wishes.filter((wish) => wish.kind === kind),
+      kinds[kind.name] = summarizeKind(
+        this.#requests.filter((wish) => wish.kind === kind),
       );
     }
     const busyMs = this.#engines.reduce((sum, e) => sum + e.busyMs, 0);
-    const { worth } = rateShares(this.#wishes);
+    const { worth } = computeServedShares(this.#requests);
     return { worth, kinds, busy: busyMs / (endMs * this.#engines.length) };
   }
 }
@@ -383,7 +398,9 @@
 }
 
 /** When the caller of a try leaves, unless its first token has come. */
-function findLeaving({ atMs, wish: { kind, atMs: wishedAtMs } }: Call): number {
+function computeTimeout(
+  { startedAtMs: atMs, request: { kind, arrivedAtMs: wishedAtMs } }: Attempt,
+): number {
   const patienceMs = computeCallerTimeoutMs(kind.aimMs);
   return Math.min(atMs + patienceMs, wishedAtMs + kind.deadlineMs);
 }
--- a/packages/heatherarch-lab/bench/path_bench.ts
+++ b/packages/heatherarch-lab/bench/path_bench.ts
@@ -34,11 +34,11 @@
 const ENGINES = 24;
 const STREAMS = 1000;
 const STREAM_TOKENS = 400;
-const LOOKUPS = 400;
-const SINGLE_STREAMS = 40;
-const SINGLE_TOKENS = 40;
-const SATURATING_LOOKUPS = 8000;
-const SATURATING_CONCURRENCY = 64;
+const LATENCY_LOOKUPS = 400;
+const LATENCY_STREAMS = 40;
+const LATENCY_STREAM_TOKENS = 40;
+const LOAD_LOOKUPS = 8000;
+const LOAD_CONCURRENCY = 64;
 const MEGABYTE = 1024 * 1024;
 
 /** Runs the benchmark. */
@@ -67,7 +67,7 @@
   try {
     await cluster.start();
     const [vm] = deployment.vms;
-    const pid = cluster.readPid(vm.id) as number;
+    const pid = cluster.getPid(vm.id) as number;
     await sleep(1500);
     const idle = readUsage(pid).residentBytes;
     const engine = deployment.fleet.targets[0].address;
@@ -76,48 +76,48 @@
     await measureLookups(
       agent,
       `${through}/services/bookings/slots/1`,
-      LOOKUPS,
+      LATENCY_LOOKUPS,
       1,
     );
     const lookupDirect = await measureLookups(
       agent,
       `http://${service}/slots/1`,
-      LOOKUPS,
+      LATENCY_LOOKUPS,
       1,
     );
     const lookupThrough = await measureLookups(
       agent,
       `${through}/services/bookings/slots/1`,
-      LOOKUPS,
+      LATENCY_LOOKUPS,
       1,
     );
     const direct = await measureStreams(agent, {
       url: `http://${engine}/v1/completions`,
-      streams: SINGLE_STREAMS,
+      streams: LATENCY_STREAMS,
       concurrency: 4,
-      tokens: SINGLE_TOKENS,
+      tokens: LATENCY_STREAM_TOKENS,
     });
     const routed = await measureStreams(agent, {
       url: `${through}/v1/completions`,
-      streams: SINGLE_STREAMS,
+      streams: LATENCY_STREAMS,
       concurrency: 4,
-      tokens: SINGLE_TOKENS,
+      tokens: LATENCY_STREAM_TOKENS,
     });
-    const lookups = await measureCore(
+    const lookups = await measureCpu(
       pid,
       () =>
         measureLookups(
           agent,
           `${through}/services/bookings/slots/1`,
-          SATURATING_LOOKUPS,
-          SATURATING_CONCURRENCY,
+          LOAD_LOOKUPS,
+          LOAD_CONCURRENCY,
         ),
     );
     let peak = 0;
     const sampling = setInterval(() => {
       peak = Math.max(peak, readUsage(pid).residentBytes);
     }, 250);
-    const tokens = await measureCore(pid, () =>
+    const tokens = await measureCpu(pid, () =>
       measureStreams(agent, {
         url: `${through}/v1/completions`,
         streams: STREAMS,
@@ -146,7 +146,7 @@
         computeQuantiles(direct.gapsMs),
         computeQuantiles(routed.gapsMs),
       ),
-      lookupsPerCoreSecond: Math.round(SATURATING_LOOKUPS / lookups.cpuSeconds),
+      lookupsPerCoreSecond: Math.round(LOAD_LOOKUPS / lookups.cpuSeconds),
       tokensPerCoreSecond: Math.round(streamed / tokens.cpuSeconds),
       tokensPerSecond: Math.round(streamed / tokens.seconds),
       daemonCpuShare: roundTo(tokens.cpuSeconds / tokens.seconds, 2),
@@ -160,7 +160,7 @@
   }
 }
 
-async function measureCore(
+async function measureCpu(
   pid: number,
   work: () => Promise<unknown>,
 ): Promise<{ cpuSeconds: number; seconds: number }> {
--- a/packages/heatherarch-lab/bench/decide_bench.ts
+++ b/packages/heatherarch-lab/bench/placement_bench.ts
@@ -4,23 +4,23 @@
  * @module
  */
 import {
-  type DecideKind,
-  type DecideOptions,
-  type DecideResult,
-  playDecisions,
-} from "./decide_world.ts";
+  type PlacementRequestKind,
+  type PlacementSimulationOptions,
+  type PlacementSimulationResult,
+  simulatePlacement,
+} from "./placement_simulation.ts";
 import { roundTo } from "./statistics.ts";
 
 /** A size of fleet. Engines are those that read. */
-interface DecideSize {
+interface FleetSize {
   readonly vms: number;
   readonly engines: number;
   /** Age of the sums at their arrival, milliseconds: without hubs, and over hubs. */
-  readonly ageMs: number;
+  readonly digestAgeMs: number;
 }
 
 /** One way at one size, over all seeds. */
-export interface DecideRow {
+export interface PlacementRow {
   readonly vms: number;
   readonly way: string;
   readonly worth: number;
@@ -31,8 +31,8 @@
   readonly busiest: number;
 }
 
-/** Options of {@linkcode runDecideBench}. */
-export interface DecideBenchOptions {
+/** Options of {@linkcode runPlacementBench}. */
+export interface PlacementBenchOptions {
   readonly seed: number;
   readonly seeds: number;
   readonly seconds: number;
@@ -41,26 +41,26 @@
 }
 
 /** Fleets of the users' sheets and the size to design for; 51 VMs a zone share engines there. */
-const SIZES: readonly DecideSize[] = [
-  { vms: 6, engines: 4, ageMs: 30 },
-  { vms: 9, engines: 10, ageMs: 30 },
-  { vms: 24, engines: 12, ageMs: 100 },
-  { vms: 64, engines: 28, ageMs: 100 },
-  { vms: 80, engines: 83, ageMs: 100 },
-  { vms: 195, engines: 70, ageMs: 100 },
-  { vms: 870, engines: 310, ageMs: 100 },
+const FLEET_SIZES: readonly FleetSize[] = [
+  { vms: 6, engines: 4, digestAgeMs: 30 },
+  { vms: 9, engines: 10, digestAgeMs: 30 },
+  { vms: 24, engines: 12, digestAgeMs: 100 },
+  { vms: 64, engines: 28, digestAgeMs: 100 },
+  { vms: 80, engines: 83, digestAgeMs: 100 },
+  { vms: 195, engines: 70, digestAgeMs: 100 },
+  { vms: 870, engines: 310, digestAgeMs: 100 },
 ];
 /** Pause between sums where there are hubs, and between heartbeats where there are none. */
-const SUM_MS = 100;
-const FEW_VMS_SUM_MS = 60;
-const FEW_VMS = 20;
+const DIGEST_INTERVAL_MS = 100;
+const SMALL_FLEET_DIGEST_INTERVAL_MS = 60;
+const SMALL_FLEET_VMS = 20;
 /** Reading engines are busy for some three fifths of the time with these, as on the sheets. */
-const KINDS: readonly DecideKind[] = [
+const KINDS: readonly PlacementRequestKind[] = [
   {
     name: "long",
     rate: 1.46,
     sharedTokens: 13_300,
-    ownTokens: 3720,
+    uniqueTokens: 3720,
     aimMs: 614,
     lane: 0,
     worth: 2.2,
@@ -70,7 +70,7 @@
     name: "middle",
     rate: 1.13,
     sharedTokens: 6300,
-    ownTokens: 2890,
+    uniqueTokens: 2890,
     aimMs: 510,
     lane: 1,
     worth: 2.3,
@@ -80,29 +80,33 @@
     name: "short",
     rate: 2.63,
     sharedTokens: 350,
-    ownTokens: 1110,
+    uniqueTokens: 1110,
     aimMs: 306,
     lane: 2,
     worth: 1.2,
     lateWorth: 0.36,
   },
 ];
-const WAYS: Readonly<Record<string, Partial<DecideOptions>>> = {
-  "no spread": { spreadMs: 0 },
-  "spread 20 ms": { spreadMs: 20 },
-  "spread 40 ms": { spreadMs: 40 },
-  "spread 80 ms": { spreadMs: 80 },
-  "all known at once": { spreadMs: 0, isOracle: true },
+const STRATEGIES: Readonly<
+  Record<string, Partial<PlacementSimulationOptions>>
+> = {
+  "no spread": { maxJitterMs: 0 },
+  "spread 20 ms": { maxJitterMs: 20 },
+  "spread 40 ms": { maxJitterMs: 40 },
+  "spread 80 ms": { maxJitterMs: 80 },
+  "all known at once": { maxJitterMs: 0, isOracle: true },
 };
 
 /** Plays all ways at all sizes. */
-export function runDecideBench(options: DecideBenchOptions): DecideRow[] {
+export function runPlacementBench(
+  options: PlacementBenchOptions,
+): PlacementRow[] {
   const { print } = options;
   print("| VMs | way | worth | long | middle | short | refused | busiest |");
-  const rows: DecideRow[] = [];
-  for (const size of SIZES) {
-    for (const [way, changes] of Object.entries(WAYS)) {
-      const row = playRow(size, way, changes, options);
+  const rows: PlacementRow[] = [];
+  for (const size of FLEET_SIZES) {
+    for (const [way, changes] of Object.entries(STRATEGIES)) {
+      const row = simulateRow(size, way, changes, options);
       rows.push(row);
       print(formatRow(row));
     }
@@ -110,24 +114,26 @@
   return rows;
 }
 
-function playRow(
-  { vms, engines, ageMs }: DecideSize,
+function simulateRow(
+  { vms, engines, digestAgeMs: ageMs }: FleetSize,
   way: string,
-  changes: Partial<DecideOptions>,
-  { seed, seeds, seconds, burst }: DecideBenchOptions,
-): DecideRow {
-  const results: DecideResult[] = [];
+  changes: Partial<PlacementSimulationOptions>,
+  { seed, seeds, seconds, burst }: PlacementBenchOptions,
+): PlacementRow {
+  const results: PlacementSimulationResult[] = [];
   for (let i = 0; i < seeds; i++) {
-    results.push(playDecisions({
+    results.push(simulatePlacement({
       seed: seed + i,
       vms,
       engines,
-      ageMs,
+      digestAgeMs: ageMs,
       seconds,
       burst,
       kinds: KINDS,
-      sumMs: vms < FEW_VMS ? FEW_VMS_SUM_MS : SUM_MS,
-      spreadMs: 0,
+      digestIntervalMs: vms < SMALL_FLEET_VMS
+        ? SMALL_FLEET_DIGEST_INTERVAL_MS
+        : DIGEST_INTERVAL_MS,
+      maxJitterMs: 0,
       ...changes,
     }));
   }
@@ -149,7 +155,7 @@
   };
 }
 
-function formatRow(row: DecideRow): string {
+function formatRow(row: PlacementRow): string {
   const { vms, way, worth, spread, onTime, refused, busiest } = row;
   const kinds = KINDS.map(({ name }) => onTime[name]).join(" | ");
   return `| ${vms} | ${way} | ${worth} ± ${spread} | ${kinds} | ${refused} | ${busiest} |`;
--- a/packages/heatherarch-lab/bench/decide_world.ts
+++ b/packages/heatherarch-lab/bench/placement_simulation.ts
@@ -21,39 +21,39 @@
 } from "heatherarch-forward";
 
 /** A kind of request. */
-export interface DecideKind {
+export interface PlacementRequestKind {
   readonly name: string;
   /** Requests a second for each reading engine. */
   readonly rate: number;
   readonly sharedTokens: number;
-  readonly ownTokens: number;
+  readonly uniqueTokens: number;
   readonly aimMs: number;
   readonly lane: number;
   readonly worth: number;
   readonly lateWorth: number;
 }
 
-/** Options of {@linkcode playDecisions}. */
-export interface DecideOptions {
+/** Options of {@linkcode simulatePlacement}. */
+export interface PlacementSimulationOptions {
   readonly seed: number;
   readonly vms: number;
   /** Engines that read. */
   readonly engines: number;
   readonly seconds: number;
-  readonly kinds: readonly DecideKind[];
+  readonly kinds: readonly PlacementRequestKind[];
   /** Load in the middle third of the time, as a multiple. */
   readonly burst: number;
   /** Age of the sums at their arrival, and the pause between them, milliseconds. */
-  readonly ageMs: number;
-  readonly sumMs: number;
+  readonly digestAgeMs: number;
+  readonly digestIntervalMs: number;
   /** Longest wait that a VM adds to an engine in its choice, milliseconds. */
-  readonly spreadMs: number;
+  readonly maxJitterMs: number;
   /** Every VM knows at once what all have given. */
   readonly isOracle?: boolean;
 }
 
 /** What a run earned, by kind. */
-export interface DecideResult {
+export interface PlacementSimulationResult {
   /** Share of the worth that was asked for. */
   readonly worth: number;
   readonly onTime: Readonly<Record<string, number>>;
@@ -63,26 +63,26 @@
   readonly coldShare: number;
 }
 
-interface Reading {
+interface RunningPrefill {
   readonly vm: number;
   readonly finishAtMs: number;
   readonly costMs: number;
 }
 
-interface Job {
+interface ArrivedRequest {
   readonly vm: number;
-  readonly atMs: number;
-  readonly kind: DecideKind;
+  readonly arrivedAtMs: number;
+  readonly kind: PlacementRequestKind;
   readonly prompt: GenerationParams;
 }
 
 const STEP_MS = 5;
 /** Beginnings that a kind's requests share. */
-const BEGINNINGS = 400;
-const KEPT_MS = 11_000;
+const PREFIXES_PER_KIND = 400;
+const PREFIX_RETENTION_MS = 11_000;
 /** From the end of the reading to the first token at the caller, milliseconds. */
-const TAIL_MS = 45;
-const PATIENCE_MS = 1750;
+const FIRST_TOKEN_DELAY_MS = 45;
+const CALLER_TIMEOUT_MS = 1750;
 const TRAITS = {
   slots: 64,
   kvTokens: 455_109,
@@ -92,35 +92,37 @@
 };
 
 /** Plays one run. */
-export function playDecisions(options: DecideOptions): DecideResult {
-  return new DecideWorld(options).play();
+export function simulatePlacement(
+  options: PlacementSimulationOptions,
+): PlacementSimulationResult {
+  return new PlacementSimulation(options).run();
 }
 
-class DecideWorld {
-  readonly #options: DecideOptions;
+class PlacementSimulation {
+  readonly #options: PlacementSimulationOptions;
   readonly #random: Random;
   readonly #clock = new ManualClock();
   readonly #model = new PrefillTimeModel();
   readonly #placer: PromptPlacer;
   readonly #engines: readonly Target[];
   /** Readings in progress by engine, and those of some time ago. */
-  readonly #readings: Reading[][];
-  #seen: { atMs: number; readings: Reading[][] }[] = [];
-  readonly #snapshotOf: Reading[][][];
+  readonly #prefills: RunningPrefill[][];
+  #history: { atMs: number; prefills: RunningPrefill[][] }[] = [];
+  readonly #snapshots: RunningPrefill[][][];
   readonly #queues: PrefillQueue[];
-  readonly #spreads: EngineJitter[];
+  readonly #jitters: EngineJitter[];
   /** Engines that hold a beginning, with the time of its last use. */
-  readonly #held = new Map<string, Map<string, number>>();
-  readonly #readMs: number[];
-  #asked = 0;
-  #earned = 0;
-  #refused = 0;
-  #calls = 0;
-  #cold = 0;
-  #long = 0;
-  readonly #byKind = new Map<string, { asked: number; onTime: number }>();
+  readonly #prefixUses = new Map<string, Map<string, number>>();
+  readonly #prefillMs: number[];
+  #offeredWorth = 0;
+  #earnedWorth = 0;
+  #refusedCount = 0;
+  #requestCount = 0;
+  #coldCount = 0;
+  #prefixedCount = 0;
+  readonly #countsByKind = new Map<string, { asked: number; onTime: number }>();
 
-  constructor(options: DecideOptions) {
+  constructor(options: PlacementSimulationOptions) {
     this.#options = options;
     this.#random = new Random(options.seed);
     this.#placer = new PromptPlacer({ model: this.#model });
@@ -134,58 +136,58 @@
       leaving: false,
       role: "prefill",
     }));
-    this.#readings = this.#engines.map(() => []);
-    this.#readMs = this.#engines.map(() => 0);
-    this.#snapshotOf = Array.from({ length: vms }, () => this.#readings);
+    this.#prefills = this.#engines.map(() => []);
+    this.#prefillMs = this.#engines.map(() => 0);
+    this.#snapshots = Array.from({ length: vms }, () => this.#prefills);
     this.#queues = Array.from(
       { length: vms },
       () => new PrefillQueue({ clock: this.#clock, isTimerEnabled: false }),
     );
-    this.#spreads = Array.from({ length: vms }, (_, i) =>
+    this.#jitters = Array.from({ length: vms }, (_, i) =>
       new EngineJitter({
         vmId: `vm-${i}`,
         drawUnit: () => this.#random.drawUnit(),
-        maxMs: options.spreadMs,
+        maxMs: options.maxJitterMs,
       }));
   }
 
-  play(): DecideResult {
+  run(): PlacementSimulationResult {
     const { seconds } = this.#options;
     const endMs = seconds * 1000;
-    while (this.#nowMs < endMs + PATIENCE_MS) {
+    while (this.#nowMs < endMs + CALLER_TIMEOUT_MS) {
       this.#clock.advance(STEP_MS);
-      this.#endReadings();
-      this.#tellSums();
+      this.#dropFinishedPrefills();
+      this.#updateSnapshots();
       if (this.#nowMs < endMs) this.#drawArrivals();
       for (const queue of this.#queues) if (queue.size > 0) queue.dispatch();
     }
-    return this.#report();
+    return this.#buildResult();
   }
 
   get #nowMs(): number {
     return this.#clock.readMonotonicMs();
   }
 
-  #endReadings(): void {
-    this.#readings.forEach((readings, i) => {
+  #dropFinishedPrefills(): void {
+    this.#prefills.forEach((readings, i) => {
       if (readings.length === 0) return;
-      this.#readings[i] = readings.filter((r) => r.finishAtMs > this.#nowMs);
+      this.#prefills[i] = readings.filter((r) => r.finishAtMs > this.#nowMs);
     });
   }
 
   /** Each VM hears, in turn, what was going on some time ago. */
-  #tellSums(): void {
-    const { ageMs, sumMs, vms } = this.#options;
-    this.#seen.push({ atMs: this.#nowMs, readings: [...this.#readings] });
-    const known = this.#seen.findLastIndex(({ atMs }) =>
+  #updateSnapshots(): void {
+    const { digestAgeMs: ageMs, digestIntervalMs: sumMs, vms } = this.#options;
+    this.#history.push({ atMs: this.#nowMs, prefills: [...this.#prefills] });
+    const known = this.#history.findLastIndex(({ atMs }) =>
       atMs <= this.#nowMs - ageMs
     );
-    if (known > 0) this.#seen = this.#seen.slice(known);
+    if (known > 0) this.#history = this.#history.slice(known);
     if (known < 0) return;
     const turns = sumMs / STEP_MS;
     const turn = Math.round(this.#nowMs / STEP_MS) % turns;
     for (let vm = turn; vm < vms; vm += turns) {
-      this.#snapshotOf[vm] = this.#seen[0].readings;
+      this.#snapshots[vm] = this.#history[0].prefills;
     }
   }
 
@@ -199,7 +201,7 @@
         if (this.#random.drawUnit() >= expected) continue;
         this.#enqueue({
           vm: this.#random.drawInteger(0, vms - 1),
-          atMs: this.#nowMs,
+          arrivedAtMs: this.#nowMs,
           kind,
           prompt: this.#drawPrompt(kind),
         });
@@ -207,8 +209,10 @@
     }
   }
 
-  #drawPrompt({ name, sharedTokens, ownTokens }: DecideKind): GenerationParams {
-    const key = `${name}-${this.#random.drawInteger(0, BEGINNINGS - 1)}`;
+  #drawPrompt(
+    { name, sharedTokens, uniqueTokens: ownTokens }: PlacementRequestKind,
+  ): GenerationParams {
+    const key = `${name}-${this.#random.drawInteger(0, PREFIXES_PER_KIND - 1)}`;
     const own = Math.round(this.#random.drawExponential(ownTokens));
     return {
       model: "m",
@@ -218,40 +222,40 @@
     };
   }
 
-  #enqueue(job: Job): void {
-    const { kind, atMs, vm, prompt } = job;
-    this.#calls++;
-    this.#asked += kind.worth;
-    const count = this.#byKind.get(kind.name) ?? { asked: 0, onTime: 0 };
+  #enqueue(job: ArrivedRequest): void {
+    const { kind, arrivedAtMs: atMs, vm, prompt } = job;
+    this.#requestCount++;
+    this.#offeredWorth += kind.worth;
+    const count = this.#countsByKind.get(kind.name) ?? { asked: 0, onTime: 0 };
     count.asked++;
-    this.#byKind.set(kind.name, count);
+    this.#countsByKind.set(kind.name, count);
     this.#queues[vm].enqueue({
       lane: kind.lane,
       kind: kind.name,
       tokens: prompt.promptTokens,
       waitStartedAtMs: atMs,
       aimMs: kind.aimMs,
-      timeoutAtMs: atMs + PATIENCE_MS,
-      firstTokenDelayMs: TAIL_MS,
-      findPlacement: () => this.#place(job),
+      timeoutAtMs: atMs + CALLER_TIMEOUT_MS,
+      firstTokenDelayMs: FIRST_TOKEN_DELAY_MS,
+      findPlacement: () => this.#findPlacement(job),
       mayPrefillLate: () => true,
       onOutcome: (verdict) => {
         if (verdict.kind === "placed") {
-          this.#read(job, verdict.placed.placement);
-        } else this.#refused++;
+          this.#startPrefill(job, verdict.placed.placement);
+        } else this.#refusedCount++;
       },
     });
   }
 
-  #place({ vm, prompt }: Job): PromptPlacement | undefined {
+  #findPlacement({ vm, prompt }: ArrivedRequest): PromptPlacement | undefined {
     const candidates = this.#engines.map((target, i): PrefillCandidate => ({
       target,
       backlogMs: this.#estimateBacklog(vm, i),
     }));
     const key = this.#placer.findPrefixKey(prompt) ?? "";
-    const held = this.#held.get(key) ?? new Map<string, number>();
+    const held = this.#prefixUses.get(key) ?? new Map<string, number>();
     const holders = this.#engines.filter(({ id }) =>
-      this.#nowMs - (held.get(id) ?? -Infinity) < KEPT_MS
+      this.#nowMs - (held.get(id) ?? -Infinity) < PREFIX_RETENTION_MS
     );
     return this.#placer.pickEngine(prompt, {
       candidates,
@@ -259,61 +263,69 @@
       prefixHolders: holders,
       prefixSources: holders,
       traits: TRAITS,
-      drawJitterMs: (target) => this.#spreads[vm].drawMs(target),
+      drawJitterMs: (target) => this.#jitters[vm].drawMs(target),
     });
   }
 
   /** Own readings are known at once, those of others from the last sum. */
   #estimateBacklog(vm: number, engine: number): number {
-    const now = this.#readings[engine];
-    if (this.#options.isOracle) return sumLeft(now, this.#nowMs);
-    const others = this.#snapshotOf[vm][engine].filter((r) => r.vm !== vm);
+    const now = this.#prefills[engine];
+    if (this.#options.isOracle) return sumRemainingMs(now, this.#nowMs);
+    const others = this.#snapshots[vm][engine].filter((r) => r.vm !== vm);
     const own = now.filter((r) => r.vm === vm);
-    return sumLeft(others, this.#nowMs) + sumLeft(own, this.#nowMs);
+    return sumRemainingMs(others, this.#nowMs) +
+      sumRemainingMs(own, this.#nowMs);
   }
 
-  #read({ vm, kind, atMs, prompt }: Job, placement: PromptPlacement): void {
+  #startPrefill(
+    { vm, kind, arrivedAtMs: atMs, prompt }: ArrivedRequest,
+    placement: PromptPlacement,
+  ): void {
     const i = this.#engines.indexOf(placement.target);
     const { costMs } = placement;
-    const last = this.#readings[i].at(-1)?.finishAtMs ?? this.#nowMs;
+    const last = this.#prefills[i].at(-1)?.finishAtMs ?? this.#nowMs;
     const finishAtMs = last + costMs;
-    this.#readings[i] = [...this.#readings[i], { vm, finishAtMs, costMs }];
-    this.#readMs[i] += costMs;
-    this.#noteHeld(placement, prompt);
-    const isOnTime = finishAtMs + TAIL_MS <= atMs + kind.aimMs;
-    this.#earned += isOnTime ? kind.worth : kind.lateWorth;
-    const count = this.#byKind.get(kind.name);
+    this.#prefills[i] = [...this.#prefills[i], { vm, finishAtMs, costMs }];
+    this.#prefillMs[i] += costMs;
+    this.#recordPrefixUse(placement, prompt);
+    const isOnTime = finishAtMs + FIRST_TOKEN_DELAY_MS <= atMs + kind.aimMs;
+    this.#earnedWorth += isOnTime ? kind.worth : kind.lateWorth;
+    const count = this.#countsByKind.get(kind.name);
     if (isOnTime && count !== undefined) count.onTime++;
   }
 
-  #noteHeld(placement: PromptPlacement, prompt: GenerationParams): void {
+  #recordPrefixUse(placement: PromptPlacement, prompt: GenerationParams): void {
     const key = this.#placer.findPrefixKey(prompt);
     if (key === undefined) return;
-    this.#long++;
-    if (placement.isCold) this.#cold++;
-    const held = this.#held.get(key) ?? new Map<string, number>();
+    this.#prefixedCount++;
+    if (placement.isCold) this.#coldCount++;
+    const held = this.#prefixUses.get(key) ?? new Map<string, number>();
     held.set(placement.target.id, this.#nowMs);
-    this.#held.set(key, held);
+    this.#prefixUses.set(key, held);
   }
 
-  #report(): DecideResult {
-    const mean = this.#readMs.reduce((a, b) => a + b, 0) / this.#readMs.length;
+  #buildResult(): PlacementSimulationResult {
+    const mean = this.#prefillMs.reduce((a, b) => a + b, 0) /
+      this.#prefillMs.length;
     const onTime: Record<string, number> = {};
-    for (const [name, count] of this.#byKind) {
+    for (const [name, count] of this.#countsByKind) {
       onTime[name] = count.onTime / count.asked;
     }
     return {
-      worth: this.#earned / this.#asked,
+      worth: this.#earnedWorth / this.#offeredWorth,
       onTime,
-      refused: this.#refused / this.#calls,
-      busiest: Math.max(...this.#readMs) / mean,
-      coldShare: this.#cold / Math.max(1, this.#long),
+      refused: this.#refusedCount / this.#requestCount,
+      busiest: Math.max(...this.#prefillMs) / mean,
+      coldShare: this.#coldCount / Math.max(1, this.#prefixedCount),
     };
   }
 }
 
 /** What is left to read, milliseconds. */
-function sumLeft(readings: readonly Reading[], nowMs: number): number {
+function sumRemainingMs(
+  readings: readonly RunningPrefill[],
+  nowMs: number,
+): number {
   let leftMs = 0;
   for (const { finishAtMs, costMs } of readings) {
     leftMs += Math.max(0, Math.min(costMs, finishAtMs - nowMs));
--- a/packages/heatherarch-lab/bench/prompt_draw.ts
+++ b/packages/heatherarch-lab/bench/prompt_generator.ts
@@ -6,10 +6,10 @@
  */
 import type { Random } from "heatherarch-core";
 import type { GenerationParams } from "heatherarch-forward";
-import type { OverloadKind } from "./overload_result.ts";
+import type { OverloadRequestKind } from "./overload_result.ts";
 
 /** Prompts of all kinds of one run. */
-export class PromptDraw {
+export class PromptGenerator {
   readonly #random: Random;
   readonly #sharedSizes = new Map<string, number>();
 
@@ -18,16 +18,16 @@
   }
 
   /** A prompt of that kind. */
-  draw(kind: OverloadKind): GenerationParams {
+  draw(kind: OverloadRequestKind): GenerationParams {
     const id = `${kind.name}-${
-      this.#random.drawInteger(0, kind.beginnings - 1)
+      this.#random.drawInteger(0, kind.prefixCount - 1)
     }`;
     let shared = this.#sharedSizes.get(id);
     if (shared === undefined) {
-      shared = this.#drawSize(kind.sharedTokens, kind.sharedSpread);
+      shared = this.#drawSize(kind.sharedTokens, kind.sharedTokensCv);
       this.#sharedSizes.set(id, shared);
     }
-    const own = this.#drawSize(kind.ownTokens, kind.ownSpread);
+    const own = this.#drawSize(kind.uniqueTokens, kind.uniqueTokensCv);
     return {
       model: "m",
       promptTokens: shared + own,
--- a/packages/heatherarch-lab/bench/statistics.ts
+++ b/packages/heatherarch-lab/bench/statistics.ts
@@ -13,20 +13,20 @@
   readonly count: number;
 }
 
-const SCALE = 1000;
+const UNITS_PER_MS = 1000;
 const MAX_MS = 3_600_000;
 
 /** Quantiles of times in milliseconds, to a microsecond. */
 export function computeQuantiles(times: readonly number[]): Quantiles {
   const histogram = build({
-    highestTrackableValue: MAX_MS * SCALE,
+    highestTrackableValue: MAX_MS * UNITS_PER_MS,
     numberOfSignificantValueDigits: 3,
   });
   for (const time of times) {
-    histogram.recordValue(Math.max(1, Math.round(time * SCALE)));
+    histogram.recordValue(Math.max(1, Math.round(time * UNITS_PER_MS)));
   }
   const read = (percent: number) =>
-    histogram.getValueAtPercentile(percent) / SCALE;
+    histogram.getValueAtPercentile(percent) / UNITS_PER_MS;
   return { p50: read(50), p95: read(95), p99: read(99), count: times.length };
 }
 
--- a/packages/heatherarch-lab/bench/trace.ts
+++ b/packages/heatherarch-lab/bench/trace.ts
@@ -8,7 +8,7 @@
 import { buildIssues, formatIssues } from "heatherarch-settings";
 import { z } from "zod";
 
-const TRACE_REQUEST = z.strictObject({
+const TRACE_REQUEST_SCHEMA = z.strictObject({
   /** Time from the start of the trace, milliseconds. */
   atMs: z.number().min(0),
   service: z.string(),
@@ -21,7 +21,7 @@
 });
 
 /** One request of a trace. Lookups have neither prompt nor output. */
-export type TraceRequest = z.infer<typeof TRACE_REQUEST>;
+export type TraceRequest = z.infer<typeof TRACE_REQUEST_SCHEMA>;
 
 /** A trace and what goes with it. */
 export interface Trace {
@@ -79,12 +79,12 @@
 
 const LOOKUPS_PER_SECOND = 5;
 const LOOKUP_DEADLINE_MS = 1000;
-const PREFIXES = 40;
+const PREFIX_COUNT = 40;
 /** Share of a prompt that requests of one prefix id share. */
-export const SHARED_SHARE = 0.3;
-const BURST_FROM = 0.35;
-const BURST_TO = 0.65;
-const SWING_SECONDS = 20;
+export const SHARED_PREFIX_SHARE = 0.3;
+const BURST_START_SHARE = 0.35;
+const BURST_END_SHARE = 0.65;
+const SWING_INTERVAL_S = 20;
 
 /** Makes a trace whose work arrives at an even pace while its mix shifts. */
 export function buildTrace(
@@ -102,7 +102,7 @@
     atMs += random.drawExponential(costSeconds * 1000 / options.load);
     if (atMs >= totalMs) break;
     requests.push(
-      drawReading(random, mix, { atMs, service: options.services.model }),
+      drawGeneration(random, mix, { atMs, service: options.services.model }),
     );
   }
   for (
@@ -134,25 +134,29 @@
     case "steady":
       return BALANCED;
     case "half-day":
-      return blend(
+      return interpolateMix(
         DECODE_HEAVY,
         PREFILL_HEAVY,
         (1 - Math.cos(share * 2 * Math.PI)) / 2,
       );
     case "long-prompts":
-      return share >= BURST_FROM && share < BURST_TO ? PREFILL_HEAVY : BALANCED;
+      return share >= BURST_START_SHARE && share < BURST_END_SHARE
+        ? PREFILL_HEAVY
+        : BALANCED;
     case "long-outputs":
-      return share >= BURST_FROM && share < BURST_TO ? DECODE_HEAVY : BALANCED;
+      return share >= BURST_START_SHARE && share < BURST_END_SHARE
+        ? DECODE_HEAVY
+        : BALANCED;
     case "swings":
     case "withdrawal":
     case "stale-reports":
-      return Math.floor(seconds / SWING_SECONDS) % 2 === 0
+      return Math.floor(seconds / SWING_INTERVAL_S) % 2 === 0
         ? DECODE_HEAVY
         : PREFILL_HEAVY;
   }
 }
 
-function blend(from: Mix, to: Mix, share: number): Mix {
+function interpolateMix(from: Mix, to: Mix, share: number): Mix {
   const mixed = (a: number, b: number) => Math.round(a * (b / a) ** share);
   return {
     prompt: mixed(from.prompt, to.prompt),
@@ -160,7 +164,7 @@
   };
 }
 
-function drawReading(
+function drawGeneration(
   random: Random,
   mix: Mix,
   at: { atMs: number; service: string },
@@ -169,7 +173,7 @@
   const promptTokens = Math.max(16, Math.round(mix.prompt * spread()));
   const outputTokens = Math.max(4, Math.round(mix.output * spread()));
   const deadlineMs = Math.round(1740 + promptTokens * 0.5 + outputTokens * 41);
-  const prefixId = `p${random.drawInteger(1, PREFIXES)}`;
+  const prefixId = `p${random.drawInteger(1, PREFIX_COUNT)}`;
   return {
     ...at,
     profile: "default",
@@ -198,7 +202,7 @@
 
 function parseTraceLine(line: string): TraceRequest | string {
   try {
-    const parsed = TRACE_REQUEST.safeParse(JSON.parse(line));
+    const parsed = TRACE_REQUEST_SCHEMA.safeParse(JSON.parse(line));
     return parsed.success
       ? parsed.data
       : formatIssues(buildIssues(parsed.error));
@@ -213,14 +217,15 @@
   number: number,
 ): string {
   const characters = request.promptTokens * 4;
-  const sharedLength = Math.floor(characters * SHARED_SHARE);
-  const shared = fill(
+  const sharedLength = Math.floor(characters * SHARED_PREFIX_SHARE);
+  const shared = repeatToLength(
     `clause ${request.prefixId} of the fare rules; `,
     sharedLength,
   );
-  return shared + fill(`passenger ${number} asks; `, characters - sharedLength);
+  return shared +
+    repeatToLength(`passenger ${number} asks; `, characters - sharedLength);
 }
 
-function fill(text: string, length: number): string {
+function repeatToLength(text: string, length: number): string {
   return text.repeat(Math.ceil(length / text.length)).slice(0, length);
 }
--- a/packages/heatherarch-lab/bin/bench.ts
+++ b/packages/heatherarch-lab/bin/bench.ts
@@ -8,9 +8,9 @@
 import { mkdirSync, writeFileSync } from "node:fs";
 import {
   type ArmName,
+  computeTokenCosts,
   type MixDeployment,
   type MixReport,
-  readTokenCosts,
   runMixBench,
 } from "../bench/mix_bench.ts";
 import { drawMixPlot } from "../bench/plot.ts";
@@ -24,7 +24,7 @@
 import { SHAPES } from "../deployment.ts";
 import { runClaimsBench } from "../bench/claims_bench.ts";
 import { runControlBench } from "../bench/control_bench.ts";
-import { runDecideBench } from "../bench/decide_bench.ts";
+import { runPlacementBench } from "../bench/placement_bench.ts";
 import { measureOrderWindow } from "../bench/order_window.ts";
 import { runPathBench } from "../bench/path_bench.ts";
 
@@ -78,7 +78,7 @@
         }),
     (args) => {
       const print = args.json ? () => {} : console.log;
-      const rows = runDecideBench({ ...args, print });
+      const rows = runPlacementBench({ ...args, print });
       if (args.json) printReport({ rows }, true);
     },
   )
@@ -149,7 +149,7 @@
   const { modelService: model, plainService: plain } = SHAPES[args.deployment];
   const { seed, seconds, load } = args;
   const options = { seed, seconds, load, services: { model, plain } };
-  return buildTrace(name as TraceName, options, readTokenCosts());
+  return buildTrace(name as TraceName, options, computeTokenCosts());
 }
 
 function writePlot(report: MixReport, seed: number): void {
--- a/packages/heatherarch-lab/bin/test.ts
+++ b/packages/heatherarch-lab/bin/test.ts
@@ -4,7 +4,7 @@
  *
  * @module
  */
-import { existsSync, globSync, readFileSync } from "../find_files.ts";
+import { existsSync, findFiles, readTextFile } from "../find_files.ts";
 import { basename } from "node:path";
 import { run } from "node:test";
 import { spec } from "node:test/reporters";
@@ -14,11 +14,11 @@
 
 const filter = process.argv[2] ?? "";
 const files = [
-  ...globSync("packages", TEST_FILE),
-  ...globSync("platform", TEST_FILE),
+  ...findFiles("packages", TEST_FILE),
+  ...findFiles("platform", TEST_FILE),
 ].filter((file) => file.includes(filter));
 const known = existsSync("KNOWN-RED.txt")
-  ? readFileSync("KNOWN-RED.txt").split("\n").filter((line) =>
+  ? readTextFile("KNOWN-RED.txt").split("\n").filter((line) =>
     line && !line.startsWith("#")
   )
   : [];
--- a/packages/heatherarch-lab/caller.ts
+++ b/packages/heatherarch-lab/caller.ts
@@ -22,7 +22,7 @@
   readonly durationMs: number;
   readonly firstTokenMs: number;
   /** Mean gap between tokens, milliseconds. */
-  readonly gapMs: number;
+  readonly tokenGapMs: number;
   readonly tokens: number;
   readonly detail: string;
 }
@@ -49,7 +49,7 @@
   readonly deadlineMs?: number;
 }
 
-interface ErrorShape {
+interface ErrorBody {
   error?: { kind?: string; run?: string; message?: string };
 }
 
@@ -74,7 +74,7 @@
     };
     const finish = (
       outcome: CallOutcome,
-      error?: ErrorShape,
+      error?: ErrorBody,
       detail = "",
     ): CallResult => {
       const gaps = gathered.tokens - 1;
@@ -87,7 +87,9 @@
         firstTokenMs: gathered.firstAtMs === 0
           ? 0
           : gathered.firstAtMs - startMs,
-        gapMs: gaps > 0 ? (gathered.lastAtMs - gathered.firstAtMs) / gaps : 0,
+        tokenGapMs: gaps > 0
+          ? (gathered.lastAtMs - gathered.firstAtMs) / gaps
+          : 0,
         tokens: gathered.tokens,
         detail: detail || (error?.error?.message ?? ""),
       };
@@ -109,7 +111,7 @@
         bodyTimeout: 0,
       });
       if (answer.statusCode !== 200) {
-        return finish("refused", await answer.body.json() as ErrorShape);
+        return finish("refused", await answer.body.json() as ErrorBody);
       }
       if (!stream) {
         const body = await answer.body.json() as {
@@ -143,7 +145,7 @@
     const startMs = performance.now();
     const finish = (
       outcome: CallOutcome,
-      error?: ErrorShape,
+      error?: ErrorBody,
       detail = "",
     ): CallResult => ({
       outcome,
@@ -152,7 +154,7 @@
       requestId,
       durationMs: performance.now() - startMs,
       firstTokenMs: 0,
-      gapMs: 0,
+      tokenGapMs: 0,
       tokens: 0,
       detail: detail || (error?.error?.message ?? ""),
     });
@@ -172,7 +174,7 @@
         },
       );
       const text = await answer.body.text();
-      const body = JSON.parse(text) as ErrorShape & {
+      const body = JSON.parse(text) as ErrorBody & {
         path?: string;
         echo?: string;
       };
@@ -214,8 +216,8 @@
     lastAtMs: number;
     done: boolean;
   },
-): Promise<ErrorShape | undefined> {
-  let failure: ErrorShape | undefined;
+): Promise<ErrorBody | undefined> {
+  let failure: ErrorBody | undefined;
   const decoder = new TextDecoder();
   const parser = createParser({
     onEvent: ({ data }) => {
@@ -223,7 +225,7 @@
         gathered.done = true;
         return;
       }
-      const event = JSON.parse(data) as ErrorShape & {
+      const event = JSON.parse(data) as ErrorBody & {
         choices?: { text?: string }[];
       };
       if (event.error !== undefined) failure = event;
--- a/packages/heatherarch-lab/chaos/chaos_run.ts
+++ b/packages/heatherarch-lab/chaos/chaos_run.ts
@@ -9,7 +9,7 @@
 import { Caller } from "../caller.ts";
 import { Cluster } from "../cluster.ts";
 import { buildDeployment, type Deployment } from "../deployment.ts";
-import { sendOne } from "../mixed_load.ts";
+import { sendRandomRequest } from "../mixed_load.ts";
 import { Balancer } from "./balancer.ts";
 import {
   buildChaosReport,
@@ -84,7 +84,7 @@
       log: { seed: options.seed, appendMs: { low: 2, high: 15 } },
     },
     settings: SETTINGS,
-    settingsOf: (vm) =>
+    vmSettings: (vm) =>
       buildVmSettings(deployment, network, vm.availabilityZone),
     profiles: [{
       name: "default",
@@ -187,7 +187,7 @@
     const mix = Math.floor(startMs / MIX_SWING_MS) % 2 === 0
       ? LONG_PROMPTS
       : LONG_OUTPUTS;
-    const records = await sendOne(caller, deployment, random, mix);
+    const records = await sendRandomRequest(caller, deployment, random, mix);
     const endMs = performance.now();
     for (const record of records) {
       this.#records.push({ record, startMs, endMs });
@@ -247,7 +247,7 @@
   async #scrapeViolations(untilMs: number): Promise<void> {
     while (performance.now() < untilMs) {
       for (const vm of this.#cluster.deployment.vms) {
-        const pid = this.#cluster.readPid(vm.id);
+        const pid = this.#cluster.getPid(vm.id);
         const count = await readViolations(vm.operators).catch(() => undefined);
         if (count !== undefined) {
           this.#violationsSeen.set(`${vm.id}/${pid}`, count);
--- a/packages/heatherarch-lab/chaos/fault_driver.ts
+++ b/packages/heatherarch-lab/chaos/fault_driver.ts
@@ -191,22 +191,30 @@
     faults: Partial<typeof PLATFORM_NORMAL>,
   ): Promise<boolean> {
     return this.#hold("platform", async () => {
-      await this.#cluster.command({ kind: "log", faults });
+      await this.#cluster.sendCommand({ kind: "log", faults });
       await sleep(fault.durationMs);
-      await this.#cluster.command({ kind: "log", faults: PLATFORM_NORMAL });
+      await this.#cluster.sendCommand({ kind: "log", faults: PLATFORM_NORMAL });
     });
   }
 
   #crash(target: Target, downMs: number): Promise<boolean> {
     return this.#hold(target.id, async () => {
-      await this.#cluster.command({ kind: "crash", target: target.id, downMs });
+      await this.#cluster.sendCommand({
+        kind: "crash",
+        target: target.id,
+        downMs,
+      });
       await sleep(downMs);
     });
   }
 
   async #crashInOrder(fault: ScheduledFault): Promise<boolean> {
     const target = this.#pickEngine(fault.pick).id;
-    await this.#cluster.command({ kind: "crashInOrder", target, afterMs: 150 });
+    await this.#cluster.sendCommand({
+      kind: "crashInOrder",
+      target,
+      afterMs: 150,
+    });
     await sleep(fault.durationMs);
     return true;
   }
@@ -214,7 +222,7 @@
   #freeze(fault: ScheduledFault): Promise<boolean> {
     const { id } = this.#pickEngine(fault.pick);
     return this.#hold(id, async () => {
-      await this.#cluster.command({
+      await this.#cluster.sendCommand({
         kind: "freeze",
         target: id,
         ms: fault.durationMs,
@@ -226,9 +234,17 @@
   #truncate(fault: ScheduledFault): Promise<boolean> {
     const { id } = this.#pickEngine(fault.pick);
     return this.#hold(id, async () => {
-      await this.#cluster.command({ kind: "truncate", target: id, after: 3 });
+      await this.#cluster.sendCommand({
+        kind: "truncate",
+        target: id,
+        after: 3,
+      });
       await sleep(fault.durationMs);
-      await this.#cluster.command({ kind: "truncate", target: id, after: 0 });
+      await this.#cluster.sendCommand({
+        kind: "truncate",
+        target: id,
+        after: 0,
+      });
     });
   }
 
@@ -237,13 +253,13 @@
       ? this.#pickService(fault.pick)
       : this.#pickEngine(fault.pick);
     return this.#hold(id, async () => {
-      await this.#cluster.command({
+      await this.#cluster.sendCommand({
         kind: "crossAnswers",
         target: id,
         on: true,
       });
       await sleep(fault.durationMs);
-      await this.#cluster.command({
+      await this.#cluster.sendCommand({
         kind: "crossAnswers",
         target: id,
         on: false,
@@ -254,13 +270,13 @@
   #loseAnswers(fault: ScheduledFault): Promise<boolean> {
     const { id } = this.#pickService(fault.pick);
     return this.#hold(id, async () => {
-      await this.#cluster.command({
+      await this.#cluster.sendCommand({
         kind: "loseAnswers",
         target: id,
         on: true,
       });
       await sleep(fault.durationMs);
-      await this.#cluster.command({
+      await this.#cluster.sendCommand({
         kind: "loseAnswers",
         target: id,
         on: false,
@@ -376,12 +392,12 @@
   }
 
   async #lagList(fault: ScheduledFault): Promise<boolean> {
-    await this.#cluster.command({
+    await this.#cluster.sendCommand({
       kind: "vms",
       vms: [],
       lagMs: fault.durationMs,
     });
-    await this.#cluster.announceVms();
+    await this.#cluster.publishVmList();
     return true;
   }
 }
--- a/packages/heatherarch-lab/chaos/recovery.ts
+++ b/packages/heatherarch-lab/chaos/recovery.ts
@@ -7,7 +7,7 @@
 import { Caller } from "../caller.ts";
 import { Cluster } from "../cluster.ts";
 import { buildDeployment, type DeployedVm, SHAPES } from "../deployment.ts";
-import { type LoadRecord, sendOne } from "../mixed_load.ts";
+import { type LoadRecord, sendRandomRequest } from "../mixed_load.ts";
 import { ChaosNetwork } from "./network.ts";
 
 /** Times in seconds, and the share of requests that a cut zone answered. */
@@ -50,7 +50,7 @@
       speeds: { changeMs: 300 },
       log: { appendMs: { low: 5, high: 50 } },
     },
-    settingsOf: (vm) => ({
+    vmSettings: (vm) => ({
       platform: {
         log: `http://${network.getPlatformAddress(vm.availabilityZone)}`,
         vmList: `http://${network.getPlatformAddress(vm.availabilityZone)}/vms`,
@@ -128,9 +128,9 @@
   }
 
   async measureOutage(): Promise<number> {
-    await this.#cluster.command({ kind: "log", faults: { down: true } });
+    await this.#cluster.sendCommand({ kind: "log", faults: { down: true } });
     await sleep(OUTAGE_MS);
-    await this.#cluster.command({ kind: "log", faults: { down: false } });
+    await this.#cluster.sendCommand({ kind: "log", faults: { down: false } });
     const startMs = performance.now();
     await this.#waitUntil(async () => {
       const stale = await this.#readAll((status) =>
@@ -148,7 +148,7 @@
     this.#cluster.signalVm(vm.id, "SIGTERM");
     await this.#cluster.waitExit(vm.id);
     if (platformDown) {
-      await this.#cluster.command({ kind: "log", faults: { down: true } });
+      await this.#cluster.sendCommand({ kind: "log", faults: { down: true } });
     }
     await sleep(500);
     const startMs = performance.now();
@@ -156,7 +156,7 @@
     await this.#cluster.waitReady([vm]);
     const seconds = secondsSince(startMs);
     if (platformDown) {
-      await this.#cluster.command({ kind: "log", faults: { down: false } });
+      await this.#cluster.sendCommand({ kind: "log", faults: { down: false } });
     }
     await sleep(3000);
     return seconds;
@@ -194,7 +194,7 @@
     const sent: Promise<LoadRecord[]>[] = [];
     const untilMs = performance.now() + ms;
     while (performance.now() < untilMs) {
-      sent.push(sendOne(caller, deployment, random));
+      sent.push(sendRandomRequest(caller, deployment, random));
       await sleep(30);
     }
     const records = (await Promise.all(sent)).flat();
--- a/packages/heatherarch-lab/cluster.ts
+++ b/packages/heatherarch-lab/cluster.ts
@@ -18,15 +18,18 @@
 } from "heatherarch-standins";
 import type { DeployedVm, Deployment } from "./deployment.ts";
 
-const STANDINS = fileURLToPath(import.meta.resolve("heatherarch-standins"))
+const STANDINS_BINARY = fileURLToPath(
+  import.meta.resolve("heatherarch-standins"),
+)
   .replace(
     /mod\.js$/,
     "bin/standins.js",
   );
-const DAEMON = fileURLToPath(import.meta.resolve("heatherarch-daemon")).replace(
-  /mod\.js$/,
-  "bin/heatherarchd.js",
-);
+const DAEMON_BINARY = fileURLToPath(import.meta.resolve("heatherarch-daemon"))
+  .replace(
+    /mod\.js$/,
+    "bin/heatherarchd.js",
+  );
 
 /** Options of {@linkcode Cluster}. */
 export interface ClusterOptions {
@@ -35,28 +38,28 @@
   /** Sections merged into each VM's settings. */
   readonly settings?: Record<string, Record<string, unknown>>;
   /** Settings of one VM, over the ones above. */
-  readonly settingsOf?: (
+  readonly vmSettings?: (
     vm: DeployedVm,
   ) => Record<string, Record<string, unknown>>;
   readonly profiles?: readonly Record<string, unknown>[];
 }
 
 /** A process of ours. */
-interface Running {
+interface RunningProcess {
   readonly child: ChildProcess;
   readonly exited: Promise<number | null>;
 }
 
-const READY_LIMIT_MS = 30_000;
-const POLL_MS = 50;
+const READY_TIMEOUT_MS = 30_000;
+const POLL_INTERVAL_MS = 50;
 
 /** A running deployment. */
 export class Cluster {
   readonly deployment: Deployment;
   readonly #options: ClusterOptions;
   readonly #directory = mkdtempSync(join(tmpdir(), "heatherarch-"));
-  readonly #vms = new Map<string, Running>();
-  #standins: Running | undefined;
+  readonly #vms = new Map<string, RunningProcess>();
+  #standins: RunningProcess | undefined;
 
   constructor(options: ClusterOptions) {
     this.#options = options;
@@ -71,12 +74,12 @@
   /** Starts everything, publishes the fleet, and waits until every VM is ready. */
   async start(): Promise<void> {
     await this.startStandins();
-    await this.announceVms();
+    await this.publishVmList();
     for (const vm of this.deployment.vms) this.startVm(vm);
     await this.waitHealthy();
-    await this.publishAll();
+    await this.publishConfig();
     await this.waitReady();
-    await this.waitTargets();
+    await this.waitTargetsUsable();
   }
 
   async startStandins(): Promise<void> {
@@ -87,12 +90,12 @@
       file,
       JSON.stringify({ ...this.#options.standins, fleet, ports }),
     );
-    this.#standins = this.#spawn("standins", [STANDINS, file]);
+    this.#standins = this.#spawn("standins", [STANDINS_BINARY, file]);
     await this.#waitFor(() => this.readLedger().then(() => true), "stand-ins");
   }
 
   /** Puts all entry VMs on the platform's list. */
-  async announceVms(
+  async publishVmList(
     states: Record<string, "live" | "leaving"> = {},
   ): Promise<void> {
     const vms = this.deployment.vms.map((vm) => ({
@@ -102,14 +105,17 @@
       state: states[vm.id] ?? "live" as const,
       address: vm.mesh,
     }));
-    await this.command({ kind: "vms", vms });
+    await this.sendCommand({ kind: "vms", vms });
   }
 
   /** Starts or restarts one entry VM. */
   startVm(vm: DeployedVm): void {
     const file = join(this.#directory, `${vm.id}.toml`);
     writeFileSync(file, stringify(this.#buildSettings(vm)));
-    this.#vms.set(vm.id, this.#spawn(vm.id, [DAEMON, "--settings", file]));
+    this.#vms.set(
+      vm.id,
+      this.#spawn(vm.id, [DAEMON_BINARY, "--settings", file]),
+    );
   }
 
   /** Sends a signal to one entry VM. */
@@ -118,7 +124,7 @@
   }
 
   /** Process id of a VM. */
-  readPid(id: string): number | undefined {
+  getPid(id: string): number | undefined {
     return this.#vms.get(id)?.child.pid;
   }
 
@@ -128,7 +134,7 @@
   }
 
   /** Carries out a command of the stand-ins' control interface. */
-  async command(command: StandinCommand): Promise<void> {
+  async sendCommand(command: StandinCommand): Promise<void> {
     const answer = await request(`http://${this.deployment.control}/`, {
       method: "POST",
       body: JSON.stringify(command),
@@ -185,7 +191,7 @@
   }
 
   /** Waits until every VM may use every target, the first VM's view of directives aside. */
-  async waitTargets(): Promise<void> {
+  async waitTargetsUsable(): Promise<void> {
     for (const vm of this.deployment.vms) {
       await this.#waitFor(async () => {
         const { targets } = await this.readStatus(vm);
@@ -205,7 +211,7 @@
     rmSync(this.#directory, { recursive: true, force: true });
   }
 
-  async publishAll(): Promise<void> {
+  async publishConfig(): Promise<void> {
     const fleet = await this.publish({
       kind: "publishFleet",
       fleet: this.deployment.fleet,
@@ -235,7 +241,7 @@
     };
     const layers = [
       this.#options.settings ?? {},
-      this.#options.settingsOf?.(vm) ?? {},
+      this.#options.vmSettings?.(vm) ?? {},
     ];
     for (const layer of layers) {
       for (const [section, values] of Object.entries(layer)) {
@@ -247,7 +253,7 @@
     return base;
   }
 
-  #spawn(name: string, args: readonly string[]): Running {
+  #spawn(name: string, args: readonly string[]): RunningProcess {
     const log = openSync(join(this.#directory, `${name}.log`), "a");
     const child = spawn(process.execPath, ["--enable-source-maps", ...args], {
       stdio: ["ignore", log, log],
@@ -259,13 +265,13 @@
   }
 
   async #waitFor(check: () => Promise<boolean>, what: string): Promise<void> {
-    const until = performance.now() + READY_LIMIT_MS;
+    const until = performance.now() + READY_TIMEOUT_MS;
     while (performance.now() < until) {
       if (await check().catch(() => false)) return;
-      await sleep(POLL_MS);
+      await sleep(POLL_INTERVAL_MS);
     }
     throw new Error(
-      `${what}: not so within ${READY_LIMIT_MS} ms; logs in ${this.#directory}`,
+      `${what}: not so within ${READY_TIMEOUT_MS} ms; logs in ${this.#directory}`,
     );
   }
 }
--- a/packages/heatherarch-lab/deployment.ts
+++ b/packages/heatherarch-lab/deployment.ts
@@ -134,7 +134,7 @@
   takeAddress: () => string,
 ): Partial<Target>[] {
   const { enginesPerZone, servicesPerZone, modelService, plainService } = shape;
-  const pickRole = shape.pickRole ?? pickAlternatingRole;
+  const pickRole = shape.pickRole ?? pickDefaultRole;
   const engines = Array.from({ length: enginesPerZone }, (_, index) => ({
     id: `${zone}-engine${index + 1}`,
     service: modelService,
@@ -155,6 +155,6 @@
 }
 
 /** Half of the engines prefill, the rest decode. */
-function pickAlternatingRole(index: number, count: number): EngineRole {
+function pickDefaultRole(index: number, count: number): EngineRole {
   return index < Math.floor(count / 2) ? "prefill" : "decode";
 }
--- a/packages/heatherarch-lab/find_files.ts
+++ b/packages/heatherarch-lab/find_files.ts
@@ -9,12 +9,12 @@
 export { existsSync };
 
 /** Reads a file as text. */
-export function readFileSync(file: string): string {
+export function readTextFile(file: string): string {
   return readBytes(file, "utf8");
 }
 
 /** Files below `folder` whose path matches, sorted. */
-export function globSync(folder: string, pattern: RegExp): string[] {
+export function findFiles(folder: string, pattern: RegExp): string[] {
   const found = readdirSync(folder, { recursive: true, withFileTypes: true })
     .filter((entry) => entry.isFile())
     .map((entry) => join(entry.parentPath ?? entry.path, entry.name))
--- a/packages/heatherarch-lab/mixed_load.ts
+++ b/packages/heatherarch-lab/mixed_load.ts
@@ -34,7 +34,9 @@
   const worker = async (): Promise<void> => {
     while (started < options.requests) {
       started++;
-      records.push(...await sendOne(caller, options.deployment, random));
+      records.push(
+        ...await sendRandomRequest(caller, options.deployment, random),
+      );
     }
   };
   await Promise.all(Array.from({ length: options.concurrency }, worker));
@@ -43,23 +45,23 @@
 }
 
 /** How long readings are. */
-export interface ReadingMix {
+export interface GenerationSizes {
   readonly maxPromptTokens: number;
   readonly maxOutputTokens: number;
 }
 
 /** Neither long prompts nor long outputs prevail. */
-export const EVEN_MIX: ReadingMix = {
+export const BALANCED_SIZES: GenerationSizes = {
   maxPromptTokens: 1500,
   maxOutputTokens: 80,
 };
 
 /** Sends one request, or a booking and its repeat through another VM. */
-export async function sendOne(
+export async function sendRandomRequest(
   caller: Caller,
   deployment: Deployment,
   random: Random,
-  mix: ReadingMix = EVEN_MIX,
+  mix: GenerationSizes = BALANCED_SIZES,
 ): Promise<LoadRecord[]> {
   const url = `http://${random.drawItem(deployment.vms).callers}`;
   const services = deployment.fleet.services;
--- a/packages/heatherarch-lab/tests/integration/at_most_once_test.ts
+++ b/packages/heatherarch-lab/tests/integration/at_most_once_test.ts
@@ -64,13 +64,13 @@
     target.id.includes("service")
   );
   for (const { id } of services) {
-    await cluster.command({ kind: "loseAnswers", target: id, on: true });
+    await cluster.sendCommand({ kind: "loseAnswers", target: id, on: true });
   }
   const key = `${Date.now()}-lost`;
   const first = await book(0, key);
   assert.equal(first.run, "unknown");
   for (const { id } of services) {
-    await cluster.command({ kind: "loseAnswers", target: id, on: false });
+    await cluster.sendCommand({ kind: "loseAnswers", target: id, on: false });
   }
   for (let at = 0; at < 4; at++) {
     const repeat = await book(at, key);
@@ -87,11 +87,11 @@
     target.id.includes("service")
   );
   for (const { id } of services) {
-    await cluster.command({ kind: "crossAnswers", target: id, on: true });
+    await cluster.sendCommand({ kind: "crossAnswers", target: id, on: true });
   }
   const result = await book(0, `${Date.now()}-crossed`);
   assert.equal(result.kind, "answerIncomplete");
   for (const { id } of services) {
-    await cluster.command({ kind: "crossAnswers", target: id, on: false });
+    await cluster.sendCommand({ kind: "crossAnswers", target: id, on: false });
   }
 });
--- a/packages/heatherarch-lab/tests/integration/operators_test.ts
+++ b/packages/heatherarch-lab/tests/integration/operators_test.ts
@@ -145,7 +145,7 @@
       vmsPerZone: 1,
     }),
     settings: { shutdown: { noticeMs: 0 } },
-    settingsOf: () => ({
+    vmSettings: () => ({
       operators: [{ name: "ligaya", tokenSha256 }] as never,
     }),
   });
--- a/packages/heatherarch-lab/tests/integration/outage_test.ts
+++ b/packages/heatherarch-lab/tests/integration/outage_test.ts
@@ -32,7 +32,7 @@
 });
 
 async function setLog(faults: Record<string, number | boolean>): Promise<void> {
-  await cluster.command({ kind: "log", faults });
+  await cluster.sendCommand({ kind: "log", faults });
 }
 
 async function until(check: () => Promise<boolean>, ms = 8000): Promise<void> {
@@ -99,7 +99,7 @@
       directive: "restore",
     }, -1)).status === 200
   );
-  await cluster.waitTargets();
+  await cluster.waitTargetsUsable();
 });
 
 test("a fresh VM starts from its peers while the platform is out", async () => {
--- a/packages/heatherarch-lab/tests/integration/poison_request_test.ts
+++ b/packages/heatherarch-lab/tests/integration/poison_request_test.ts
@@ -23,7 +23,7 @@
   cluster = new Cluster({ deployment: await buildDeployment(SHAPES.small) });
   await cluster.start();
   for (const { id } of cluster.deployment.fleet.targets) {
-    await cluster.command({ kind: "crashesOn", target: id, text: POISON });
+    await cluster.sendCommand({ kind: "crashesOn", target: id, text: POISON });
   }
 });
 
--- a/packages/heatherarch-lab/tests/integration/streams_test.ts
+++ b/packages/heatherarch-lab/tests/integration/streams_test.ts
@@ -54,7 +54,7 @@
   const streams = startStreams(12);
   await sleep(500);
   for (const target of engines.slice(1, 3)) {
-    await cluster.command({ kind: "crash", target, downMs: 1000 });
+    await cluster.sendCommand({ kind: "crash", target, downMs: 1000 });
   }
   await checkWhole(streams);
 });
@@ -62,16 +62,20 @@
 test("answers are continued when an engine goes silent with its connections open", async () => {
   const streams = startStreams(12);
   await sleep(400);
-  await cluster.command({ kind: "freeze", target: engines[1], ms: 4000 });
+  await cluster.sendCommand({ kind: "freeze", target: engines[1], ms: 4000 });
   await checkWhole(streams);
 });
 
 test("an engine that ends answers early or crosses them can't make a wrong one", async () => {
-  await cluster.command({ kind: "truncate", target: engines[1], after: 5 });
-  await cluster.command({ kind: "crossAnswers", target: engines[2], on: true });
+  await cluster.sendCommand({ kind: "truncate", target: engines[1], after: 5 });
+  await cluster.sendCommand({
+    kind: "crossAnswers",
+    target: engines[2],
+    on: true,
+  });
   await checkWhole(startStreams(12));
-  await cluster.command({ kind: "truncate", target: engines[1], after: 0 });
-  await cluster.command({
+  await cluster.sendCommand({ kind: "truncate", target: engines[1], after: 0 });
+  await cluster.sendCommand({
     kind: "crossAnswers",
     target: engines[2],
     on: false,
--- a/packages/heatherarch-lab/tests/unit/overload_world_test.ts
+++ b/packages/heatherarch-lab/tests/unit/overload_simulation_test.ts
@@ -1,10 +1,13 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import type { KindResult, OverloadKind } from "../../bench/overload_result.ts";
+import type {
+  KindResult,
+  OverloadRequestKind,
+} from "../../bench/overload_result.ts";
 import {
   type OverloadPhase,
-  playOverload,
-} from "../../bench/overload_world.ts";
+  simulateOverload,
+} from "../../bench/overload_simulation.ts";
 
 // What was seen: on days of long and short prompts in turn, at up to three times the mean of the
 // long ones, their largest tenth was served a third as often as all of them.
@@ -16,28 +19,28 @@
 // same; counted and given their turn they are served on all seeds once they are judged by the time
 // that they take by themselves.
 
-const LONG: OverloadKind = {
+const LONG: OverloadRequestKind = {
   name: "long",
   rate: 9.2,
   sharedTokens: 13_300,
-  sharedSpread: 0.7,
-  beginnings: 89,
-  ownTokens: 3720,
-  ownSpread: 1.1,
+  sharedTokensCv: 0.7,
+  prefixCount: 89,
+  uniqueTokens: 3720,
+  uniqueTokensCv: 1.1,
   aimMs: 600,
   deadlineMs: 6000,
   lane: 1,
   worth: 13,
   lateWorth: 1.3,
 };
-const SHORT: OverloadKind = {
+const SHORT: OverloadRequestKind = {
   name: "short",
   rate: 136,
   sharedTokens: 92,
-  sharedSpread: 0.3,
-  beginnings: 880,
-  ownTokens: 291,
-  ownSpread: 1.4,
+  sharedTokensCv: 0.3,
+  prefixCount: 880,
+  uniqueTokens: 291,
+  uniqueTokensCv: 1.4,
   aimMs: 600,
   deadlineMs: 3000,
   lane: 0,
@@ -84,7 +87,7 @@
 for (const [name, engines] of Object.entries(FLEETS)) {
   test(`${name} under an overload: the largest prompts are served at least half as often as all`, () => {
     for (let seed = 1; seed <= 12; seed++) {
-      const { kinds } = playOverload({
+      const { kinds } = simulateOverload({
         seed,
         vms: 6,
         engines,
--- a/packages/heatherarch-lab/tests/unit/decide_world_test.ts
+++ b/packages/heatherarch-lab/tests/unit/placement_simulation_test.ts
@@ -1,12 +1,15 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { type DecideKind, playDecisions } from "../../bench/decide_world.ts";
+import {
+  type PlacementRequestKind,
+  simulatePlacement,
+} from "../../bench/placement_simulation.ts";
 
-const SHORT: DecideKind = {
+const SHORT: PlacementRequestKind = {
   name: "short",
   rate: 12,
   sharedTokens: 350,
-  ownTokens: 1110,
+  uniqueTokens: 1110,
   aimMs: 306,
   lane: 0,
   worth: 1,
@@ -14,16 +17,16 @@
 };
 
 function play(vms: number, changes: { spreadMs?: number; isOracle?: boolean }) {
-  return playDecisions({
+  return simulatePlacement({
     seed: 3,
     vms,
     engines: 24,
     seconds: 4,
     kinds: [SHORT],
     burst: 1.5,
-    ageMs: 100,
-    sumMs: 100,
-    spreadMs: 0,
+    digestAgeMs: 100,
+    digestIntervalMs: 100,
+    maxJitterMs: 0,
     ...changes,
   });
 }
