--- a/packages/heatherarch-lab/chaos/chaos_run.ts
+++ b/packages/heatherarch-lab/chaos/chaos_run.ts
@@ -9,7 +9,7 @@
 import { Caller } from "../caller.ts";
 import { Cluster } from "../cluster.ts";
 import { buildDeployment, type Deployment } from "../deployment.ts";
-import { sendOne } from "../mixed_load.ts";
+import { sendRandomRequest } from "../mixed_load.ts";
 import { LoadBalancer } from "./load_balancer.ts";
 import {
   buildChaosReport,
@@ -256,7 +256,7 @@
   async #pollViolations(untilMs: number): Promise<void> {
     while (performance.now() < untilMs) {
       for (const vm of this.#cluster.deployment.vms) {
-        const pid = this.#cluster.readPid(vm.id);
+        const pid = this.#cluster.getPid(vm.id);
         const count = await fetchViolationCount(vm.operators).catch(() =>
           undefined
         );
--- a/packages/heatherarch-lab/chaos/config_monitor.ts
+++ b/packages/heatherarch-lab/chaos/config_monitor.ts
@@ -60,9 +60,9 @@
   async #pollVm(id: string): Promise<void> {
     const vm = this.#cluster.deployment.vms.find((entry) => entry.id === id);
     while (!this.#isStopped && vm !== undefined) {
-      const pid = this.#cluster.readPid(id) ?? 0;
+      const pid = this.#cluster.getPid(id) ?? 0;
       const status = await this.#cluster.readStatus(vm).catch(() => undefined);
-      if (status !== undefined && pid === this.#cluster.readPid(id)) {
+      if (status !== undefined && pid === this.#cluster.getPid(id)) {
         this.#recordOffset(id, pid, status.config.offset);
       }
       await sleep(POLL_INTERVAL_MS);
--- a/packages/heatherarch-lab/chaos/fault_driver.ts
+++ b/packages/heatherarch-lab/chaos/fault_driver.ts
@@ -204,22 +204,30 @@
     faults: Partial<typeof NO_LOG_FAULTS>,
   ): Promise<boolean> {
     return this.#withLock("platform", async () => {
-      await this.#cluster.command({ kind: "log", faults });
+      await this.#cluster.sendCommand({ kind: "log", faults });
       await sleep(fault.durationMs);
-      await this.#cluster.command({ kind: "log", faults: NO_LOG_FAULTS });
+      await this.#cluster.sendCommand({ kind: "log", faults: NO_LOG_FAULTS });
     });
   }
 
   #crashTarget(target: Target, downMs: number): Promise<boolean> {
     return this.#withLock(target.id, async () => {
-      await this.#cluster.command({ kind: "crash", target: target.id, downMs });
+      await this.#cluster.sendCommand({
+        kind: "crash",
+        target: target.id,
+        downMs,
+      });
       await sleep(downMs);
     });
   }
 
   async #crashDuringOrder(fault: ScheduledFault): Promise<boolean> {
     const target = this.#pickEngine(fault.selector).id;
-    await this.#cluster.command({ kind: "crashInOrder", target, afterMs: 150 });
+    await this.#cluster.sendCommand({
+      kind: "crashInOrder",
+      target,
+      afterMs: 150,
+    });
     await sleep(fault.durationMs);
     return true;
   }
@@ -227,7 +235,7 @@
   #freezeEngine(fault: ScheduledFault): Promise<boolean> {
     const { id } = this.#pickEngine(fault.selector);
     return this.#withLock(id, async () => {
-      await this.#cluster.command({
+      await this.#cluster.sendCommand({
         kind: "freeze",
         target: id,
         ms: fault.durationMs,
@@ -239,7 +247,11 @@
   #truncateResponses(fault: ScheduledFault): Promise<boolean> {
     const { id } = this.#pickEngine(fault.selector);
     return this.#withLock(id, async () => {
-      await this.#cluster.command({ kind: "truncate", target: id, after: 3 });
+      await this.#cluster.sendCommand({
+        kind: "truncate",
+        target: id,
+        after: 3,
+      });
       await sleep(fault.durationMs);
       await this.#cluster.sendCommand({
         kind: "truncate",
@@ -254,7 +266,7 @@
       ? this.#pickService(fault.selector)
       : this.#pickEngine(fault.selector);
     return this.#withLock(id, async () => {
-      await this.#cluster.command({
+      await this.#cluster.sendCommand({
         kind: "crossAnswers",
         target: id,
         on: true,
@@ -271,7 +283,7 @@
   #loseResponses(fault: ScheduledFault): Promise<boolean> {
     const { id } = this.#pickService(fault.selector);
     return this.#withLock(id, async () => {
-      await this.#cluster.command({
+      await this.#cluster.sendCommand({
         kind: "loseAnswers",
         target: id,
         on: true,
@@ -400,7 +412,7 @@
   }
 
   async #delayVmList(fault: ScheduledFault): Promise<boolean> {
-    await this.#cluster.command({
+    await this.#cluster.sendCommand({
       kind: "vms",
       vms: [],
       lagMs: fault.durationMs,
--- a/packages/heatherarch-lab/chaos/recovery.ts
+++ b/packages/heatherarch-lab/chaos/recovery.ts
@@ -7,7 +7,7 @@
 import { Caller } from "../caller.ts";
 import { Cluster } from "../cluster.ts";
 import { buildDeployment, type DeployedVm, SHAPES } from "../deployment.ts";
-import { type LoadRecord, sendOne } from "../mixed_load.ts";
+import { type LoadRecord, sendRandomRequest } from "../mixed_load.ts";
 import { ChaosNetwork } from "./chaos_network.ts";
 
 /** Times in seconds, and the share of requests that a cut zone answered. */
@@ -130,7 +130,7 @@
   }
 
   async measureOutageRecovery(): Promise<number> {
-    await this.#cluster.command({ kind: "log", faults: { down: true } });
+    await this.#cluster.sendCommand({ kind: "log", faults: { down: true } });
     await sleep(OUTAGE_MS);
     await this.#cluster.sendCommand({ kind: "log", faults: { down: false } });
     const startMs = performance.now();
@@ -150,7 +150,7 @@
     this.#cluster.signalVm(vm.id, "SIGTERM");
     await this.#cluster.waitExit(vm.id);
     if (isPlatformDown) {
-      await this.#cluster.command({ kind: "log", faults: { down: true } });
+      await this.#cluster.sendCommand({ kind: "log", faults: { down: true } });
     }
     await sleep(500);
     const startMs = performance.now();
@@ -158,7 +158,7 @@
     await this.#cluster.waitReady([vm]);
     const seconds = computeSecondsSince(startMs);
     if (isPlatformDown) {
-      await this.#cluster.command({ kind: "log", faults: { down: false } });
+      await this.#cluster.sendCommand({ kind: "log", faults: { down: false } });
     }
     await sleep(3000);
     return seconds;
