--- a/packages/heatherarch-lab/chaos/chaos_run.ts
+++ b/packages/heatherarch-lab/chaos/chaos_run.ts
@@ -191,7 +191,7 @@
     const mix = Math.floor(startMs / MIX_PERIOD_MS) % 2 === 0
       ? LONG_PROMPT_MIX
       : LONG_OUTPUT_MIX;
-    const records = await sendOne(caller, deployment, random, mix);
+    const records = await sendRandomRequest(caller, deployment, random, mix);
     const endMs = performance.now();
     for (const record of records) {
       this.#records.push({ record, startMs, endMs });
