--- a/packages/heatherarch-lab/chaos/chaos_run.ts
+++ b/packages/heatherarch-lab/chaos/chaos_run.ts
@@ -9,7 +9,7 @@
 import { Caller } from "../caller.ts";
 import { Cluster } from "../cluster.ts";
 import { buildDeployment, type Deployment } from "../deployment.ts";
-import { sendOne } from "../mixed_load.ts";
+import { sendRandomRequest } from "../mixed_load.ts";
 import { LoadBalancer } from "./load_balancer.ts";
 import {
   buildChaosReport,
@@ -88,7 +88,7 @@
       log: { seed: options.seed, appendMs: { low: 2, high: 15 } },
     },
     settings: SETTINGS,
-    settingsOf: (vm) =>
+    vmSettings: (vm) =>
       buildVmSettings(deployment, network, vm.availabilityZone),
     profiles: [{
       name: "default",
@@ -191,7 +191,7 @@
     const mix = Math.floor(startMs / MIX_PERIOD_MS) % 2 === 0
       ? LONG_PROMPT_MIX
       : LONG_OUTPUT_MIX;
-    const records = await sendOne(caller, deployment, random, mix);
+    const records = await sendRandomRequest(caller, deployment, random, mix);
     const endMs = performance.now();
     for (const record of records) {
       this.#records.push({ record, startMs, endMs });
@@ -256,7 +256,7 @@
   async #pollViolations(untilMs: number): Promise<void> {
     while (performance.now() < untilMs) {
       for (const vm of this.#cluster.deployment.vms) {
-        const pid = this.#cluster.readPid(vm.id);
+        const pid = this.#cluster.getPid(vm.id);
         const count = await fetchViolationCount(vm.operators).catch(() =>
           undefined
         );
