--- a/packages/heatherarch-core/errors.ts
+++ b/packages/heatherarch-core/errors.ts
@@ -1,25 +1,25 @@
 /**
- * The closed list of error kinds and the answer that each one gives to a caller.
+ * The closed list of error kinds and the response of each to a client.
  *
  * @module
  */
 
-/** Whether the request that failed was run by a target. `"no"` is a promise. */
+/** Whether a target ran the request that failed. `"no"` guarantees that none did. */
 export type RunState = "no" | "unknown";
 
-/** What a kind of error means to the caller. */
-export interface ErrorAnswer {
+/** Response to the client for a kind of error. */
+export interface ErrorResponse {
   /** HTTP status. */
   readonly status: number;
-  /** The strongest statement that the kind alone allows. */
+  /** The strongest guarantee that follows from the kind alone. */
   readonly run: RunState;
   /** Whether the same request may succeed later. */
   readonly retry: boolean;
-  /** `Retry-After` when nothing better is known, milliseconds; 0 for none. */
+  /** Default for `Retry-After`, milliseconds; 0 for none. */
   readonly retryAfterMs: number;
 }
 
-const ANSWERS = {
+const RESPONSES = {
   badRequest: { status: 400, run: "no", retry: false, retryAfterMs: 0 },
   unknownProfile: { status: 400, run: "no", retry: false, retryAfterMs: 0 },
   badIdempotencyKey: { status: 400, run: "no", retry: false, retryAfterMs: 0 },
@@ -74,27 +74,28 @@
     retry: true,
     retryAfterMs: 1000,
   },
-} as const satisfies Record<string, ErrorAnswer>;
+} as const satisfies Record<string, ErrorResponse>;
 
-/** Every kind of error the system can answer with. */
-export type ErrorKind = keyof typeof ANSWERS;
+/** Every kind of error that the system responds with. */
+export type ErrorKind = keyof typeof RESPONSES;
 
-/** The table from error kind to answer. */
-export const ERROR_ANSWERS: Readonly<Record<ErrorKind, ErrorAnswer>> = ANSWERS;
+/** Responses by error kind. */
+export const ERROR_RESPONSES: Readonly<Record<ErrorKind, ErrorResponse>> =
+  RESPONSES;
 
-/** All kinds, in the order of the table. */
-export const ERROR_KINDS = Object.keys(ANSWERS) as readonly ErrorKind[];
+/** All error kinds, in the order of the table. */
+export const ERROR_KINDS = Object.keys(RESPONSES) as readonly ErrorKind[];
 
-/** Optional parts of a {@linkcode ServeError}. */
+/** Options of {@linkcode ServeError}. */
 export interface ServeErrorOptions {
-  /** Overrides the table where the caller of the constructor has proof. */
+  /** Overrides the value of the table if the thrower knows whether the request ran. */
   readonly run?: RunState;
-  /** Overrides the table's `Retry-After`, milliseconds. */
+  /** Overrides the `Retry-After` of the table, milliseconds. */
   readonly retryAfterMs?: number;
   readonly cause?: unknown;
 }
 
-/** An error with a kind from the closed list. */
+/** An error of a kind from the closed list. */
 export class ServeError extends Error {
   readonly kind: ErrorKind;
   readonly run: RunState;
@@ -108,31 +109,31 @@
     super(message, { cause: options.cause });
     this.name = "ServeError";
     this.kind = kind;
-    this.run = options.run ?? ERROR_ANSWERS[kind].run;
+    this.run = options.run ?? ERROR_RESPONSES[kind].run;
     this.retryAfterMs = options.retryAfterMs ??
-      ERROR_ANSWERS[kind].retryAfterMs;
+      ERROR_RESPONSES[kind].retryAfterMs;
   }
 
   get status(): number {
-    return ERROR_ANSWERS[this.kind].status;
+    return ERROR_RESPONSES[this.kind].status;
   }
 }
 
-/** The JSON shape of every error answer. */
+/** JSON body of every error response. */
 export interface ErrorBody {
   readonly error: {
     readonly kind: ErrorKind;
-    /** Same as `kind`; the field that stock OpenAI clients read. */
+    /** Same as `kind`. Standard OpenAI clients read this field. */
     readonly type: ErrorKind;
     readonly message: string;
     readonly run: RunState;
-    /** Seconds, or null where a retry does not help. */
+    /** Time until a retry, seconds; null if a retry does not help. */
     readonly retryAfter: number | null;
     readonly requestId: string;
   };
 }
 
-/** Builds the JSON body that answers `error`. */
+/** Builds the JSON body of the response to `error`. */
 export function buildErrorBody(
   error: ServeError,
   requestId: string,
@@ -152,7 +153,7 @@
   };
 }
 
-/** Wraps anything thrown into a {@linkcode ServeError}; kinds other than ours become `internal`. */
+/** Converts a thrown value to a {@linkcode ServeError}. Other errors become `internal`. */
 export function toServeError(thrown: unknown): ServeError {
   if (thrown instanceof ServeError) return thrown;
   const message = thrown instanceof Error ? thrown.message : String(thrown);
--- a/packages/heatherarch-forward/fleet/fleet_mesh.ts
+++ b/packages/heatherarch-forward/fleet/fleet_mesh.ts
@@ -8,9 +8,9 @@
   type Heartbeat,
   type Link,
   type LinkIdentity,
+  type LoopStall,
   Membership,
   MeshNode,
-  type Standstill,
 } from "heatherarch-mesh";
 import type { ActiveConfig } from "../state/active_config.ts";
 import type { ConfigReadTiming } from "../scheduling/config_reads.ts";
@@ -104,7 +104,7 @@
       self,
       silenceMs,
       linksPerZone,
-      hubs: { fromVms: options.hubsFromVms, perZone: options.hubsPerZone },
+      hubs: { minVms: options.hubsFromVms, perZone: options.hubsPerZone },
     });
     this.#hubs = new HubExchange({
       ...options,
@@ -139,8 +139,8 @@
       translate: (address) => address,
       onRound: () => this.#hubs.beginRound(),
       buildHeartbeat: (link, peer) => this.#buildHeartbeat(link, peer),
-      onLate: (stall) => this.#handleStall(stall),
-      onFault: (fault) =>
+      onLoopStall: (stall) => this.#handleStall(stall),
+      onLinkClosed: (fault) =>
         options.log.write("debug", "meshLinkEnded", { fault }),
     });
     this.#configExchange = new ConfigExchange({
@@ -160,9 +160,9 @@
     this.#undoListeners.push(
       workTracker.registerOwnWorkListener(() => {
         // A hub's digests cover many VMs and change all the time.
-        if (!this.#membership.isHub) this.#node.noteNews();
+        if (!this.#membership.isHub) this.#node.requestRound();
       }),
-      this.#gossip.registerListener(() => this.#node.noteNews()),
+      this.#gossip.registerListener(() => this.#node.requestRound()),
     );
     this.#vmList.start();
   }
@@ -231,7 +231,7 @@
 
   #applyVmList(listed: readonly VmRecord[]): void {
     this.#listedCount = listed.length;
-    this.#membership.noteListed(listed);
+    this.#membership.recordListing(listed);
     this.#hasVmList = true;
     this.updateVmCount();
   }
@@ -333,7 +333,7 @@
   }
 
   /** Ages the feed by the part of a stall that the monotonic clock did not count. */
-  #handleStall({ lateMs, uncountedMs }: Standstill): void {
+  #handleStall({ lateMs, uncountedMs }: LoopStall): void {
     this.#hubs.addUncountedMs(uncountedMs);
     this.#options.onLoopStall(lateMs);
     this.#options.log.write("warn", "loopLate", {
--- a/packages/heatherarch-forward/fleet/hub_exchange.ts
+++ b/packages/heatherarch-forward/fleet/hub_exchange.ts
@@ -397,7 +397,7 @@
 
   #dropExpiredPeers(nowMs: number): void {
     const { membership } = this.#options;
-    membership.noteServing(this.#subscriptions.dropExpired(nowMs));
+    membership.setServing(this.#subscriptions.dropExpired(nowMs));
     for (const [zone, { atMs }] of this.#zoneSources) {
       if (nowMs - atMs > PEER_TIMEOUT_MS) this.#zoneSources.delete(zone);
     }
--- a/packages/heatherarch-log/config_fold.ts
+++ b/packages/heatherarch-log/config_fold.ts
@@ -1,13 +1,13 @@
 /**
- * The fold of the configuration stream. The same offset gives the same state in every
- * process, including which of two racing publications won.
+ * State of the configuration, folded from the records of its stream. The same offset gives the same
+ * state in every process, including which of two concurrent publications was accepted.
  *
  * @module
  */
 import { assertInvariant, type TargetDirective } from "heatherarch-core";
 import {
   type Fleet,
-  formatFaults,
+  formatIssues,
   parseFleet,
   parseProfile,
   type Profile,
@@ -19,10 +19,10 @@
 } from "./config_records.ts";
 import type { LogRecord } from "./log_port.ts";
 
-const AUDIT_LIMIT = 1000;
-const SEEN_LIMIT = 5000;
+const MAX_AUDIT_ENTRIES = 1000;
+const MAX_SEEN_IDS = 5000;
 
-/** Verdict on one publication. */
+/** Result of one publication, for the audit trail. */
 export interface AuditEntry {
   readonly offset: number;
   readonly id: string;
@@ -31,7 +31,7 @@
   readonly baseRevision: number;
   readonly what: string;
   readonly verdict: "accepted" | "rejected";
-  /** Why it was rejected. */
+  /** Reason for a rejection. */
   readonly reason?: string;
 }
 
@@ -41,7 +41,7 @@
   readonly profile: Profile;
 }
 
-/** What an operator last asked of a target, and the offset that set it. */
+/** The last directive that an operator gave for a target, and the offset that set it. */
 export interface DirectiveRevision {
   readonly revision: number;
   readonly directive: TargetDirective;
@@ -49,20 +49,20 @@
 
 /** State of the configuration at one offset. */
 export interface ConfigState {
-  /** Last offset applied; -1 before the first. */
+  /** Offset of the last applied record; -1 before the first. */
   readonly offset: number;
-  /** Offset that set the fleet; -1 while none is published. */
+  /** Offset that set the fleet; -1 if none is published. */
   readonly fleetRevision: number;
   readonly fleet: Fleet | null;
   readonly profiles: Readonly<Record<string, ProfileRevision>>;
   readonly directives: Readonly<Record<string, DirectiveRevision>>;
   readonly audit: readonly AuditEntry[];
-  /** Ids of recent records, so that a repeated append has no second effect. */
+  /** Ids of recent records. They prevent that a repeated append takes effect twice. */
   readonly seen: readonly string[];
 }
 
 /** The state before the first record. */
-export const EMPTY_CONFIG: ConfigState = Object.freeze({
+export const EMPTY_CONFIG_STATE: ConfigState = Object.freeze({
   offset: -1,
   fleetRevision: -1,
   fleet: null,
@@ -72,41 +72,46 @@
   seen: [],
 });
 
-/** Guards of the fold; the proofs switch them off one at a time. */
+/** Safety rules of the fold. The proofs disable them one at a time. */
 export const CONFIG_GUARDS = ["dropRepeatedId", "refuseStaleBase"] as const;
 /** Name of a guard. */
 export type ConfigGuard = typeof CONFIG_GUARDS[number];
 
-/** Options of the fold. */
+/** Options of {@linkcode applyConfigRecord}. */
 export interface ConfigFoldOptions {
   readonly disabledGuards?: ReadonlySet<ConfigGuard>;
 }
 
-type Draft = { -readonly [Key in keyof ConfigState]: ConfigState[Key] };
+type MutableConfigState = {
+  -readonly [Key in keyof ConfigState]: ConfigState[Key];
+};
 
-/** Applies the record that follows `state` and returns the next state. */
+/** Applies the record that follows `state`, and returns the new state. */
 export function applyConfigRecord(
   state: ConfigState,
   record: LogRecord,
   options: ConfigFoldOptions = {},
 ): ConfigState {
-  const off = options.disabledGuards;
+  const disabledGuards = options.disabledGuards;
   assertInvariant(
     record.offset === state.offset + 1,
     "config-contiguous",
     `offset ${record.offset} after ${state.offset}`,
   );
-  const draft: Draft = { ...state, offset: record.offset };
+  const draft: MutableConfigState = { ...state, offset: record.offset };
   const parsed = parseConfigRecord(record.data);
   if (parsed === undefined || parsed.type === "snapshot") return draft;
-  if (state.seen.includes(parsed.id) && !off?.has("dropRepeatedId")) {
+  if (
+    state.seen.includes(parsed.id) && !disabledGuards?.has("dropRepeatedId")
+  ) {
     return draft;
   }
-  draft.seen = [...state.seen, parsed.id].slice(-SEEN_LIMIT);
+  draft.seen = [...state.seen, parsed.id].slice(-MAX_SEEN_IDS);
   const current = readBaseRevision(state, parsed.change);
-  const stale = parsed.baseRevision !== current && !off?.has("refuseStaleBase");
-  const reason = stale
-    ? describeStale(state, parsed.baseRevision, current)
+  const isStale = parsed.baseRevision !== current &&
+    !disabledGuards?.has("refuseStaleBase");
+  const reason = isStale
+    ? describeStaleBase(state, parsed.baseRevision, current)
     : applyChange(draft, parsed, record.offset);
   const entry: AuditEntry = {
     offset: record.offset,
@@ -118,11 +123,11 @@
     verdict: reason === undefined ? "accepted" : "rejected",
     ...(reason === undefined ? {} : { reason }),
   };
-  draft.audit = [...state.audit, entry].slice(-AUDIT_LIMIT);
+  draft.audit = [...state.audit, entry].slice(-MAX_AUDIT_ENTRIES);
   return draft;
 }
 
-/** The revision of what `change` would change; what a publisher must name as its base. */
+/** Returns the revision of the object that `change` applies to, which a publisher names as base. */
 export function readBaseRevision(
   state: ConfigState,
   change: ConfigChange,
@@ -154,32 +159,33 @@
 }
 
 /**
- * Loads the best snapshot among `records`, which start at the oldest kept offset, and applies
- * what follows it. Returns undefined where no snapshot bridges the trimmed part.
+ * Loads the newest usable snapshot in `records`, which start at the oldest offset that the log
+ * keeps, and applies the records after it. Returns undefined if no snapshot covers the trimmed
+ * records.
  */
 export function loadConfigSnapshot(
   records: readonly LogRecord[],
 ): ConfigState | undefined {
-  const first = records[0]?.offset ?? 0;
-  let best: ConfigState | undefined;
+  const oldestOffset = records[0]?.offset ?? 0;
+  let snapshot: ConfigState | undefined;
   for (const record of records) {
     const parsed = parseConfigRecord(record.data);
-    if (parsed?.type !== "snapshot" || parsed.coversOffset < first - 1) {
+    if (parsed?.type !== "snapshot" || parsed.coversOffset < oldestOffset - 1) {
       continue;
     }
     if (parsed.coversOffset >= record.offset) continue;
     const state = parseConfigState(parsed.state);
-    if (state?.offset === parsed.coversOffset) best = state;
+    if (state?.offset === parsed.coversOffset) snapshot = state;
   }
-  if (best === undefined) return undefined;
-  let state: ConfigState = best;
+  if (snapshot === undefined) return undefined;
+  let state: ConfigState = snapshot;
   for (const record of records) {
     if (record.offset > state.offset) state = applyConfigRecord(state, record);
   }
   return state;
 }
 
-/** Checks that `value` has the shape of a state, as one from a peer or a snapshot must. */
+/** Validates a state from a peer or a snapshot. Returns undefined if its structure is invalid. */
 export function parseConfigState(value: unknown): ConfigState | undefined {
   const state = value as ConfigState | null;
   if (typeof state !== "object" || state === null) return undefined;
@@ -197,7 +203,7 @@
 }
 
 function applyChange(
-  draft: Draft,
+  draft: MutableConfigState,
   record: ConfigChangeRecord,
   offset: number,
 ): string | undefined {
@@ -205,14 +211,14 @@
   switch (change.kind) {
     case "publishFleet": {
       const fleet = parseFleet(change.fleet);
-      if (!fleet.ok) return formatFaults(fleet.val as never);
+      if (!fleet.ok) return formatIssues(fleet.val as never);
       draft.fleet = fleet.val as Fleet;
       draft.fleetRevision = offset;
       return undefined;
     }
     case "putProfile": {
       const profile = parseProfile(change.profile);
-      if (!profile.ok) return formatFaults(profile.val as never);
+      if (!profile.ok) return formatIssues(profile.val as never);
       const value = profile.val as Profile;
       draft.profiles = {
         ...draft.profiles,
@@ -233,7 +239,7 @@
   }
 }
 
-function describeStale(
+function describeStaleBase(
   state: ConfigState,
   base: number,
   current: number,
@@ -244,7 +250,7 @@
 }
 
 function applyDirective(
-  draft: Draft,
+  draft: MutableConfigState,
   change: Extract<ConfigChange, { kind: "directTarget" }>,
   offset: number,
 ): string | undefined {
@@ -258,7 +264,7 @@
   if (change.directive === "replace") {
     const targets = [...fleet.targets, change.replacement];
     const next = parseFleet({ ...fleet, targets });
-    if (!next.ok) return `replacement: ${formatFaults(next.val as never)}`;
+    if (!next.ok) return `replacement: ${formatIssues(next.val as never)}`;
     draft.fleet = next.val as Fleet;
     draft.fleetRevision = offset;
   }
--- a/packages/heatherarch-log/log_writer.ts
+++ b/packages/heatherarch-log/log_writer.ts
@@ -1,33 +1,33 @@
 /**
- * Appends that survive lost answers: every record carries an id, and after an uncertain
- * append the stream is read forward for that id before the record is appended again.
+ * Idempotent appends. Each record carries an id. If the response to an append is lost, the stream
+ * is searched for that id before the record is appended again.
  *
  * @module
  */
 import { sleep } from "heatherarch-core";
 import { type LogPort, LogUnavailableError } from "./log_port.ts";
 
-/** A record content with its idempotency id. */
+/** Content of a record with the id that makes its append idempotent. */
 export interface IdentifiedRecord {
   readonly id: string;
 }
 
 /** Options of {@linkcode appendOnce}. */
 export interface AppendOnceOptions {
-  /** Offset from which the record may stand: the writer's applied offset before it appended. */
+  /** First offset that the record can have: the writer's applied offset before the append. */
   readonly searchFrom: number;
-  /** Total time to try, milliseconds. */
+  /** Total time for all attempts, milliseconds. */
   readonly timeoutMs: number;
   readonly retryMs?: number;
   readonly readMonotonicMs: () => number;
 }
 
 const DEFAULT_RETRY_MS = 100;
-const SEARCH_PAGE = 1000;
+const SEARCH_PAGE_SIZE = 1000;
 
 /**
- * Appends `record` so that readers see it once, and returns its offset. Readers must still
- * drop a repeated id: an append whose answer was lost may surface after the search.
+ * Appends `record` once and returns its offset. Readers must still drop a repeated id, since an
+ * append whose response was lost may reach the stream after the search.
  */
 export async function appendOnce(
   log: LogPort,
@@ -35,11 +35,11 @@
   record: IdentifiedRecord,
   options: AppendOnceOptions,
 ): Promise<number> {
-  const until = options.readMonotonicMs() + options.timeoutMs;
-  let uncertain = false;
+  const deadlineMs = options.readMonotonicMs() + options.timeoutMs;
+  let isUncertain = false;
   while (true) {
     try {
-      if (uncertain) {
+      if (isUncertain) {
         const found = await findRecord(
           log,
           stream,
@@ -51,14 +51,14 @@
       return await log.append(stream, record);
     } catch (error) {
       if (!(error instanceof LogUnavailableError)) throw error;
-      uncertain = true;
-      if (options.readMonotonicMs() >= until) throw error;
+      isUncertain = true;
+      if (options.readMonotonicMs() >= deadlineMs) throw error;
       await sleep(options.retryMs ?? DEFAULT_RETRY_MS);
     }
   }
 }
 
-/** Reads forward from `from` for the record with `id`. */
+/** Searches the stream from offset `from` on for the record with `id`, and returns its offset. */
 export async function findRecord(
   log: LogPort,
   stream: string,
@@ -67,7 +67,9 @@
 ): Promise<number | undefined> {
   let position = from;
   while (true) {
-    const slice = await log.read(stream, position, { maxRecords: SEARCH_PAGE });
+    const slice = await log.read(stream, position, {
+      maxRecords: SEARCH_PAGE_SIZE,
+    });
     for (const record of slice.records) {
       if ((record.data as IdentifiedRecord | null)?.id === id) {
         return record.offset;
--- a/packages/heatherarch-log/mod.ts
+++ b/packages/heatherarch-log/mod.ts
@@ -1,6 +1,6 @@
 /**
- * The platform's log as the system uses it: port, HTTP adapter, idempotent writer, gap-free
- * reader, and the fold of the configuration stream.
+ * Access to the platform's log: its interface, the HTTP client, idempotent appends, reads without
+ * gaps, and the fold of the configuration stream.
  *
  * @module
  */
@@ -10,5 +10,5 @@
 export * from "./http_log.ts";
 export * from "./log_port.ts";
 export * from "./log_writer.ts";
-export * from "./stream_cursor.ts";
+export * from "./stream_reader.ts";
 export * from "./vm_list.ts";
--- a/packages/heatherarch-log/stream_cursor.ts
+++ b/packages/heatherarch-log/stream_reader.ts
@@ -1,22 +1,22 @@
 /**
- * A position in a stream that moves without gaps. Feeding it slices tells what may be
- * applied, and whether records were trimmed before they were read.
+ * Reads of a stream without gaps. A slice is checked for the records that a reader may apply, and
+ * for records that were trimmed before they were read.
  *
  * @module
  */
 import type { LogPort, LogRecord, LogSlice } from "./log_port.ts";
 
-/** What a slice means to a reader. */
+/** Meaning of a slice for a reader: records to apply, or a gap. */
 export type SliceVerdict =
   | {
     readonly kind: "apply";
     readonly records: readonly LogRecord[];
-    readonly current: boolean;
+    readonly isCurrent: boolean;
   }
   | { readonly kind: "gap"; readonly first: number };
 
-/** Judges `slice` for a reader whose next offset is `wanted`. */
-export function judgeSlice(wanted: number, slice: LogSlice): SliceVerdict {
+/** Classifies `slice` for a reader whose next offset is `wanted`. */
+export function classifySlice(wanted: number, slice: LogSlice): SliceVerdict {
   if (wanted < slice.first) return { kind: "gap", first: slice.first };
   const records: LogRecord[] = [];
   let expected = wanted;
@@ -26,12 +26,12 @@
     records.push(record);
     expected++;
   }
-  return { kind: "apply", records, current: expected >= slice.next };
+  return { kind: "apply", records, isCurrent: expected >= slice.next };
 }
 
-const READ_PAGE = 500;
+const READ_PAGE_SIZE = 500;
 
-/** Reads every record that the log still keeps of a stream. */
+/** Reads all records of a stream that the log keeps. */
 export async function readWholeStream(
   log: LogPort,
   stream: string,
@@ -39,7 +39,7 @@
   const records: LogRecord[] = [];
   let from = 0;
   while (true) {
-    const page = await log.read(stream, from, { maxRecords: READ_PAGE });
+    const page = await log.read(stream, from, { maxRecords: READ_PAGE_SIZE });
     records.push(...page.records);
     const last = page.records.at(-1);
     if (last === undefined || last.offset + 1 >= page.next) return records;
--- a/packages/heatherarch-mesh/link.ts
+++ b/packages/heatherarch-mesh/link.ts
@@ -1,6 +1,6 @@
 /**
- * One TCP connection between two entry VMs: handshake with proof of the shared key, pings
- * both ways, frames.
+ * TCP connection between two entry VMs. Each end proves in a handshake that it knows the shared
+ * key. Afterwards the ends exchange framed messages and answer pings.
  *
  * @module
  */
@@ -15,18 +15,18 @@
   parseMeshMessage,
 } from "./messages.ts";
 
-/** Who a VM says it is. */
+/** Identity that a VM announces in its hello. */
 export interface LinkIdentity {
   readonly id: string;
   readonly incarnation: string;
   readonly availabilityZone: string;
   readonly mesh: string;
-  /** What the VM can carry as a hub; more is better. */
+  /** Capacity of the VM as a hub. A higher value is preferred. */
   readonly capacity?: number;
 }
 
-/** Reasons for closing a link on our side. */
-export type LinkFault =
+/** Reason for which this end closes a link. */
+export type LinkCloseReason =
   | "badFrame"
   | "badMessage"
   | "badProof"
@@ -41,19 +41,22 @@
   readonly self: LinkIdentity;
   readonly sharedKey: string;
   readonly maxFrameBytes: number;
-  /** A heartbeat is answered only where nothing was sent for this long, milliseconds; 0 always. */
+  /**
+   * A heartbeat is answered with a pong only if nothing was sent on the link for this long,
+   * milliseconds. With 0 every heartbeat is answered.
+   */
   readonly pongAfterMs?: number;
   readonly clock: Clock;
   readonly onReady: (link: Link) => void;
   readonly onMessage: (link: Link, message: MeshMessage) => void;
-  readonly onClose: (link: Link, fault: LinkFault) => void;
+  readonly onClose: (link: Link, reason: LinkCloseReason) => void;
 }
 
 const NONCE_BYTES = 16;
-/** A peer that does not read lets this much pile up before the link is closed. */
+/** Maximum number of bytes that are buffered for a slow peer before the link is closed. */
 const MAX_BUFFERED_BYTES = 16 * 1024 * 1024;
 
-/** A link. It is ready once both ends have proved the shared key. */
+/** A link to a peer. It is ready once the peer has proved that it knows the shared key. */
 export class Link {
   readonly #options: LinkOptions;
   readonly #reader: FrameReader;
@@ -78,7 +81,7 @@
     this.#sendHello();
   }
 
-  /** The other end; undefined before its hello. */
+  /** Identity of the peer; undefined before its hello. */
   get peer(): LinkIdentity | undefined {
     return this.#peer;
   }
@@ -91,7 +94,7 @@
     return this.#closed;
   }
 
-  /** Monotonic time of the last bytes received. */
+  /** Monotonic time at which bytes were last received. */
   get lastHeardMs(): number {
     return this.#lastHeardMs;
   }
@@ -104,7 +107,7 @@
     return this.#bytesReceived;
   }
 
-  /** Sends one message; drops it where the link is closed. */
+  /** Sends a message. A message to a closed link is dropped. */
   send(message: MeshMessage): void {
     if (this.#closed) return;
     const frame = encodeFrame(message);
@@ -117,12 +120,12 @@
   }
 
   /** Closes the connection at once. */
-  close(fault: LinkFault): void {
+  close(reason: LinkCloseReason): void {
     if (this.#closed) return;
     this.#closed = true;
     this.#ready = false;
     this.#options.socket.destroy();
-    this.#options.onClose(this, fault);
+    this.#options.onClose(this, reason);
   }
 
   #sendHello(): void {
@@ -160,25 +163,27 @@
 
   #dispatch(message: MeshMessage): void {
     if (this.#ready) {
-      if (message.kind === "ping" || this.#owesPong(message)) {
+      if (message.kind === "ping" || this.#needsPong(message)) {
         this.send({ kind: "pong", seq: 0 });
       }
       this.#options.onMessage(this, message);
       return;
     }
-    if (message.kind === "hello") this.#takeHello(message);
-    else if (message.kind === "prove") this.#takeProof(message.mac);
+    if (message.kind === "hello") this.#handleHello(message);
+    else if (message.kind === "prove") this.#handleProof(message.mac);
     else this.close("badMessage");
   }
 
-  /** The other end judges this link by what it hears on it. */
-  #owesPong(message: MeshMessage): boolean {
+  /**
+   * An otherwise idle link needs a pong, since the peer closes a link on which it receives nothing.
+   */
+  #needsPong(message: MeshMessage): boolean {
     if (message.kind !== "heartbeat") return false;
     const { pongAfterMs = 0, clock } = this.#options;
     return clock.readMonotonicMs() - this.#lastSentMs >= pongAfterMs;
   }
 
-  #takeHello(hello: Hello): void {
+  #handleHello(hello: Hello): void {
     if (hello.format !== MESH_FORMAT) return this.close("otherFormat");
     if (this.#peer !== undefined) return this.close("badMessage");
     this.#peer = {
@@ -196,7 +201,7 @@
     this.send({ kind: "prove", mac });
   }
 
-  #takeProof(mac: string): void {
+  #handleProof(mac: string): void {
     if (this.#peer === undefined) return this.close("badMessage");
     const expected = Buffer.from(
       computeProof(this.#options.sharedKey, this.#nonce, this.#peer.id),
@@ -210,7 +215,7 @@
   }
 }
 
-/** Proof of the shared key over the other end's nonce, bound to the prover's id. */
+/** Computes the proof of the shared key: an HMAC over the verifier's nonce and the prover's id. */
 function computeProof(
   sharedKey: string,
   nonce: string,
--- a/packages/heatherarch-mesh/tests/unit/hub_choice_test.ts
+++ b/packages/heatherarch-mesh/tests/unit/hub_selection_test.ts
@@ -2,7 +2,7 @@
 import { test } from "node:test";
 import {
   type HubCandidate,
-  isChosenHub,
+  isSelectedHub,
   Membership,
   pickHubs,
 } from "../../mod.ts";
@@ -18,7 +18,7 @@
   }));
 }
 
-test("the strongest VMs are hubs, and every VM chooses the same ones", () => {
+test("the VMs with the highest capacity are hubs, and every VM selects the same ones", () => {
   const strong = { "vm-3": { capacity: 140 }, "vm-6": { capacity: 140 } };
   const candidates = buildCandidates(strong);
   const picked = pickHubs("zone-a", candidates, 2);
@@ -26,7 +26,7 @@
   assert.deepEqual(pickHubs("zone-a", candidates.reverse(), 2), picked);
 });
 
-test("a dead hub is still dialed, and the next live one takes its place", () => {
+test("a hub that is down is still dialed, and the next live candidate replaces it", () => {
   const candidates = buildCandidates({
     "vm-3": { capacity: 140, isLive: false },
     "vm-6": { capacity: 140 },
@@ -36,11 +36,11 @@
   assert.ok(picked.includes("vm-3"));
   assert.ok(picked.includes("vm-6"));
   const [third] = picked.filter((id) => id !== "vm-3" && id !== "vm-6");
-  assert.equal(isChosenHub("zone-a", candidates, 2, third), true);
-  assert.equal(isChosenHub("zone-a", candidates, 2, "vm-3"), false);
+  assert.equal(isSelectedHub("zone-a", candidates, 2, third), true);
+  assert.equal(isSelectedHub("zone-a", candidates, 2, "vm-3"), false);
 });
 
-test("where nobody was heard yet only a few are dialed", () => {
+test("only a few candidates are dialed while none is live", () => {
   const silent = Object.fromEntries(
     buildCandidates().map(({ id }) => [id, { isLive: false }]),
   );
@@ -63,14 +63,14 @@
   const membership = new Membership({
     self,
     silenceMs: 1000,
-    hubs: { fromVms: 20, perZone: 2 },
+    hubs: { minVms: 20, perZone: 2 },
   });
-  membership.noteListed(vms);
-  for (const vm of vms) membership.noteHeard(vm, 0);
+  membership.recordListing(vms);
+  for (const vm of vms) membership.recordContact(vm, 0);
   return membership;
 }
 
-test("of 78 VMs one keeps two links, a hub one to its peer and to each zone's hubs", () => {
+test("with 78 VMs, a VM links to its two hubs, and a hub links to all other hubs", () => {
   const member = buildFleet("a-9");
   assert.equal(member.isHub, false);
   assert.deepEqual(
@@ -85,17 +85,17 @@
   );
 });
 
-test("a VM that a peer takes for its hub serves as one", () => {
+test("a VM that a peer uses as its hub is a hub", () => {
   const member = buildFleet("a-9");
-  member.noteServing(true);
+  member.setServing(true);
   assert.equal(member.isHub, true);
-  member.noteServing(false);
+  member.setServing(false);
   assert.equal(member.isHub, false);
 });
 
-test("a hub that leaves is none any more, for others too", () => {
+test("a hub that is leaving is no longer selected", () => {
   const member = buildFleet("a-9");
-  member.noteProgress("a-0", {
+  member.recordProgress("a-0", {
     configOffset: 1,
     controlOffset: -1,
     leaving: true,
--- a/packages/heatherarch-settings/mod.ts
+++ b/packages/heatherarch-settings/mod.ts
@@ -1,9 +1,9 @@
 /**
- * Settings of one process, and the fleet configuration and profiles that operators publish.
+ * Settings of a process, and the fleet configuration and profiles that operators publish.
  *
  * @module
  */
-export * from "./fault.ts";
+export * from "./input_issue.ts";
 export * from "./fleet.ts";
 export * from "./forward_settings.ts";
 export * from "./profile.ts";
