--- a/packages/heatherarch-cli/bin/heatherarch.ts
+++ b/packages/heatherarch-cli/bin/heatherarch.ts
@@ -11,9 +11,9 @@
   type CommandContext,
   deleteProfile,
   diffFleet,
-  directTarget,
   getProfile,
   listProfiles,
+  publishDirective,
   publishFleet,
   putProfile,
   reviseProfile,
@@ -37,9 +37,9 @@
 
 function buildContext(parsed: object): CommandContext {
   const args = parsed as GlobalArguments;
-  const fromEnvironment = process.env.HEATHERARCH_VM?.split(",");
+  const environmentUrls = process.env.HEATHERARCH_VM?.split(",");
   const client = new OperatorClient({
-    urls: args.vm ?? fromEnvironment ?? [DEFAULT_URL],
+    urls: args.vm ?? environmentUrls ?? [DEFAULT_URL],
     token: args.token ?? process.env.HEATHERARCH_TOKEN,
     operator: args.operator ?? process.env.USER,
   });
@@ -52,8 +52,8 @@
   };
 }
 
-const FILE = { type: "string", demandOption: true } as const;
-const BASE = {
+const REQUIRED_STRING = { type: "string", demandOption: true } as const;
+const BASE_REVISION = {
   type: "number",
   describe: "revision that the change is made against",
 } as const;
@@ -81,14 +81,18 @@
   .option("wait-timeout-ms", { type: "number", default: 30_000 })
   .command("config", "the fleet configuration", (config) =>
     config
-      .command("publish <file>", "publish a fleet configuration", (y) =>
-        y.positional("file", FILE).option("base", BASE), (args) =>
-        publishFleet(buildContext(args), args.file, args.base))
+      .command(
+        "publish <file>",
+        "publish a fleet configuration",
+        (y) =>
+          y.positional("file", REQUIRED_STRING).option("base", BASE_REVISION),
+        (args) => publishFleet(buildContext(args), args.file, args.base),
+      )
       .command("check <file>", "check a file without publishing it", (y) =>
-        y.positional("file", FILE), (args) =>
+        y.positional("file", REQUIRED_STRING), (args) =>
         checkFleet(buildContext(args), args.file))
       .command("diff <file>", "compare a file with what is in force", (y) =>
-        y.positional("file", FILE), (args) =>
+        y.positional("file", REQUIRED_STRING), (args) =>
         diffFleet(buildContext(args), args.file))
       .command("show", "print what is in force", {}, (args) =>
         showConfig(buildContext(args)))
@@ -98,13 +102,13 @@
       .command("list", "list profiles", {}, (args) =>
         listProfiles(buildContext(args)))
       .command("get <name>", "print a profile", (y) =>
-        y.positional("name", FILE), (args) =>
+        y.positional("name", REQUIRED_STRING), (args) =>
         getProfile(buildContext(args), args.name))
       .command(
         "put <file>",
         "create a profile, or replace revision --base",
         (y) =>
-          y.positional("file", FILE).option("base", BASE),
+          y.positional("file", REQUIRED_STRING).option("base", BASE_REVISION),
         (args) =>
           putProfile(buildContext(args), args.file, args.base),
       )
@@ -112,13 +116,13 @@
         "revise <name> <assignments..>",
         "change fields: KEY=VALUE…",
         (y) =>
-          y.positional("name", FILE)
+          y.positional("name", REQUIRED_STRING)
             .positional("assignments", {
               type: "string",
               array: true,
               demandOption: true,
             })
-            .option("base", BASE),
+            .option("base", BASE_REVISION),
         (args) =>
           reviseProfile(buildContext(args), args.name, {
             assignments: args.assignments,
@@ -126,36 +130,40 @@
           }),
       )
       .command("delete <name>", "delete a profile", (y) =>
-        y.positional("name", FILE), (args) =>
+        y.positional("name", REQUIRED_STRING), (args) =>
         deleteProfile(buildContext(args), args.name))
       .demandCommand(1))
   .command(
     "drain <target>",
     "give a target no new work",
-    (y) => y.positional("target", FILE),
+    (y) => y.positional("target", REQUIRED_STRING),
     (args) =>
-      directTarget(buildContext(args), "drain", { target: args.target }),
+      publishDirective(buildContext(args), "drain", { target: args.target }),
   )
   .command(
     "withdraw <target>",
     "take a target out for good",
-    (y) => y.positional("target", FILE),
+    (y) => y.positional("target", REQUIRED_STRING),
     (args) =>
-      directTarget(buildContext(args), "withdraw", { target: args.target }),
+      publishDirective(buildContext(args), "withdraw", { target: args.target }),
   )
   .command(
     "restore <target>",
     "put a target back in service",
-    (y) => y.positional("target", FILE),
+    (y) => y.positional("target", REQUIRED_STRING),
     (args) =>
-      directTarget(buildContext(args), "restore", { target: args.target }),
+      publishDirective(buildContext(args), "restore", { target: args.target }),
   )
   .command(
     "replace <target> <file>",
     "drain a target and add the one in FILE",
-    (y) => y.positional("target", FILE).positional("file", FILE),
+    (y) =>
+      y.positional("target", REQUIRED_STRING).positional(
+        "file",
+        REQUIRED_STRING,
+      ),
     (args) =>
-      directTarget(buildContext(args), "replace", {
+      publishDirective(buildContext(args), "replace", {
         target: args.target,
         replacementFile: args.file,
       }),
@@ -181,10 +189,14 @@
       ),
   )
   .fail((message, error) => {
-    const known = error instanceof CommandError;
-    console.error(known ? error.message : message ?? String(error));
+    const isCommandError = error instanceof CommandError;
+    console.error(isCommandError ? error.message : message ?? String(error));
     process.exit(
-      known ? error.exitCode : error ? EXIT_CODES.failed : EXIT_CODES.badInput,
+      isCommandError
+        ? error.exitCode
+        : error
+        ? EXIT_CODES.failed
+        : EXIT_CODES.badInput,
     );
   });
 
--- a/packages/heatherarch-cli/commands.ts
+++ b/packages/heatherarch-cli/commands.ts
@@ -14,9 +14,9 @@
 } from "heatherarch-settings";
 import { CommandError } from "./exit_codes.ts";
 import type {
-  ChangeAnswer,
+  ChangeResponse,
   OperatorClient,
-  StatusAnswer,
+  StatusResponse,
 } from "./operator_client.ts";
 
 /** Where and how results are written. */
@@ -48,14 +48,14 @@
     }
   }
   const parsed = parseToml(text);
-  if (!parsed.ok) throw buildFaultError(file, parsed.val as InputIssue[]);
+  if (!parsed.ok) throw buildInputError(file, parsed.val as InputIssue[]);
   return parsed.val;
 }
 
 /** Checks a fleet configuration and returns it with defaults filled in. */
 export function readFleetFile(file: string): unknown {
   const fleet = parseFleet(readDocument(file));
-  if (!fleet.ok) throw buildFaultError(file, fleet.val as InputIssue[]);
+  if (!fleet.ok) throw buildInputError(file, fleet.val as InputIssue[]);
   return fleet.val;
 }
 
@@ -68,11 +68,11 @@
   const fleet = readFleetFile(file);
   const baseRevision = base ??
     (await context.client.readConfig()).fleetRevision;
-  const answer = await context.client.publish(
+  const response = await context.client.publish(
     { kind: "publishFleet", fleet },
     baseRevision,
   );
-  await report(context, answer, "fleet");
+  await reportChange(context, response, "fleet");
 }
 
 /** `config check FILE` */
@@ -117,11 +117,11 @@
   name: string,
 ): Promise<void> {
   const { profiles } = await context.client.readConfig();
-  const found = profiles[name];
-  if (found === undefined) {
+  const entry = profiles[name];
+  if (entry === undefined) {
     throw new CommandError("badInput", `no profile is named ${name}`);
   }
-  context.print(JSON.stringify(found, null, 2));
+  context.print(JSON.stringify(entry, null, 2));
 }
 
 /** `profile put FILE`: creates a profile, or replaces the revision `base`. */
@@ -131,14 +131,14 @@
   base: number | undefined,
 ): Promise<void> {
   const profile = parseProfile(readDocument(file));
-  if (!profile.ok) throw buildFaultError(file, profile.val as InputIssue[]);
+  if (!profile.ok) throw buildInputError(file, profile.val as InputIssue[]);
   const { name } = profile.val as { name: string };
   const baseRevision = base ?? -1;
-  const answer = await context.client.publish({
+  const response = await context.client.publish({
     kind: "putProfile",
     profile: profile.val,
   }, baseRevision);
-  await report(context, answer, `profile ${name}`);
+  await reportChange(context, response, `profile ${name}`);
 }
 
 /** `profile revise NAME KEY=VALUE…`: changes fields of the present revision. */
@@ -148,23 +148,23 @@
   change: { assignments: readonly string[]; base: number | undefined },
 ): Promise<void> {
   const { profiles } = await context.client.readConfig();
-  const found = profiles[name];
-  if (found === undefined) {
+  const entry = profiles[name];
+  if (entry === undefined) {
     throw new CommandError("badInput", `no profile is named ${name}`);
   }
-  const next = { ...found.profile };
+  const revised = { ...entry.profile };
   for (const assignment of change.assignments) {
-    const [key, value] = splitAssignment(assignment);
-    next[key] = value;
+    const [key, value] = parseAssignment(assignment);
+    revised[key] = value;
   }
-  const profile = parseProfile(next);
-  if (!profile.ok) throw buildFaultError(name, profile.val as InputIssue[]);
-  const baseRevision = change.base ?? found.revision;
-  const answer = await context.client.publish({
+  const profile = parseProfile(revised);
+  if (!profile.ok) throw buildInputError(name, profile.val as InputIssue[]);
+  const baseRevision = change.base ?? entry.revision;
+  const response = await context.client.publish({
     kind: "putProfile",
     profile: profile.val,
   }, baseRevision);
-  await report(context, answer, `profile ${name}`);
+  await reportChange(context, response, `profile ${name}`);
 }
 
 /** `profile delete NAME` */
@@ -174,15 +174,15 @@
 ): Promise<void> {
   const { profiles } = await context.client.readConfig();
   const revision = profiles[name]?.revision ?? -1;
-  const answer = await context.client.publish(
+  const response = await context.client.publish(
     { kind: "deleteProfile", name },
     revision,
   );
-  await report(context, answer, `profile ${name}`);
+  await reportChange(context, response, `profile ${name}`);
 }
 
 /** `drain|withdraw|restore TARGET` and `replace TARGET FILE` */
-export async function directTarget(
+export async function publishDirective(
   context: CommandContext,
   directive: string,
   options: { target: string; replacementFile?: string },
@@ -198,11 +198,11 @@
     directive,
     ...(replacement ? { replacement } : {}),
   };
-  const answer = await context.client.publish(
+  const response = await context.client.publish(
     change,
     directives[target]?.revision ?? -1,
   );
-  await report(context, answer, `${directive} ${target}`);
+  await reportChange(context, response, `${directive} ${target}`);
 }
 
 /** `status` */
@@ -220,15 +220,15 @@
   context: CommandContext,
   limit: number,
 ): Promise<void> {
-  const { entries } = await context.client.call("GET", "/v1/audit") as {
-    entries: AuditLine[];
+  const { entries } = await context.client.sendRequest("GET", "/v1/audit") as {
+    entries: AuditEntry[];
   };
-  const last = entries.slice(-limit);
+  const recent = entries.slice(-limit);
   if (context.json) {
-    context.print(JSON.stringify(last));
+    context.print(JSON.stringify(recent));
     return;
   }
-  for (const entry of last) {
+  for (const entry of recent) {
     const when = new Date(entry.atMs).toISOString();
     const reason = entry.reason ? ` (${entry.reason})` : "";
     const { offset, author, what, baseRevision, verdict } = entry;
@@ -238,7 +238,7 @@
   }
 }
 
-interface AuditLine {
+interface AuditEntry {
   readonly offset: number;
   readonly atMs: number;
   readonly author: string;
@@ -248,29 +248,29 @@
   readonly reason?: string;
 }
 
-async function report(
+async function reportChange(
   context: CommandContext,
-  answer: ChangeAnswer,
-  what: string,
+  response: ChangeResponse,
+  subject: string,
 ): Promise<void> {
-  if (context.json) context.print(JSON.stringify(answer));
-  else if (answer.verdict === "accepted") {
-    context.print(`${what}: accepted at ${answer.offset}`);
+  if (context.json) context.print(JSON.stringify(response));
+  else if (response.verdict === "accepted") {
+    context.print(`${subject}: accepted at ${response.offset}`);
   } else {context.print(
-      `${what}: spreading from VM to VM; publish again once the platform answers`,
+      `${subject}: spreading from VM to VM; publish again once the platform answers`,
     );}
-  if (answer.verdict !== "accepted") {
+  if (response.verdict !== "accepted") {
     throw new CommandError(
       "platformUnavailable",
-      answer.reason ?? "platform unavailable",
+      response.reason ?? "platform unavailable",
     );
   }
   if (!context.wait) return;
-  await context.client.waitInForce(answer.offset, context.waitTimeoutMs);
+  await context.client.waitUntilApplied(response.offset, context.waitTimeoutMs);
   if (!context.json) context.print("in force everywhere");
 }
 
-function formatStatus(status: StatusAnswer): string[] {
+function formatStatus(status: StatusResponse): string[] {
   const { vm, config, lease } = status;
   const stale = config.staleMs === null
     ? "never current"
@@ -312,9 +312,9 @@
   path: string,
 ): string[] {
   if (isDeepStrictEqual(before, after)) return [];
-  const isTree = (value: unknown): value is Record<string, unknown> =>
+  const isContainer = (value: unknown): value is Record<string, unknown> =>
     typeof value === "object" && value !== null;
-  if (!isTree(before) || !isTree(after)) {
+  if (!isContainer(before) || !isContainer(after)) {
     return [
       `${path || "(document)"}: ${JSON.stringify(before)} -> ${
         JSON.stringify(after)
@@ -331,22 +331,22 @@
   );
 }
 
-function splitAssignment(assignment: string): [string, unknown] {
-  const at = assignment.indexOf("=");
-  if (at < 1) {
+function parseAssignment(assignment: string): [string, unknown] {
+  const separator = assignment.indexOf("=");
+  if (separator < 1) {
     throw new CommandError("badInput", `${assignment}: expected KEY=VALUE`);
   }
-  const text = assignment.slice(at + 1);
+  const text = assignment.slice(separator + 1);
   try {
-    return [assignment.slice(0, at), JSON.parse(text)];
+    return [assignment.slice(0, separator), JSON.parse(text)];
   } catch {
-    return [assignment.slice(0, at), text];
+    return [assignment.slice(0, separator), text];
   }
 }
 
-function buildFaultError(
+function buildInputError(
   file: string,
-  faults: readonly InputIssue[],
+  issues: readonly InputIssue[],
 ): CommandError {
-  return new CommandError("badInput", `${file}:\n${formatIssues(faults)}`);
+  return new CommandError("badInput", `${file}:\n${formatIssues(issues)}`);
 }
--- a/packages/heatherarch-cli/operator_client.ts
+++ b/packages/heatherarch-cli/operator_client.ts
@@ -18,7 +18,7 @@
 }
 
 /** A configuration as `GET /v1/config` gives it. */
-export interface ConfigAnswer {
+export interface ConfigResponse {
   readonly offset: number;
   readonly fleetRevision: number;
   readonly fleet: unknown;
@@ -30,7 +30,7 @@
 }
 
 /** The part of the status that `--wait` needs. */
-export interface StatusAnswer {
+export interface StatusResponse {
   readonly vm: {
     id: string;
     availabilityZone: string;
@@ -72,7 +72,7 @@
 }
 
 /** Verdict on a publication. */
-export interface ChangeAnswer {
+export interface ChangeResponse {
   readonly verdict: "accepted" | "spreading";
   readonly offset: number;
   readonly reason?: string;
@@ -89,56 +89,59 @@
     this.#options = options;
   }
 
-  async readConfig(): Promise<ConfigAnswer> {
-    return await this.call("GET", "/v1/config") as ConfigAnswer;
+  async readConfig(): Promise<ConfigResponse> {
+    return await this.sendRequest("GET", "/v1/config") as ConfigResponse;
   }
 
-  async readStatus(): Promise<StatusAnswer> {
-    return await this.call("GET", "/v1/status") as StatusAnswer;
+  async readStatus(): Promise<StatusResponse> {
+    return await this.sendRequest("GET", "/v1/status") as StatusResponse;
   }
 
   /** Publishes a change. Throws {@linkcode CommandError} where it was rejected. */
-  async publish(change: unknown, baseRevision: number): Promise<ChangeAnswer> {
-    return await this.call("POST", "/v1/changes", {
+  async publish(
+    change: unknown,
+    baseRevision: number,
+  ): Promise<ChangeResponse> {
+    return await this.sendRequest("POST", "/v1/changes", {
       change,
       baseRevision,
-    }) as ChangeAnswer;
+    }) as ChangeResponse;
   }
 
   /** Waits until every live VM of every zone has applied `offset`. */
-  async waitInForce(offset: number, timeoutMs: number): Promise<void> {
-    const until = Date.now() + timeoutMs;
-    let behind: string[] = ["all"];
-    while (Date.now() < until) {
-      behind = listBehind(await this.readStatus(), offset);
-      if (behind.length === 0) return;
+  async waitUntilApplied(offset: number, timeoutMs: number): Promise<void> {
+    const deadlineAtMs = Date.now() + timeoutMs;
+    let lagging: string[] = ["all"];
+    while (Date.now() < deadlineAtMs) {
+      lagging = listLagging(await this.readStatus(), offset);
+      if (lagging.length === 0) return;
       await sleep(WAIT_POLL_MS);
     }
     throw new CommandError(
       "waitTimedOut",
-      `not in force yet at: ${behind.join(", ")}`,
+      `not in force yet at: ${lagging.join(", ")}`,
     );
   }
 
   /** Makes one call. Throws {@linkcode CommandError}. */
-  async call(
+  async sendRequest(
     method: "GET" | "POST",
     path: string,
     body?: unknown,
   ): Promise<unknown> {
-    let last = "";
+    let lastFailure = "";
     for (const url of this.#options.urls) {
-      const answer = await this.#send(url + path, method, body).catch(
+      const response = await this.#send(url + path, method, body).catch(
         (error: Error) => {
-          last = `${url}: ${error.message}`;
+          lastFailure = `${url}: ${error.message}`;
           return undefined;
         },
       );
-      if (answer === undefined) continue;
-      if (answer.status === 200) return answer.body;
-      throw buildCommandError(answer.status, answer.body);
+      if (response === undefined) continue;
+      if (response.status === 200) return response.body;
+      throw buildCommandError(response.status, response.body);
     }
-    throw new CommandError("unreachable", `no VM answered (${last})`);
+    throw new CommandError("unreachable", `no VM answered (${lastFailure})`);
   }
 
   async #send(
@@ -152,27 +155,27 @@
     };
     if (token) headers.authorization = `Bearer ${token}`;
     if (operator) headers["x-operator"] = operator;
-    const answer = await request(url, {
+    const response = await request(url, {
       method,
       headers,
       body: body === undefined ? undefined : JSON.stringify(body),
       signal: AbortSignal.timeout(timeoutMs ?? DEFAULT_TIMEOUT_MS),
     });
-    return { status: answer.statusCode, body: await answer.body.json() };
+    return { status: response.statusCode, body: await response.body.json() };
   }
 }
 
-function listBehind(status: StatusAnswer, offset: number): string[] {
-  const behind = status.members
+function listLagging(status: StatusResponse, offset: number): string[] {
+  const lagging = status.members
     .filter((member) =>
       member.status === "live" && member.configOffset < offset
     )
     .map((member) => member.id);
-  if (status.config.offset < offset) behind.push(status.vm.id);
+  if (status.config.offset < offset) lagging.push(status.vm.id);
   for (const [zone, summary] of Object.entries(status.availabilityZones)) {
-    if (summary.configOffset < offset) behind.push(`zone ${zone}`);
+    if (summary.configOffset < offset) lagging.push(`zone ${zone}`);
   }
-  return behind;
+  return lagging;
 }
 
 function buildCommandError(status: number, body: unknown): CommandError {
--- a/packages/heatherarch-lab/bench/claims_bench.ts
+++ b/packages/heatherarch-lab/bench/claims_bench.ts
@@ -92,8 +92,8 @@
     maxBatch,
     callers,
     claimsPerSecond: Math.round(times.length / DURATION_S),
-    appendsPerSecond: Math.round(log.appends / DURATION_S),
-    claimsPerAppend: roundTo(times.length / log.appends, 1),
+    appendsPerSecond: Math.round(log.appendCount / DURATION_S),
+    claimsPerAppend: roundTo(times.length / log.appendCount, 1),
     addedLatencyMs: computeQuantiles(times),
     cpuMicrosecondsPerClaim: roundTo((cpu.user + cpu.system) / times.length, 1),
   };
--- a/packages/heatherarch-lab/chaos/chaos_network.ts
+++ b/packages/heatherarch-lab/chaos/chaos_network.ts
@@ -4,7 +4,7 @@
  *
  * @module
  */
-import { CuttableLink, type LinkMode } from "heatherarch-standins";
+import { FaultProxy, type FaultProxyMode } from "heatherarch-standins";
 import type { Deployment } from "../deployment.ts";
 
 /** One link of one zone. */
@@ -12,7 +12,7 @@
   readonly from: string;
   readonly toZone: string | undefined;
   readonly toAddress: string;
-  readonly link: CuttableLink;
+  readonly link: FaultProxy;
   readonly linkAddress: string;
 }
 
@@ -57,7 +57,7 @@
   }
 
   /** Cuts or heals a zone from the platform alone. */
-  setPlatformLinks(zone: string, mode: LinkMode): void {
+  setPlatformLinks(zone: string, mode: FaultProxyMode): void {
     for (const entry of this.#links) {
       if (entry.from === zone && entry.toZone === undefined) {
         entry.link.setMode(mode);
@@ -66,7 +66,7 @@
   }
 
   /** Cuts or heals a zone from the platform and from all other zones. */
-  setZoneLinks(zone: string, mode: LinkMode): void {
+  setZoneLinks(zone: string, mode: FaultProxyMode): void {
     for (const { from, toZone, link } of this.#links) {
       const isCrossZone = from === zone ? toZone !== zone : toZone === zone;
       if (isCrossZone) link.setMode(mode);
@@ -93,7 +93,7 @@
     toZone: string | undefined,
     to: string,
   ): Promise<void> {
-    const link = new CuttableLink(to);
+    const link = new FaultProxy(to);
     const address = await link.listen();
     this.#links.push({
       from,
--- a/packages/heatherarch-lab/tests/integration/mesh_links_test.ts
+++ b/packages/heatherarch-lab/tests/integration/mesh_links_test.ts
@@ -3,7 +3,7 @@
 import { test } from "node:test";
 import { RuntimeClock, sleep } from "heatherarch-core";
 import { Membership, MeshNode } from "heatherarch-mesh";
-import { CuttableLink, findFreePorts } from "heatherarch-standins";
+import { FaultProxy, findFreePorts } from "heatherarch-standins";
 
 interface Node {
   readonly mesh: MeshNode;
@@ -72,7 +72,7 @@
 test("a link that goes silent is replaced by one that works, and calls go on", async () => {
   const [portA, portB] = await findFreePorts(2);
   const b = await startNode("b", { port: portB });
-  const link = new CuttableLink(b.address);
+  const link = new FaultProxy(b.address);
   const via = await link.listen();
   const a = await startNode("a", {
     port: portA,
--- a/packages/heatherarch-standins/completion.ts
+++ b/packages/heatherarch-standins/completion.ts
@@ -40,10 +40,10 @@
 }
 
 /** The first `tokens` tokens that follow `prompt`. */
-export function computeCompletion(prompt: string, tokens: number): string {
+export function computeCompletion(prompt: string, tokenCount: number): string {
   let state = computeTextState(prompt);
   let text = "";
-  for (let i = 0; i < tokens; i++) {
+  for (let i = 0; i < tokenCount; i++) {
     const token = computeNextToken(state);
     text += token;
     state = extendTextState(state, token);
--- a/packages/heatherarch-standins/engine_server.ts
+++ b/packages/heatherarch-standins/engine_server.ts
@@ -14,7 +14,7 @@
   type EngineCounters,
   EngineSimulation,
   type EngineSpeeds,
-  type SequenceEnd,
+  type SequenceResult,
 } from "./engine_simulation.ts";
 import { readJsonBody, StandinServer } from "./http_server.ts";
 
@@ -48,30 +48,30 @@
 }
 
 interface OpenStream {
-  readonly tryId: string;
+  readonly attemptId: string;
   readonly tokens: string[];
   response: ServerResponse | undefined;
-  end: SequenceEnd | undefined;
+  result: SequenceResult | undefined;
   /** Index of the first token that `response` is to get. */
-  from: number;
+  firstTokenIndex: number;
 }
 
 /** Failures of an engine that can be switched on. */
 export interface EngineFaults {
   /** Answers are sent with the id of another try. */
-  crossAnswers: boolean;
+  crossResponses: boolean;
   /** Answers end without their end marker after this many tokens; 0 for never. */
-  truncateAfter: number;
+  truncateAfterTokens: number;
   /** The engine crashes this long after taking an order; 0 for never. */
-  crashInOrderMs: number;
+  crashDuringOrderMs: number;
   /** Generating for a prompt with this text ends the process for a while; empty for none. */
   crashesOn: string;
 }
 
 const RESUME_GRACE_MS = 400;
 /** Time for which a process that a prompt ended is away, milliseconds. */
-const CRASH_MS = 600;
-const KEEP_ENDED_MS = 5000;
+const RESTART_DELAY_MS = 600;
+const RESULT_RETENTION_MS = 5000;
 
 /** One engine stand-in. */
 export class EngineServer {
@@ -87,23 +87,23 @@
     lastWorkAtMs: 0,
   };
   readonly faults: EngineFaults = {
-    crossAnswers: false,
-    truncateAfter: 0,
-    crashInOrderMs: 0,
+    crossResponses: false,
+    truncateAfterTokens: 0,
+    crashDuringOrderMs: 0,
     crashesOn: "",
   };
   readonly #simulation: EngineSimulation;
-  readonly #server = new StandinServer((ctx) => this.#handle(ctx));
+  readonly #server = new StandinServer((ctx) => this.#handleRequest(ctx));
   readonly #streams = new Map<string, OpenStream>();
-  readonly #kvHandles = new Set<string>();
-  readonly #history: { atMs: number; counters: EngineCounters }[] = [];
+  readonly #handles = new Set<string>();
+  readonly #counterHistory: { atMs: number; counters: EngineCounters }[] = [];
   #model: string;
   #version: string;
-  #changing = 0;
-  #leaving = false;
-  #down = false;
-  #fencing = 0;
-  #highestRef = 0;
+  #activeChanges = 0;
+  #isLeaving = false;
+  #isDown = false;
+  #fencingToken = 0;
+  #highestToken = 0;
   #changeTimer: NodeJS.Timeout | undefined;
 
   constructor(options: EngineServerOptions) {
@@ -132,14 +132,14 @@
 
   /** Crashes the engine; it comes back empty after `downMs`. */
   crash(downMs: number): void {
-    this.#down = true;
+    this.#isDown = true;
     clearTimeout(this.#changeTimer);
-    this.#changing = 0;
-    this.#simulation.cutAll();
+    this.#activeChanges = 0;
+    this.#simulation.dropAll();
     this.#streams.clear();
-    this.#kvHandles.clear();
-    this.#server.cutConnections();
-    setTimeout(() => (this.#down = false), downMs);
+    this.#handles.clear();
+    this.#server.destroyConnections();
+    setTimeout(() => (this.#isDown = false), downMs);
   }
 
   /** Goes silent with all connections left open. */
@@ -150,11 +150,11 @@
 
   /** The engine itself reports that it is leaving. */
   setLeaving(leaving: boolean): void {
-    this.#leaving = leaving;
+    this.#isLeaving = leaving;
   }
 
-  async #handle(ctx: Koa.Context): Promise<void> {
-    if (this.#down) {
+  async #handleRequest(ctx: Koa.Context): Promise<void> {
+    if (this.#isDown) {
       ctx.req.socket.destroy();
       ctx.respond = false;
       return;
@@ -164,19 +164,19 @@
       return this.#reportState(ctx);
     }
     if (path === "/v1/completions" || path === "/generate") {
-      return await this.#generate(ctx);
+      return await this.#handleGeneration(ctx);
     }
     if (path === "/orders" || path === "/control") {
-      return await this.#takeOrder(ctx);
+      return await this.#handleOrder(ctx);
     }
     if (path.startsWith("/v1/streams/")) {
-      const tryId = path.slice("/v1/streams/".length);
-      if (method === "DELETE") this.#cancel(tryId);
-      else this.#resume(ctx, tryId);
+      const attemptId = path.slice("/v1/streams/".length);
+      if (method === "DELETE") this.#cancel(attemptId);
+      else this.#handleResume(ctx, attemptId);
       return;
     }
     if (path.startsWith("/kv/")) {
-      ctx.status = this.#kvHandles.has(path.slice("/kv/".length)) ? 200 : 404;
+      ctx.status = this.#handles.has(path.slice("/kv/".length)) ? 200 : 404;
       ctx.body = "";
     }
   }
@@ -184,16 +184,17 @@
   #readLaggedCounters(): EngineCounters {
     const { reportLagMs = 0 } = this.options;
     const nowMs = performance.now();
-    this.#history.push({
+    this.#counterHistory.push({
       atMs: nowMs,
       counters: this.#simulation.readCounters(),
     });
     while (
-      this.#history.length > 1 && this.#history[1].atMs <= nowMs - reportLagMs
+      this.#counterHistory.length > 1 &&
+      this.#counterHistory[1].atMs <= nowMs - reportLagMs
     ) {
-      this.#history.shift();
+      this.#counterHistory.shift();
     }
-    return this.#history[0].counters;
+    return this.#counterHistory[0].counters;
   }
 
   #reportState(ctx: Koa.Context): void {
@@ -204,21 +205,21 @@
         role,
         model: this.#model,
         version: this.#version,
-        changing: this.#changing > 0,
-        draining: this.#leaving,
+        changing: this.#activeChanges > 0,
+        draining: this.#isLeaving,
         running: counters.running,
         waiting: counters.waiting,
         pending_prefill_tokens: counters.pendingPrefillTokens,
         kv_used: counters.kvUsed,
-        fencing: this.#fencing,
+        fencing: this.#fencingToken,
       };
       return;
     }
     ctx.body = {
       mode: role === "prefill" ? "P" : role === "decode" ? "D" : "PD",
       weights: `${this.#model}@${this.#version}`,
-      reconfiguring: this.#changing > 0,
-      leaving: this.#leaving,
+      reconfiguring: this.#activeChanges > 0,
+      leaving: this.#isLeaving,
       batch: counters.running,
       queue: counters.waiting,
       prefill_backlog: counters.pendingPrefillTokens,
@@ -226,137 +227,139 @@
     };
   }
 
-  async #generate(ctx: Koa.Context): Promise<void> {
+  async #handleGeneration(ctx: Koa.Context): Promise<void> {
     const body = await readJsonBody<Record<string, unknown>>(ctx);
-    if (this.#changing > 0 || this.#down) {
+    if (this.#activeChanges > 0 || this.#isDown) {
       ctx.status = 503;
       ctx.body = { error: "reconfiguring" };
       return;
     }
-    const tryId = String(body.try_id ?? body.tag);
+    const attemptId = String(body.try_id ?? body.tag);
     const kvImport = (body.kv_import ?? body.import) as
       | { address: string; handle: string }
       | undefined;
-    if (kvImport !== undefined && !(await fetchKv(kvImport))) {
+    if (kvImport !== undefined && !(await fetchKvCache(kvImport))) {
       ctx.status = 424;
       ctx.body = { error: "kv cache not available" };
       return;
     }
-    if (this.#changing > 0 || this.#down) {
+    if (this.#activeChanges > 0 || this.#isDown) {
       ctx.status = 503;
       return;
     }
     this.ledger.tries++;
-    if (this.#streams.has(tryId)) this.ledger.repeatedTries++;
+    if (this.#streams.has(attemptId)) this.ledger.repeatedTries++;
     this.ledger.lastWorkAtMs = Date.now();
     const stream: OpenStream = {
-      tryId,
+      attemptId,
       tokens: [],
       response: undefined,
-      end: undefined,
-      from: 0,
+      result: undefined,
+      firstTokenIndex: 0,
     };
     const { crashesOn } = this.faults;
     const prompt = String(body.prompt ?? body.input);
     if (crashesOn !== "" && prompt.includes(crashesOn)) {
       ctx.respond = false;
-      this.crash(CRASH_MS);
-      this.#server.endFor(CRASH_MS);
+      this.crash(RESTART_DELAY_MS);
+      this.#server.simulateExit(RESTART_DELAY_MS);
       return;
     }
-    this.#streams.set(tryId, stream);
-    this.#attach(ctx, stream);
+    this.#streams.set(attemptId, stream);
+    this.#attachResponse(ctx, stream);
     this.#simulation.submit({
-      tryId,
+      attemptId,
       prompt,
       maxTokens: Number(body.max_tokens ?? body.max_new_tokens),
       priority: Number(body.priority ?? body.prio ?? 1),
       kvExport: Boolean(body.kv_export ?? body.export),
       kvImported: kvImport !== undefined,
     }, {
-      onToken: (text) => this.#deliver(stream, text),
-      onEnd: (end) => this.#finish(stream, end),
-      onCut: () => {
-        this.#streams.delete(tryId);
+      onToken: (text) => this.#handleToken(stream, text),
+      onEnd: (result) => this.#handleEnd(stream, result),
+      onDropped: () => {
+        this.#streams.delete(attemptId);
         stream.response?.destroy();
       },
     });
   }
 
-  #resume(ctx: Koa.Context, tryId: string): void {
-    const stream = this.#streams.get(tryId);
+  #handleResume(ctx: Koa.Context, attemptId: string): void {
+    const stream = this.#streams.get(attemptId);
     if (stream === undefined) {
       ctx.status = 404;
       return;
     }
-    stream.from = Number(ctx.query.from ?? 0);
-    this.#attach(ctx, stream);
-    for (const text of stream.tokens.slice(stream.from)) {
+    stream.firstTokenIndex = Number(ctx.query.from ?? 0);
+    this.#attachResponse(ctx, stream);
+    for (const text of stream.tokens.slice(stream.firstTokenIndex)) {
       this.#writeToken(stream, text);
     }
-    if (stream.end !== undefined) this.#writeEnd(stream, stream.end);
+    if (stream.result !== undefined) this.#writeResult(stream, stream.result);
   }
 
-  #attach(ctx: Koa.Context, stream: OpenStream): void {
+  #attachResponse(ctx: Koa.Context, stream: OpenStream): void {
     ctx.respond = false;
     const { res } = ctx;
-    const sse = this.options.dialect === "sse";
+    const isSse = this.options.dialect === "sse";
     res.writeHead(200, {
-      "content-type": sse ? "text/event-stream" : "application/x-ndjson",
+      "content-type": isSse ? "text/event-stream" : "application/x-ndjson",
     });
     res.flushHeaders();
     stream.response = res;
     res.on("close", () => {
       if (stream.response !== res) return;
       stream.response = undefined;
-      if (stream.end === undefined) {
+      if (stream.result === undefined) {
         setTimeout(() => {
-          if (stream.response === undefined) this.#cancel(stream.tryId);
+          if (stream.response === undefined) this.#cancel(stream.attemptId);
         }, RESUME_GRACE_MS);
       }
     });
   }
 
-  #cancel(tryId: string): void {
-    this.#simulation.cancel(tryId);
-    this.#streams.delete(tryId);
+  #cancel(attemptId: string): void {
+    this.#simulation.cancel(attemptId);
+    this.#streams.delete(attemptId);
   }
 
-  #deliver(stream: OpenStream, text: string): void {
+  #handleToken(stream: OpenStream, text: string): void {
     stream.tokens.push(text);
     this.#writeToken(stream, text);
-    const { truncateAfter } = this.faults;
-    if (truncateAfter > 0 && stream.tokens.length === truncateAfter) {
-      this.#simulation.cancel(stream.tryId);
+    const { truncateAfterTokens } = this.faults;
+    if (
+      truncateAfterTokens > 0 && stream.tokens.length === truncateAfterTokens
+    ) {
+      this.#simulation.cancel(stream.attemptId);
       stream.response?.end();
     }
   }
 
   #writeToken(stream: OpenStream, text: string): void {
-    const id = this.faults.crossAnswers
-      ? `${stream.tryId}-other`
-      : stream.tryId;
+    const id = this.faults.crossResponses
+      ? `${stream.attemptId}-other`
+      : stream.attemptId;
     const line = this.options.dialect === "sse"
       ? `data: {"id":"${id}","choices":[{"text":"${text}","finish_reason":null}]}\n\n`
       : `{"tag":"${id}","s":"${text}"}\n`;
     if (!stream.response?.writableEnded) stream.response?.write(line);
   }
 
-  #finish(stream: OpenStream, end: SequenceEnd): void {
-    stream.end = end;
-    if (end.kvHandle !== undefined) this.#kvHandles.add(end.kvHandle);
-    this.#writeEnd(stream, end);
+  #handleEnd(stream: OpenStream, result: SequenceResult): void {
+    stream.result = result;
+    if (result.kvHandle !== undefined) this.#handles.add(result.kvHandle);
+    this.#writeResult(stream, result);
     setTimeout(() => {
-      this.#streams.delete(stream.tryId);
-      if (end.kvHandle !== undefined) this.#kvHandles.delete(end.kvHandle);
-    }, KEEP_ENDED_MS);
+      this.#streams.delete(stream.attemptId);
+      if (result.kvHandle !== undefined) this.#handles.delete(result.kvHandle);
+    }, RESULT_RETENTION_MS);
   }
 
-  #writeEnd(stream: OpenStream, end: SequenceEnd): void {
-    const { promptTokens, cachedTokens, outputTokens, kvHandle } = end;
+  #writeResult(stream: OpenStream, result: SequenceResult): void {
+    const { promptTokens, cachedTokens, outputTokens, kvHandle } = result;
     if (this.options.dialect === "sse") {
       const chunk = {
-        id: stream.tryId,
+        id: stream.attemptId,
         choices: [{ text: "", finish_reason: "length" }],
         usage: {
           prompt_tokens: promptTokens,
@@ -371,7 +374,7 @@
       return;
     }
     const line = {
-      tag: stream.tryId,
+      tag: stream.attemptId,
       end: "length",
       in: promptTokens,
       hit: cachedTokens,
@@ -380,39 +383,39 @@
     stream.response?.end(`${JSON.stringify(line)}\n`);
   }
 
-  async #takeOrder(ctx: Koa.Context): Promise<void> {
+  async #handleOrder(ctx: Koa.Context): Promise<void> {
     const body = await readJsonBody<Record<string, unknown>>(ctx);
-    const ref = Number(body.fencing ?? body.ref ?? 0);
+    const orderToken = Number(body.fencing ?? body.ref ?? 0);
     if (this.options.checksFencing) {
-      if (ref < this.#fencing) {
+      if (orderToken < this.#fencingToken) {
         this.ledger.ordersFenced++;
         ctx.status = 409;
         return;
       }
-      this.#fencing = ref;
-      if (this.#changing > 0) {
+      this.#fencingToken = orderToken;
+      if (this.#activeChanges > 0) {
         ctx.status = 503;
         return;
       }
     }
-    if (ref < this.#highestRef) this.ledger.lapsedOrdersObeyed++;
-    this.#highestRef = Math.max(this.#highestRef, ref);
-    if (this.#changing > 0) this.ledger.conflictingOrders++;
+    if (orderToken < this.#highestToken) this.ledger.lapsedOrdersObeyed++;
+    this.#highestToken = Math.max(this.#highestToken, orderToken);
+    if (this.#activeChanges > 0) this.ledger.conflictingOrders++;
     this.ledger.ordersObeyed++;
-    this.ledger.cutByOrder += this.#simulation.cutAll();
-    this.#beginChange(readOrder(body));
+    this.ledger.cutByOrder += this.#simulation.dropAll();
+    this.#startChange(parseOrder(body));
     ctx.body = { accepted: true };
   }
 
-  #beginChange(order: EngineOrder): void {
+  #startChange(order: EngineOrder): void {
     const { changeMs } = this.#simulation.speeds;
-    this.#changing++;
-    if (this.faults.crashInOrderMs > 0) {
-      void sleep(this.faults.crashInOrderMs).then(() => this.crash(1000));
-      this.faults.crashInOrderMs = 0;
+    this.#activeChanges++;
+    if (this.faults.crashDuringOrderMs > 0) {
+      void sleep(this.faults.crashDuringOrderMs).then(() => this.crash(1000));
+      this.faults.crashDuringOrderMs = 0;
     }
     this.#changeTimer = setTimeout(() => {
-      this.#changing = 0;
+      this.#activeChanges = 0;
       if (order.kind === "setRole") this.#simulation.setRole(order.role);
       else {
         this.#model = order.model;
@@ -422,7 +425,7 @@
   }
 }
 
-function readOrder(body: Record<string, unknown>): EngineOrder {
+function parseOrder(body: Record<string, unknown>): EngineOrder {
   if (body.kind === "setRole") {
     return { kind: "setRole", role: body.role as EngineRole };
   }
@@ -445,18 +448,18 @@
   };
 }
 
-async function fetchKv(
+async function fetchKvCache(
   source: { address: string; handle: string },
 ): Promise<boolean> {
   try {
-    const answer = await request(
+    const response = await request(
       `http://${source.address}/kv/${source.handle}`,
       {
         signal: AbortSignal.timeout(1000),
       },
     );
-    await answer.body.dump();
-    return answer.statusCode === 200;
+    await response.body.dump();
+    return response.statusCode === 200;
   } catch {
     return false;
   }
--- a/packages/heatherarch-standins/engine_simulation.ts
+++ b/packages/heatherarch-standins/engine_simulation.ts
@@ -38,23 +38,25 @@
 };
 
 /** Limits that come with a role: prompt tokens in one step, sequences in the batch. */
-const ROLE_LIMITS: Record<EngineRole, { chunkTokens: number; batch: number }> =
-  {
-    prefill: { chunkTokens: 4096, batch: 16 },
-    decode: { chunkTokens: 64, batch: 64 },
-    mixed: { chunkTokens: 256, batch: 40 },
-  };
+const ROLE_LIMITS: Record<
+  EngineRole,
+  { maxPrefillTokens: number; batchSize: number }
+> = {
+  prefill: { maxPrefillTokens: 4096, batchSize: 16 },
+  decode: { maxPrefillTokens: 64, batchSize: 64 },
+  mixed: { maxPrefillTokens: 256, batchSize: 40 },
+};
 
 /** Receives what a sequence produces. */
 export interface SequenceListener {
   onToken(text: string, index: number): void;
-  onEnd(end: SequenceEnd): void;
+  onEnd(result: SequenceResult): void;
   /** The engine dropped the sequence. */
-  onCut(): void;
+  onDropped(): void;
 }
 
 /** How a sequence ended. */
-export interface SequenceEnd {
+export interface SequenceResult {
   readonly promptTokens: number;
   readonly cachedTokens: number;
   readonly outputTokens: number;
@@ -63,7 +65,7 @@
 
 /** A request to the engine. */
 export interface SequenceRequest {
-  readonly tryId: string;
+  readonly attemptId: string;
   readonly prompt: string;
   readonly maxTokens: number;
   readonly priority: number;
@@ -76,9 +78,9 @@
   readonly request: SequenceRequest;
   readonly promptTokens: number;
   cachedTokens: number;
-  remainingPrefill: number;
+  remainingPrefillTokens: number;
   readyAtMs: number;
-  emitted: number;
+  emittedTokens: number;
   textState: number;
   readonly tokens: string[];
   listener: SequenceListener | undefined;
@@ -86,7 +88,7 @@
 
 const BLOCK_CHARACTERS = 256;
 const BLOCK_TOKENS = BLOCK_CHARACTERS / 4;
-const IDLE_LIMIT_MS = 1;
+const IDLE_POLL_MS = 1;
 
 /** Counters of an engine. */
 export interface EngineCounters {
@@ -102,11 +104,11 @@
   readonly #running: Sequence[] = [];
   readonly #waiting: Sequence[] = [];
   /** Prefix blocks in order of use, oldest first. */
-  readonly #blocks = new Map<number, true>();
+  readonly #cachedBlocks = new Map<number, true>();
   #role: EngineRole;
   #timer: NodeJS.Timeout | undefined;
-  #frozen = false;
-  #kvHandles = 0;
+  #isFrozen = false;
+  #kvHandleCount = 0;
 
   constructor(role: EngineRole, speeds: EngineSpeeds = DEFAULT_SPEEDS) {
     this.#role = role;
@@ -128,7 +130,7 @@
 
   /** Stops or goes on producing, connections left as they are. */
   setFrozen(frozen: boolean): void {
-    this.#frozen = frozen;
+    this.#isFrozen = frozen;
     if (!frozen) this.#schedule(0);
   }
 
@@ -138,12 +140,12 @@
       running: this.#running.length,
       waiting: this.#waiting.length,
       pendingPrefillTokens: all.reduce(
-        (sum, sequence) => sum + sequence.remainingPrefill,
+        (sum, sequence) => sum + sequence.remainingPrefillTokens,
         0,
       ),
       kvUsed: Math.min(
         1,
-        this.#blocks.size * BLOCK_TOKENS / this.#speeds.cacheTokens,
+        this.#cachedBlocks.size * BLOCK_TOKENS / this.#speeds.cacheTokens,
       ),
     };
   }
@@ -154,7 +156,7 @@
     // An imported KV cache needs no prefill: the sequence joins the next decode step.
     const cachedTokens = request.kvImported
       ? promptTokens
-      : this.#countCached(request.prompt);
+      : this.#countCachedTokens(request.prompt);
     const transferMs = request.kvImported
       ? promptTokens * this.#speeds.kvMsPerToken
       : 0;
@@ -162,77 +164,79 @@
       request,
       promptTokens,
       cachedTokens,
-      remainingPrefill: promptTokens - cachedTokens,
+      remainingPrefillTokens: promptTokens - cachedTokens,
       readyAtMs: performance.now() + transferMs,
-      emitted: 0,
+      emittedTokens: 0,
       textState: computeTextState(request.prompt),
       tokens: [],
       listener,
     };
-    const at = this.#waiting.findIndex((other) =>
+    const index = this.#waiting.findIndex((other) =>
       other.request.priority > request.priority
     );
-    if (at === -1) this.#waiting.push(sequence);
-    else this.#waiting.splice(at, 0, sequence);
+    if (index === -1) this.#waiting.push(sequence);
+    else this.#waiting.splice(index, 0, sequence);
     this.#schedule(0);
   }
 
   /** Drops one sequence. */
-  cancel(tryId: string): void {
+  cancel(attemptId: string): void {
     for (const list of [this.#running, this.#waiting]) {
-      const at = list.findIndex((sequence) => sequence.request.tryId === tryId);
-      if (at !== -1) list.splice(at, 1);
+      const index = list.findIndex((sequence) =>
+        sequence.request.attemptId === attemptId
+      );
+      if (index !== -1) list.splice(index, 1);
     }
   }
 
   /** Drops all sequences and returns how many there were. */
-  cutAll(): number {
+  dropAll(): number {
     const all = [...this.#running.splice(0), ...this.#waiting.splice(0)];
-    for (const sequence of all) sequence.listener?.onCut();
+    for (const sequence of all) sequence.listener?.onDropped();
     return all.length;
   }
 
   stop(): void {
     clearTimeout(this.#timer);
-    this.#frozen = true;
+    this.#isFrozen = true;
   }
 
   #schedule(ms: number): void {
-    if (this.#timer !== undefined || this.#frozen) return;
+    if (this.#timer !== undefined || this.#isFrozen) return;
     if (this.#running.length + this.#waiting.length === 0) return;
-    this.#timer = setTimeout(() => this.#beginStep(), ms);
+    this.#timer = setTimeout(() => this.#startStep(), ms);
   }
 
-  #beginStep(): void {
+  #startStep(): void {
     this.#timer = undefined;
     this.#admit();
     const nowMs = performance.now();
     const ready = this.#running.filter((sequence) =>
       sequence.readyAtMs <= nowMs
     );
-    if (ready.length === 0) return this.#schedule(IDLE_LIMIT_MS);
+    if (ready.length === 0) return this.#schedule(IDLE_POLL_MS);
     const decoding = ready.filter((sequence) =>
-      sequence.remainingPrefill === 0
+      sequence.remainingPrefillTokens === 0
     );
-    const prefilled = this.#planPrefill(ready);
+    const prefill = this.#planPrefill(ready);
     const { stepMs, decodeMsPerSequence, prefillTokensPerSecond } =
       this.#speeds;
-    const prefillMs = prefilled.tokens * 1000 / prefillTokensPerSecond;
+    const prefillMs = prefill.tokens * 1000 / prefillTokensPerSecond;
     const durationMs = stepMs + decoding.length * decodeMsPerSequence +
       prefillMs;
     const startMs = nowMs;
     this.#timer = setTimeout(() => {
       this.#timer = undefined;
-      if (this.#frozen) return;
-      this.#endStep(decoding, prefilled.finished);
+      if (this.#isFrozen) return;
+      this.#finishStep(decoding, prefill.finished);
       const lateMs = performance.now() - startMs - durationMs;
       this.#schedule(Math.max(0, -lateMs));
     }, Math.max(0, durationMs - 0.5));
   }
 
   #admit(): void {
-    const { batch } = ROLE_LIMITS[this.#role];
-    while (this.#running.length < batch && this.#waiting.length > 0) {
+    const { batchSize } = ROLE_LIMITS[this.#role];
+    while (this.#running.length < batchSize && this.#waiting.length > 0) {
       this.#running.push(this.#waiting.shift() as Sequence);
     }
   }
@@ -241,23 +245,25 @@
   #planPrefill(
     ready: readonly Sequence[],
   ): { tokens: number; finished: Sequence[] } {
-    let budget = ROLE_LIMITS[this.#role].chunkTokens;
+    let budget = ROLE_LIMITS[this.#role].maxPrefillTokens;
     const finished: Sequence[] = [];
-    const queue = ready.filter((sequence) => sequence.remainingPrefill > 0);
+    const queue = ready.filter((sequence) =>
+      sequence.remainingPrefillTokens > 0
+    );
     queue.sort((a, b) => a.request.priority - b.request.priority);
     let tokens = 0;
     for (const sequence of queue) {
       if (budget === 0) break;
-      const spent = Math.min(budget, sequence.remainingPrefill);
-      sequence.remainingPrefill -= spent;
+      const spent = Math.min(budget, sequence.remainingPrefillTokens);
+      sequence.remainingPrefillTokens -= spent;
       budget -= spent;
       tokens += spent;
-      if (sequence.remainingPrefill === 0) finished.push(sequence);
+      if (sequence.remainingPrefillTokens === 0) finished.push(sequence);
     }
     return { tokens, finished };
   }
 
-  #endStep(
+  #finishStep(
     decoding: readonly Sequence[],
     prefilled: readonly Sequence[],
   ): void {
@@ -273,47 +279,47 @@
     const token = computeNextToken(sequence.textState);
     sequence.textState = extendTextState(sequence.textState, token);
     sequence.tokens.push(token);
-    sequence.listener?.onToken(token, sequence.emitted);
-    sequence.emitted++;
+    sequence.listener?.onToken(token, sequence.emittedTokens);
+    sequence.emittedTokens++;
     // The listener may have cancelled it.
     if (!this.#running.includes(sequence)) return;
-    if (sequence.emitted < sequence.request.maxTokens) return;
+    if (sequence.emittedTokens < sequence.request.maxTokens) return;
     this.#running.splice(this.#running.indexOf(sequence), 1);
     sequence.listener?.onEnd({
       promptTokens: sequence.promptTokens,
       cachedTokens: sequence.cachedTokens,
-      outputTokens: sequence.emitted,
+      outputTokens: sequence.emittedTokens,
       ...(sequence.request.kvExport
-        ? { kvHandle: `kv-${this.#kvHandles++}` }
+        ? { kvHandle: `kv-${this.#kvHandleCount++}` }
         : {}),
     });
   }
 
-  #countCached(prompt: string): number {
+  #countCachedTokens(prompt: string): number {
     let cached = 0;
-    for (const hash of listBlockHashes(prompt)) {
-      if (!this.#blocks.delete(hash)) break;
-      this.#blocks.set(hash, true);
+    for (const hash of computeBlockHashes(prompt)) {
+      if (!this.#cachedBlocks.delete(hash)) break;
+      this.#cachedBlocks.set(hash, true);
       cached += BLOCK_TOKENS;
     }
     return Math.min(cached, Math.max(0, estimateTokens(prompt) - 1));
   }
 
   #storeBlocks(prompt: string): void {
-    for (const hash of listBlockHashes(prompt)) {
-      this.#blocks.delete(hash);
-      this.#blocks.set(hash, true);
+    for (const hash of computeBlockHashes(prompt)) {
+      this.#cachedBlocks.delete(hash);
+      this.#cachedBlocks.set(hash, true);
     }
     const limit = Math.floor(this.#speeds.cacheTokens / BLOCK_TOKENS);
-    while (this.#blocks.size > limit) {
-      const oldest = this.#blocks.keys().next().value as number;
-      this.#blocks.delete(oldest);
+    while (this.#cachedBlocks.size > limit) {
+      const oldest = this.#cachedBlocks.keys().next().value as number;
+      this.#cachedBlocks.delete(oldest);
     }
   }
 }
 
 /** Chained hashes of the whole blocks of a prompt. */
-function listBlockHashes(prompt: string): number[] {
+function computeBlockHashes(prompt: string): number[] {
   const hashes: number[] = [];
   let hash: number | undefined;
   for (
--- a/packages/heatherarch-standins/free_ports.ts
+++ b/packages/heatherarch-standins/free_ports.ts
@@ -5,27 +5,28 @@
  */
 import { createServer, type Server } from "node:net";
 
-const LOWEST = 10_000;
-const HIGHEST = 32_000;
+const PORT_RANGE_START = 10_000;
+const PORT_RANGE_END = 32_000;
 /** Processes start to look at different places. */
 const PROCESS_STRIDE = 613;
 
-let next = LOWEST + (process.pid * PROCESS_STRIDE) % (HIGHEST - LOWEST);
+let nextPort = PORT_RANGE_START +
+  (process.pid * PROCESS_STRIDE) % (PORT_RANGE_END - PORT_RANGE_START);
 
 /** Finds `count` free ports, all different, none of which this process was given before. */
 export async function findFreePorts(count: number): Promise<number[]> {
-  const held: Server[] = [];
+  const servers: Server[] = [];
   const ports: number[] = [];
   while (ports.length < count) {
-    const port = next;
-    next = next + 1 >= HIGHEST ? LOWEST : next + 1;
+    const port = nextPort;
+    nextPort = nextPort + 1 >= PORT_RANGE_END ? PORT_RANGE_START : nextPort + 1;
     const server = await tryListen(port);
     if (server === undefined) continue;
-    held.push(server);
+    servers.push(server);
     ports.push(port);
   }
   await Promise.all(
-    held.map((server) => new Promise((resolve) => server.close(resolve))),
+    servers.map((server) => new Promise((resolve) => server.close(resolve))),
   );
   return ports;
 }
--- a/packages/heatherarch-standins/http_server.ts
+++ b/packages/heatherarch-standins/http_server.ts
@@ -15,7 +15,7 @@
 export class StandinServer {
   readonly #server: Server;
   readonly #sockets = new Set<Socket>();
-  #restart: NodeJS.Timeout | undefined;
+  #restartTimer: NodeJS.Timeout | undefined;
 
   constructor(handler: StandinHandler) {
     const app = new Koa();
@@ -40,30 +40,30 @@
   }
 
   /** Destroys all open connections. */
-  cutConnections(): void {
+  destroyConnections(): void {
     for (const socket of this.#sockets) socket.destroy();
   }
 
   /** As if the process ended: connections are cut and new ones refused for `downMs`. */
-  endFor(downMs: number): void {
+  simulateExit(downMs: number): void {
     const { port } = this.#server.address() as AddressInfo;
     this.#server.close();
-    this.cutConnections();
-    this.#restart = setTimeout(() => void this.listen(port), downMs);
+    this.destroyConnections();
+    this.#restartTimer = setTimeout(() => void this.listen(port), downMs);
   }
 
   async close(): Promise<void> {
-    clearTimeout(this.#restart);
-    this.cutConnections();
+    clearTimeout(this.#restartTimer);
+    this.destroyConnections();
     await new Promise((resolve) => this.#server.close(resolve));
   }
 }
 
 /** Reads a whole body as text. */
 export async function readBody(ctx: Koa.Context): Promise<string> {
-  const parts: Buffer[] = [];
-  for await (const part of ctx.req) parts.push(part as Buffer);
-  return Buffer.concat(parts).toString("utf8");
+  const chunks: Buffer[] = [];
+  for await (const chunk of ctx.req) chunks.push(chunk as Buffer);
+  return Buffer.concat(chunks).toString("utf8");
 }
 
 /** Reads a whole body as JSON; an empty body is an empty object. */
--- a/packages/heatherarch-standins/memory_log.ts
+++ b/packages/heatherarch-standins/memory_log.ts
@@ -36,13 +36,13 @@
   readonly appendMs?: { readonly low: number; readonly high: number };
 }
 
-interface Stream {
+interface LogStream {
   records: LogRecord[];
   next: number;
   waiters: Set<() => void>;
 }
 
-const NO_FAULTS: LogFaults = {
+const NO_LOG_FAULTS: LogFaults = {
   down: false,
   slowMs: 0,
   loseAnswerShare: 0,
@@ -52,12 +52,12 @@
 
 /** An append-only log with named streams. */
 export class MemoryLog implements LogPort {
-  readonly faults: LogFaults = { ...NO_FAULTS };
+  readonly faults: LogFaults = { ...NO_LOG_FAULTS };
   readonly #options: MemoryLogOptions;
   readonly #clock: Clock;
   readonly #random: Random;
-  readonly #streams = new Map<string, Stream>();
-  #appends = 0;
+  readonly #streams = new Map<string, LogStream>();
+  #appendCount = 0;
   #nextSlotMs = 0;
 
   constructor(options: MemoryLogOptions = {}) {
@@ -67,17 +67,17 @@
   }
 
   /** Appends that took effect. */
-  get appends(): number {
-    return this.#appends;
+  get appendCount(): number {
+    return this.#appendCount;
   }
 
   async append(stream: string, data: unknown): Promise<number> {
-    this.#failWhenDown();
-    await this.#spendAppendTime();
-    this.#failWhenDown();
-    const offset = this.appendNow(stream, data);
+    this.#throwIfDown();
+    await this.#delayAppend();
+    this.#throwIfDown();
+    const offset = this.appendWithoutFaults(stream, data);
     if (this.#random.drawUnit() < this.faults.duplicateShare) {
-      this.appendNow(stream, data);
+      this.appendWithoutFaults(stream, data);
     }
     if (this.#random.drawUnit() < this.faults.loseAnswerShare) {
       throw new LogUnavailableError("the answer was lost");
@@ -91,17 +91,17 @@
     from: number,
     options: ReadOptions = {},
   ): Promise<LogSlice> {
-    this.#failWhenDown();
+    this.#throwIfDown();
     if (this.faults.slowMs > 0) await sleep(this.faults.slowMs);
     const { maxRecords = 1000, waitMs = 0 } = options;
     const entry = this.#getStream(stream);
     if (from >= entry.next && waitMs > 0) await waitForRecord(entry, waitMs);
-    this.#failWhenDown();
-    return this.readNow(stream, from, maxRecords);
+    this.#throwIfDown();
+    return this.readWithoutFaults(stream, from, maxRecords);
   }
 
   /** Appends at once, without failures. */
-  appendNow(stream: string, data: unknown): number {
+  appendWithoutFaults(stream: string, data: unknown): number {
     const entry = this.#getStream(stream);
     const offset = entry.next++;
     const copy = JSON.parse(JSON.stringify(data)) as unknown;
@@ -110,14 +110,14 @@
       appendedAtMs: this.#clock.readWallMs(),
       data: copy,
     });
-    this.#appends++;
+    this.#appendCount++;
     this.#trim(entry);
     for (const wake of [...entry.waiters]) wake();
     return offset;
   }
 
   /** Reads at once, without failures. */
-  readNow(stream: string, from: number, maxRecords = 1000): LogSlice {
+  readWithoutFaults(stream: string, from: number, maxRecords = 1000): LogSlice {
     const entry = this.#getStream(stream);
     this.#trim(entry);
     const first = entry.next - entry.records.length;
@@ -134,12 +134,12 @@
     return [...this.#streams.keys()];
   }
 
-  #trim(entry: Stream): void {
+  #trim(entry: LogStream): void {
     const surplus = entry.records.length - this.faults.retainRecords;
     if (surplus > 0) entry.records.splice(0, surplus);
   }
 
-  #getStream(name: string): Stream {
+  #getStream(name: string): LogStream {
     let entry = this.#streams.get(name);
     if (entry === undefined) {
       entry = { records: [], next: 0, waiters: new Set() };
@@ -148,11 +148,11 @@
     return entry;
   }
 
-  #failWhenDown(): void {
+  #throwIfDown(): void {
     if (this.faults.down) throw new LogUnavailableError("down");
   }
 
-  async #spendAppendTime(): Promise<void> {
+  async #delayAppend(): Promise<void> {
     const { appendsPerSecond = 0, appendMs } = this.#options;
     let waitMs = appendMs
       ? this.#random.drawInteger(appendMs.low, appendMs.high)
@@ -167,7 +167,7 @@
   }
 }
 
-function waitForRecord(entry: Stream, waitMs: number): Promise<void> {
+function waitForRecord(entry: LogStream, waitMs: number): Promise<void> {
   return new Promise((resolve) => {
     const wake = (): void => {
       clearTimeout(timer);
--- a/packages/heatherarch-standins/mod.ts
+++ b/packages/heatherarch-standins/mod.ts
@@ -5,7 +5,7 @@
  * @module
  */
 export * from "./completion.ts";
-export * from "./cuttable_link.ts";
+export * from "./fault_proxy.ts";
 export * from "./engine_server.ts";
 export * from "./engine_simulation.ts";
 export * from "./free_ports.ts";
--- a/packages/heatherarch-standins/platform_server.ts
+++ b/packages/heatherarch-standins/platform_server.ts
@@ -14,7 +14,7 @@
 /** The platform's stand-in. */
 export class PlatformServer {
   readonly log: MemoryLog;
-  readonly #server = new StandinServer((ctx) => this.#handle(ctx));
+  readonly #server = new StandinServer((ctx) => this.#handleRequest(ctx));
   #vms: readonly ListedVm[] = [];
   /** How long a change of the list stays unseen, milliseconds. */
   vmListLagMs = 0;
@@ -37,7 +37,7 @@
     else setTimeout(() => (this.#vms = vms), this.vmListLagMs);
   }
 
-  async #handle(ctx: Koa.Context): Promise<void> {
+  async #handleRequest(ctx: Koa.Context): Promise<void> {
     try {
       await this.#route(ctx);
     } catch (error) {
--- a/packages/heatherarch-standins/service_server.ts
+++ b/packages/heatherarch-standins/service_server.ts
@@ -26,29 +26,29 @@
 /** Failures that can be switched on. */
 export interface ServiceFaults {
   /** Bookings run and their connection is cut before the answer. */
-  loseAnswers: boolean;
+  loseResponses: boolean;
   /** Answers carry another call's try id. */
-  crossAnswers: boolean;
+  crossResponses: boolean;
   /** Running a call whose body has this text ends the process for a while; empty for none. */
   crashesOn: string;
 }
 
 /** Time for which a process that a call ended is away, milliseconds. */
-const CRASH_MS = 600;
+const RESTART_DELAY_MS = 600;
 
 /** One target of the booking service. */
 export class ServiceServer {
   readonly options: ServiceServerOptions;
   readonly runs: BookingRun[] = [];
   readonly faults: ServiceFaults = {
-    loseAnswers: false,
-    crossAnswers: false,
+    loseResponses: false,
+    crossResponses: false,
     crashesOn: "",
   };
-  readonly #server = new StandinServer((ctx) => this.#handle(ctx));
-  #running = 0;
-  #down = false;
-  #leaving = false;
+  readonly #server = new StandinServer((ctx) => this.#handleRequest(ctx));
+  #runningCount = 0;
+  #isDown = false;
+  #isLeaving = false;
   lastWorkAtMs = 0;
 
   constructor(options: ServiceServerOptions) {
@@ -65,38 +65,38 @@
 
   /** Cuts all connections and refuses new ones for `downMs`. */
   crash(downMs: number): void {
-    this.#down = true;
-    this.#server.cutConnections();
-    setTimeout(() => (this.#down = false), downMs);
+    this.#isDown = true;
+    this.#server.destroyConnections();
+    setTimeout(() => (this.#isDown = false), downMs);
   }
 
   setLeaving(leaving: boolean): void {
-    this.#leaving = leaving;
+    this.#isLeaving = leaving;
   }
 
-  async #handle(ctx: Koa.Context): Promise<void> {
-    if (this.#down) {
+  async #handleRequest(ctx: Koa.Context): Promise<void> {
+    if (this.#isDown) {
       ctx.req.socket.destroy();
       ctx.respond = false;
       return;
     }
     if (ctx.path === "/-/load") {
-      ctx.body = { running: this.#running, leaving: this.#leaving };
+      ctx.body = { running: this.#runningCount, leaving: this.#isLeaving };
       return;
     }
-    this.#running++;
+    this.#runningCount++;
     this.lastWorkAtMs = Date.now();
     try {
       if (ctx.method === "GET") await this.#lookUp(ctx);
       else await this.#book(ctx);
     } finally {
-      this.#running--;
+      this.#runningCount--;
     }
   }
 
   async #lookUp(ctx: Koa.Context): Promise<void> {
     await sleep(this.options.lookupMs ?? 4);
-    this.#answer(ctx, {
+    this.#respond(ctx, {
       path: ctx.path,
       slots: [ctx.path.length, ctx.path.length + 1],
     });
@@ -114,15 +114,15 @@
     const { crashesOn } = this.faults;
     if (crashesOn !== "" && body.includes(crashesOn)) {
       ctx.respond = false;
-      this.#server.endFor(CRASH_MS);
+      this.#server.simulateExit(RESTART_DELAY_MS);
       return;
     }
-    if (this.faults.loseAnswers) {
+    if (this.faults.loseResponses) {
       ctx.req.socket.destroy();
       ctx.respond = false;
       return;
     }
-    this.#answer(ctx, {
+    this.#respond(ctx, {
       booked: true,
       run: this.runs.length,
       at: this.options.id,
@@ -130,9 +130,12 @@
     });
   }
 
-  #answer(ctx: Koa.Context, body: unknown): void {
-    const tryId = ctx.get("x-try-id");
-    ctx.set("x-try-id", this.faults.crossAnswers ? `${tryId}-other` : tryId);
+  #respond(ctx: Koa.Context, body: unknown): void {
+    const attemptId = ctx.get("x-try-id");
+    ctx.set(
+      "x-try-id",
+      this.faults.crossResponses ? `${attemptId}-other` : attemptId,
+    );
     ctx.body = body;
   }
 }
--- a/packages/heatherarch-standins/standin_set.ts
+++ b/packages/heatherarch-standins/standin_set.ts
@@ -79,7 +79,9 @@
   readonly engines = new Map<string, EngineServer>();
   readonly services = new Map<string, ServiceServer>();
   readonly #options: StandinSetOptions;
-  readonly #control = new StandinServer((ctx) => this.#handle(ctx));
+  readonly #controlServer = new StandinServer((ctx) =>
+    this.#handleRequest(ctx)
+  );
 
   constructor(options: StandinSetOptions) {
     this.#options = options;
@@ -92,11 +94,11 @@
     for (const target of this.#options.fleet.targets) {
       await this.#startTarget(target);
     }
-    await this.#control.listen(ports.control);
+    await this.#controlServer.listen(ports.control);
   }
 
   /** Carries out a command. */
-  run(command: StandinCommand): void {
+  runCommand(command: StandinCommand): void {
     switch (command.kind) {
       case "log":
         Object.assign(this.platform.log.faults, command.faults);
@@ -116,23 +118,23 @@
         break;
       case "crashInOrder": {
         const engine = this.engines.get(command.target);
-        if (engine) engine.faults.crashInOrderMs = command.afterMs;
+        if (engine) engine.faults.crashDuringOrderMs = command.afterMs;
         break;
       }
       case "crossAnswers":
-        this.#getTarget(command.target).faults.crossAnswers = command.on;
+        this.#getTarget(command.target).faults.crossResponses = command.on;
         break;
       case "crashesOn":
         this.#getTarget(command.target).faults.crashesOn = command.text;
         break;
       case "truncate": {
         const engine = this.engines.get(command.target);
-        if (engine) engine.faults.truncateAfter = command.after;
+        if (engine) engine.faults.truncateAfterTokens = command.after;
         break;
       }
       case "loseAnswers": {
         const service = this.services.get(command.target);
-        if (service) service.faults.loseAnswers = command.on;
+        if (service) service.faults.loseResponses = command.on;
         break;
       }
     }
@@ -151,12 +153,17 @@
       runs.push(...service.runs);
       lastWorkAtMs[id] = service.lastWorkAtMs;
     }
-    return { engines, runs, lastWorkAtMs, appends: this.platform.log.appends };
+    return {
+      engines,
+      runs,
+      lastWorkAtMs,
+      appends: this.platform.log.appendCount,
+    };
   }
 
   async close(): Promise<void> {
     await this.platform.close();
-    await this.#control.close();
+    await this.#controlServer.close();
     for (const engine of this.engines.values()) await engine.close();
     for (const service of this.services.values()) await service.close();
   }
@@ -192,12 +199,12 @@
     await engine.listen(port);
   }
 
-  async #handle(ctx: Koa.Context): Promise<void> {
+  async #handleRequest(ctx: Koa.Context): Promise<void> {
     if (ctx.method === "GET") {
       ctx.body = this.readLedger();
       return;
     }
-    this.run(await readJsonBody<StandinCommand>(ctx));
+    this.runCommand(await readJsonBody<StandinCommand>(ctx));
     ctx.body = { done: true };
   }
 }
--- a/packages/heatherarch-standins/tests/unit/engine_simulation_test.ts
+++ b/packages/heatherarch-standins/tests/unit/engine_simulation_test.ts
@@ -4,19 +4,19 @@
   computeCompletion,
   DEFAULT_SPEEDS,
   EngineSimulation,
-  type SequenceEnd,
+  type SequenceResult,
 } from "../../mod.ts";
 
 const FAST = { ...DEFAULT_SPEEDS, stepMs: 1, decodeMsPerSequence: 0 };
 
 interface Outcome {
   readonly text: string;
-  readonly end: SequenceEnd;
+  readonly result: SequenceResult;
 }
 
-function run(
+function generate(
   engine: EngineSimulation,
-  tryId: string,
+  attemptId: string,
   options: {
     prompt: string;
     maxTokens: number;
@@ -26,7 +26,7 @@
   let text = "";
   return new Promise((resolve) => {
     engine.submit({
-      tryId,
+      attemptId,
       prompt: options.prompt,
       maxTokens: options.maxTokens,
       priority: 1,
@@ -37,8 +37,8 @@
         text += token;
         options.onToken?.(index);
       },
-      onEnd: (end) => resolve({ text, end }),
-      onCut: () => undefined,
+      onEnd: (result) => resolve({ text, result }),
+      onDropped: () => undefined,
     });
   });
 }
@@ -48,7 +48,7 @@
   const prompts = Array.from({ length: 10 }, (_, i) => `question ${i}`);
   const outcomes = await Promise.all(
     prompts.map((prompt, i) =>
-      run(engine, `t${i}`, { prompt, maxTokens: 5 + i })
+      generate(engine, `t${i}`, { prompt, maxTokens: 5 + i })
     ),
   );
   outcomes.forEach(({ text }, i) =>
@@ -67,18 +67,19 @@
   const engine = new EngineSimulation("mixed", FAST);
   const prompt = "clause ".repeat(200);
   assert.equal(
-    (await run(engine, "a", { prompt, maxTokens: 1 })).end.cachedTokens,
+    (await generate(engine, "a", { prompt, maxTokens: 1 })).result.cachedTokens,
     0,
   );
   assert.ok(
-    (await run(engine, "b", { prompt, maxTokens: 1 })).end.cachedTokens > 200,
+    (await generate(engine, "b", { prompt, maxTokens: 1 })).result
+      .cachedTokens > 200,
   );
 });
 
 test("a sequence cancelled at its last token takes no other with it", async () => {
   const engine = new EngineSimulation("mixed", FAST);
-  const other = run(engine, "other", { prompt: "b", maxTokens: 12 });
-  void run(engine, "cancelled", {
+  const other = generate(engine, "other", { prompt: "b", maxTokens: 12 });
+  void generate(engine, "cancelled", {
     prompt: "a",
     maxTokens: 3,
     onToken: (index) => {
