--- a/packages/heatherarch-cli/bin/heatherarch.ts
+++ b/packages/heatherarch-cli/bin/heatherarch.ts
@@ -1,6 +1,6 @@
 #!/usr/bin/env node
 /**
- * `heatherarch`: the operators' command line.
+ * `heatherarch`: the command line for operators.
  *
  * @module
  */
@@ -55,7 +55,7 @@
 const REQUIRED_STRING = { type: "string", demandOption: true } as const;
 const BASE_REVISION = {
   type: "number",
-  describe: "revision that the change is made against",
+  describe: "revision on which the change is based",
 } as const;
 
 const parser = yargs(hideBin(process.argv))
@@ -63,23 +63,23 @@
   .option("vm", {
     type: "string",
     array: true,
-    describe: "URL of an operators' port (repeatable)",
+    describe: "URL of an operator port (repeatable); HEATHERARCH_VM",
   })
   .option("token", {
     type: "string",
-    describe: "operator's token; HEATHERARCH_TOKEN",
+    describe: "operator token; HEATHERARCH_TOKEN",
   })
   .option("operator", {
     type: "string",
-    describe: "name for the audit trail on an open port",
+    describe: "author in the audit log if the port needs no token",
   })
   .option("json", { type: "boolean", describe: "print JSON" })
   .option("wait", {
     type: "boolean",
-    describe: "wait until in force everywhere",
+    describe: "wait until the change is in force everywhere",
   })
   .option("wait-timeout-ms", { type: "number", default: 30_000 })
-  .command("config", "the fleet configuration", (config) =>
+  .command("config", "manage the fleet configuration", (config) =>
     config
       .command(
         "publish <file>",
@@ -91,13 +91,18 @@
       .command("check <file>", "check a file without publishing it", (y) =>
         y.positional("file", REQUIRED_STRING), (args) =>
         checkFleet(buildContext(args), args.file))
-      .command("diff <file>", "compare a file with what is in force", (y) =>
-        y.positional("file", REQUIRED_STRING), (args) =>
-        diffFleet(buildContext(args), args.file))
-      .command("show", "print what is in force", {}, (args) =>
+      .command(
+        "diff <file>",
+        "compare a file with the configuration in force",
+        (y) =>
+          y.positional("file", REQUIRED_STRING),
+        (args) =>
+          diffFleet(buildContext(args), args.file),
+      )
+      .command("show", "print the configuration in force", {}, (args) =>
         showConfig(buildContext(args)))
       .demandCommand(1))
-  .command("profile", "profiles", (profile) =>
+  .command("profile", "manage profiles", (profile) =>
     profile
       .command("list", "list profiles", {}, (args) =>
         listProfiles(buildContext(args)))
@@ -135,14 +140,14 @@
       .demandCommand(1))
   .command(
     "drain <target>",
-    "give a target no new work",
+    "send no new requests to a target",
     (y) => y.positional("target", REQUIRED_STRING),
     (args) =>
       publishDirective(buildContext(args), "drain", { target: args.target }),
   )
   .command(
     "withdraw <target>",
-    "take a target out for good",
+    "withdraw a target from service",
     (y) => y.positional("target", REQUIRED_STRING),
     (args) =>
       publishDirective(buildContext(args), "withdraw", { target: args.target }),
@@ -170,13 +175,13 @@
   )
   .command(
     "status",
-    "VMs, zones, engines, leases, staleness",
+    "show VMs, availability zones, targets, the lease and staleness",
     {},
     (args) => showStatus(buildContext(args)),
   )
   .command(
     "audit",
-    "who changed what, when, with which verdict",
+    "list changes with author, time and verdict",
     (y) => y.option("limit", { type: "number", default: 50 }),
     (args) => showAudit(buildContext(args), args.limit),
   )
--- a/packages/heatherarch-cli/commands.ts
+++ b/packages/heatherarch-cli/commands.ts
@@ -1,5 +1,5 @@
 /**
- * The commands of `heatherarch`.
+ * Commands of the `heatherarch` command line.
  *
  * @module
  */
@@ -19,17 +19,17 @@
   StatusResponse,
 } from "./operator_client.ts";
 
-/** Where and how results are written. */
+/** Client, output format and wait options of a command. */
 export interface CommandContext {
   readonly client: OperatorClient;
   readonly json: boolean;
-  /** Wait until the change is in force everywhere. */
+  /** Whether to wait until the change is in force on every live VM. */
   readonly wait: boolean;
   readonly waitTimeoutMs: number;
   readonly print: (line: string) => void;
 }
 
-/** Reads TOML or JSON by the file's ending. */
+/** Reads a `.json` file as JSON and any other file as TOML. */
 export function readDocument(file: string): unknown {
   let text: string;
   try {
@@ -52,7 +52,7 @@
   return parsed.val;
 }
 
-/** Checks a fleet configuration and returns it with defaults filled in. */
+/** Reads and validates a fleet configuration, and fills in its defaults. */
 export function readFleetFile(file: string): unknown {
   const fleet = parseFleet(readDocument(file));
   if (!fleet.ok) throw buildInputError(file, fleet.val as InputIssue[]);
@@ -124,7 +124,7 @@
   context.print(JSON.stringify(entry, null, 2));
 }
 
-/** `profile put FILE`: creates a profile, or replaces the revision `base`. */
+/** `profile put FILE`: creates a profile, or replaces its revision `base`. */
 export async function putProfile(
   context: CommandContext,
   file: string,
@@ -141,7 +141,7 @@
   await reportChange(context, response, `profile ${name}`);
 }
 
-/** `profile revise NAME KEY=VALUE…`: changes fields of the present revision. */
+/** `profile revise NAME KEY=VALUE…`: changes fields of the current revision. */
 export async function reviseProfile(
   context: CommandContext,
   name: string,
@@ -255,9 +255,9 @@
 ): Promise<void> {
   if (context.json) context.print(JSON.stringify(response));
   else if (response.verdict === "accepted") {
-    context.print(`${subject}: accepted at ${response.offset}`);
+    context.print(`${subject}: accepted at offset ${response.offset}`);
   } else {context.print(
-      `${subject}: spreading from VM to VM; publish again once the platform answers`,
+      `${subject}: propagating between the VMs only; publish again once the platform is available`,
     );}
   if (response.verdict !== "accepted") {
     throw new CommandError(
@@ -273,7 +273,7 @@
 function formatStatus(status: StatusResponse): string[] {
   const { vm, config, lease } = status;
   const stale = config.staleMs === null
-    ? "never current"
+    ? "never up to date"
     : `${config.staleMs} ms old`;
   const lines = [
     `vm ${vm.id} in ${vm.availabilityZone}${
@@ -305,7 +305,7 @@
   return lines;
 }
 
-/** Paths at which two documents differ, one line each. */
+/** Lists the paths at which two documents differ, with both values, one line per path. */
 export function listDifferences(
   before: unknown,
   after: unknown,
--- a/packages/heatherarch-cli/exit_codes.ts
+++ b/packages/heatherarch-cli/exit_codes.ts
@@ -4,7 +4,7 @@
  * @module
  */
 
-/** What an exit code means. */
+/** Exit codes by outcome. The help text prints the names. */
 export const EXIT_CODES = {
   done: 0,
   failed: 1,
@@ -15,7 +15,7 @@
   unreachable: 6,
 } as const;
 
-/** A failure with its exit code. */
+/** A command failure and the exit code to report. */
 export class CommandError extends Error {
   readonly exitCode: number;
 
--- a/packages/heatherarch-cli/mod.ts
+++ b/packages/heatherarch-cli/mod.ts
@@ -1,5 +1,5 @@
 /**
- * The operators' command line.
+ * Command line for operators.
  *
  * @module
  */
--- a/packages/heatherarch-cli/operator_client.ts
+++ b/packages/heatherarch-cli/operator_client.ts
@@ -1,5 +1,5 @@
 /**
- * Client of the operators' HTTP interface.
+ * HTTP client of the operator interface.
  *
  * @module
  */
@@ -9,15 +9,15 @@
 
 /** Options of {@linkcode OperatorClient}. */
 export interface OperatorClientOptions {
-  /** Base URLs of operators' ports; the first that answers is used. */
+  /** Base URLs of operator ports. They are tried in order until one responds. */
   readonly urls: readonly string[];
   readonly token?: string;
-  /** Name for the audit trail where the VM has no operators configured. */
+  /** Author in the audit log if the VM has no operators configured. */
   readonly operator?: string;
   readonly timeoutMs?: number;
 }
 
-/** A configuration as `GET /v1/config` gives it. */
+/** Body of `GET /v1/config`. */
 export interface ConfigResponse {
   readonly offset: number;
   readonly fleetRevision: number;
@@ -29,7 +29,7 @@
   readonly directives: Record<string, { revision: number; directive: string }>;
 }
 
-/** The part of the status that `--wait` needs. */
+/** Body of `GET /v1/status`: the fields that `status` and `--wait` use. */
 export interface StatusResponse {
   readonly vm: {
     id: string;
@@ -71,7 +71,7 @@
   }[];
 }
 
-/** Verdict on a publication. */
+/** Body of `POST /v1/changes`: the verdict on a published change. */
 export interface ChangeResponse {
   readonly verdict: "accepted" | "spreading";
   readonly offset: number;
@@ -81,7 +81,7 @@
 const DEFAULT_TIMEOUT_MS = 15_000;
 const WAIT_POLL_MS = 100;
 
-/** Talks to the operators' port of one of several VMs. */
+/** Sends requests to the operator port of one of several VMs. */
 export class OperatorClient {
   readonly #options: OperatorClientOptions;
 
@@ -97,7 +97,7 @@
     return await this.sendRequest("GET", "/v1/status") as StatusResponse;
   }
 
-  /** Publishes a change. Throws {@linkcode CommandError} where it was rejected. */
+  /** Publishes a change. Throws {@linkcode CommandError} if it is rejected. */
   async publish(
     change: unknown,
     baseRevision: number,
@@ -108,7 +108,7 @@
     }) as ChangeResponse;
   }
 
-  /** Waits until every live VM of every zone has applied `offset`. */
+  /** Waits until every live VM in every availability zone has applied `offset`. */
   async waitUntilApplied(offset: number, timeoutMs: number): Promise<void> {
     const deadlineAtMs = Date.now() + timeoutMs;
     let lagging: string[] = ["all"];
@@ -119,11 +119,14 @@
     }
     throw new CommandError(
       "waitTimedOut",
-      `not in force yet at: ${lagging.join(", ")}`,
+      `not in force yet on: ${lagging.join(", ")}`,
     );
   }
 
-  /** Makes one call. Throws {@linkcode CommandError}. */
+  /**
+   * Sends a request to the first VM that responds and returns the body. Throws
+   * {@linkcode CommandError} if no VM responds or the status isn't 200.
+   */
   async sendRequest(
     method: "GET" | "POST",
     path: string,
@@ -141,7 +144,7 @@
       if (response.status === 200) return response.body;
       throw buildCommandError(response.status, response.body);
     }
-    throw new CommandError("unreachable", `no VM answered (${lastFailure})`);
+    throw new CommandError("unreachable", `no VM responded (${lastFailure})`);
   }
 
   async #send(
--- a/packages/heatherarch-standins/bin/standins.ts
+++ b/packages/heatherarch-standins/bin/standins.ts
@@ -1,6 +1,6 @@
 /**
- * Runs the stand-ins of one deployment. The first argument is a JSON file with
- * {@linkcode StandinSetOptions} and `ports`.
+ * Runs the stand-ins of a deployment. The first argument is the path of a JSON file with the
+ * fields of {@linkcode StandinSetOptions} and `ports`.
  *
  * @module
  */
--- a/packages/heatherarch-standins/completion.ts
+++ b/packages/heatherarch-standins/completion.ts
@@ -1,6 +1,6 @@
 /**
- * The text that the engine stand-ins generate: each token depends on all the text before it,
- * so an answer can be checked from its prompt, and continued on another engine.
+ * Deterministic text generation for the engine stand-ins. Each token is a function of all text
+ * before it, so a response can be verified from its prompt, and continued on another engine.
  *
  * @module
  */
@@ -21,12 +21,12 @@
   "yo",
 ];
 
-/** State of a text after which the next token is fixed. */
+/** Hashes a text into the state that determines its next token. */
 export function computeTextState(text: string): number {
   return hashText(text);
 }
 
-/** The token that follows a text with the given state. */
+/** Returns the token that follows a text with the given state. */
 export function computeNextToken(state: number): string {
   const mixed = mixHash(state);
   const first = SYLLABLES[mixed % SYLLABLES.length];
@@ -34,12 +34,12 @@
   return `${first}${second} `;
 }
 
-/** The state after `token` has been added. */
+/** Returns the state after `token` is appended to the text. */
 export function extendTextState(state: number, token: string): number {
   return hashText(token, state);
 }
 
-/** The first `tokens` tokens that follow `prompt`. */
+/** Generates the first `tokenCount` tokens that follow `prompt`. */
 export function computeCompletion(prompt: string, tokenCount: number): string {
   let state = computeTextState(prompt);
   let text = "";
--- a/packages/heatherarch-standins/engine_server.ts
+++ b/packages/heatherarch-standins/engine_server.ts
@@ -1,6 +1,6 @@
 /**
- * An engine stand-in behind HTTP, in either dialect, with a ledger of the orders it was
- * given and switches for its failures.
+ * HTTP stand-in for an engine, in either dialect. It records the orders it receives and can
+ * simulate failures.
  *
  * @module
  */
@@ -27,23 +27,23 @@
   readonly model: string;
   readonly version: string;
   readonly speeds?: EngineSpeeds;
-  /** How old the load figures in a state report are, milliseconds. */
+  /** Age of the load figures in a state report. */
   readonly reportLagMs?: number;
 }
 
-/** What an engine was asked to do besides generating. */
+/** Counts of the orders and attempts that an engine received. */
 export interface EngineLedger {
   ordersObeyed: number;
   ordersFenced: number;
   /** Orders obeyed while another change was in progress. */
   conflictingOrders: number;
-  /** Orders obeyed though a later holder had already given one. */
+  /** Orders obeyed although a later lease holder, with a higher fencing token, had sent one. */
   lapsedOrdersObeyed: number;
-  /** Answers that an order cut off. */
+  /** Sequences that an order interrupted. */
   cutByOrder: number;
   tries: number;
   repeatedTries: number;
-  /** Wall-clock time of the last request that began, milliseconds since the Unix epoch. */
+  /** Start of the most recent attempt, milliseconds since the Unix epoch. */
   lastWorkAtMs: number;
 }
 
@@ -52,28 +52,30 @@
   readonly tokens: string[];
   response: ServerResponse | undefined;
   result: SequenceResult | undefined;
-  /** Index of the first token that `response` is to get. */
+  /** Index of the first token that `response` receives. */
   firstTokenIndex: number;
 }
 
-/** Failures of an engine that can be switched on. */
+/** Simulated failures of an engine. */
 export interface EngineFaults {
-  /** Answers are sent with the id of another try. */
+  /** Whether responses carry the id of another attempt. */
   crossResponses: boolean;
-  /** Answers end without their end marker after this many tokens; 0 for never. */
+  /** Number of tokens after which responses end without an end marker; 0 for never. */
   truncateAfterTokens: number;
-  /** The engine crashes this long after taking an order; 0 for never. */
+  /** Delay after which the next order crashes the engine; 0 for never. */
   crashDuringOrderMs: number;
-  /** Generating for a prompt with this text ends the process for a while; empty for none. */
+  /** A prompt that contains this text simulates a process exit; empty for none. */
   crashesOn: string;
 }
 
+/** Time in which a client can resume a stream after its connection closed. */
 const RESUME_GRACE_MS = 400;
-/** Time for which a process that a prompt ended is away, milliseconds. */
+/** Time until the engine listens again after a prompt has crashed it. */
 const RESTART_DELAY_MS = 600;
+/** Time for which a finished stream and its exported KV cache stay available. */
 const RESULT_RETENTION_MS = 5000;
 
-/** One engine stand-in. */
+/** Simulates one engine behind HTTP. */
 export class EngineServer {
   readonly options: EngineServerOptions;
   readonly ledger: EngineLedger = {
@@ -95,6 +97,7 @@
   readonly #simulation: EngineSimulation;
   readonly #server = new StandinServer((ctx) => this.#handleRequest(ctx));
   readonly #streams = new Map<string, OpenStream>();
+  /** Handles of the exported KV caches. */
   readonly #handles = new Set<string>();
   readonly #counterHistory: { atMs: number; counters: EngineCounters }[] = [];
   #model: string;
@@ -130,7 +133,7 @@
     await this.#server.close();
   }
 
-  /** Crashes the engine; it comes back empty after `downMs`. */
+  /** Crashes the engine for `downMs`. Its sequences and exported KV caches are lost. */
   crash(downMs: number): void {
     this.#isDown = true;
     clearTimeout(this.#changeTimer);
@@ -142,13 +145,13 @@
     setTimeout(() => (this.#isDown = false), downMs);
   }
 
-  /** Goes silent with all connections left open. */
+  /** Stops generating for `ms` while connections stay open. */
   freeze(ms: number): void {
     this.#simulation.setFrozen(true);
     setTimeout(() => this.#simulation.setFrozen(false), ms);
   }
 
-  /** The engine itself reports that it is leaving. */
+  /** Sets whether the engine's state report says that it is leaving. */
   setLeaving(leaving: boolean): void {
     this.#isLeaving = leaving;
   }
--- a/packages/heatherarch-standins/engine_simulation.ts
+++ b/packages/heatherarch-standins/engine_simulation.ts
@@ -1,6 +1,6 @@
 /**
- * A model of a language-model engine: continuous batching with chunked prefill, a prefix
- * cache in limited memory, priorities, KV export, and role changes that take seconds.
+ * Simulates a language-model engine: continuous batching with chunked prefill, a prefix cache of
+ * limited size, priorities, export and import of KV caches, and roles.
  *
  * @module
  */
@@ -11,23 +11,23 @@
   extendTextState,
 } from "./completion.ts";
 
-/** Speeds of an engine. */
+/** Speeds and cache size of an engine. */
 export interface EngineSpeeds {
-  /** Time of an empty step, milliseconds. */
+  /** Duration of an empty step. */
   readonly stepMs: number;
-  /** Added to a step for each sequence that decodes, milliseconds. */
+  /** Time that each decoding sequence adds to a step, milliseconds. */
   readonly decodeMsPerSequence: number;
-  /** Prompt tokens a second while prefilling. */
+  /** Prefill throughput, in prompt tokens per second. */
   readonly prefillTokensPerSecond: number;
-  /** Time to move one prompt token's KV cache, milliseconds. */
+  /** Time to transfer the KV cache of one prompt token, milliseconds. */
   readonly kvMsPerToken: number;
-  /** Prefix cache, prompt tokens. */
+  /** Capacity of the prefix cache, in prompt tokens. */
   readonly cacheTokens: number;
-  /** Time an order takes, milliseconds. */
+  /** Time that an order takes. */
   readonly changeMs: number;
 }
 
-/** Speeds that the benchmarks use where they say no other. */
+/** Default speeds, which the benchmarks use unless they set others. */
 export const DEFAULT_SPEEDS: EngineSpeeds = {
   stepMs: 12,
   decodeMsPerSequence: 0.15,
@@ -37,7 +37,7 @@
   changeMs: 4000,
 };
 
-/** Limits that come with a role: prompt tokens in one step, sequences in the batch. */
+/** Limits of each role: prompt tokens to prefill in one step, and sequences in the batch. */
 const ROLE_LIMITS: Record<
   EngineRole,
   { maxPrefillTokens: number; batchSize: number }
@@ -47,15 +47,15 @@
   mixed: { maxPrefillTokens: 256, batchSize: 40 },
 };
 
-/** Receives what a sequence produces. */
+/** Receives the tokens and the end of a sequence. */
 export interface SequenceListener {
   onToken(text: string, index: number): void;
   onEnd(result: SequenceResult): void;
-  /** The engine dropped the sequence. */
+  /** Called if the engine drops the sequence. */
   onDropped(): void;
 }
 
-/** How a sequence ended. */
+/** Token counts of a finished sequence, and the handle of its exported KV cache. */
 export interface SequenceResult {
   readonly promptTokens: number;
   readonly cachedTokens: number;
@@ -63,14 +63,14 @@
   readonly kvHandle?: string;
 }
 
-/** A request to the engine. */
+/** A request to generate a sequence. */
 export interface SequenceRequest {
   readonly attemptId: string;
   readonly prompt: string;
   readonly maxTokens: number;
   readonly priority: number;
   readonly kvExport: boolean;
-  /** The KV cache of the prompt has been fetched from elsewhere. */
+  /** Whether the KV cache of the prompt was imported from another engine. */
   readonly kvImported: boolean;
 }
 
@@ -88,9 +88,10 @@
 
 const BLOCK_CHARACTERS = 256;
 const BLOCK_TOKENS = BLOCK_CHARACTERS / 4;
+/** Delay before the next step while every sequence waits for the transfer of its KV cache. */
 const IDLE_POLL_MS = 1;
 
-/** Counters of an engine. */
+/** Current load of an engine. */
 export interface EngineCounters {
   running: number;
   waiting: number;
@@ -98,12 +99,12 @@
   kvUsed: number;
 }
 
-/** One simulated engine. */
+/** A simulated engine. */
 export class EngineSimulation {
   readonly #speeds: EngineSpeeds;
   readonly #running: Sequence[] = [];
   readonly #waiting: Sequence[] = [];
-  /** Prefix blocks in order of use, oldest first. */
+  /** Hashes of the cached prefix blocks, least recently used first. */
   readonly #cachedBlocks = new Map<number, true>();
   #role: EngineRole;
   #timer: NodeJS.Timeout | undefined;
@@ -123,12 +124,12 @@
     return this.#speeds;
   }
 
-  /** Changes the role; what is in flight must have been cut or finished before. */
+  /** Changes the role. All sequences must have finished or been dropped before. */
   setRole(role: EngineRole): void {
     this.#role = role;
   }
 
-  /** Stops or goes on producing, connections left as they are. */
+  /** Pauses or resumes generation; sequences stay in place. */
   setFrozen(frozen: boolean): void {
     this.#isFrozen = frozen;
     if (!frozen) this.#schedule(0);
@@ -150,7 +151,7 @@
     };
   }
 
-  /** Takes a request in. */
+  /** Queues a request behind those of the same or a more urgent priority (a lower number). */
   submit(request: SequenceRequest, listener: SequenceListener): void {
     const promptTokens = Math.max(1, estimateTokens(request.prompt));
     // An imported KV cache needs no prefill: the sequence joins the next decode step.
@@ -179,7 +180,7 @@
     this.#schedule(0);
   }
 
-  /** Drops one sequence. */
+  /** Drops one sequence without telling its listener. */
   cancel(attemptId: string): void {
     for (const list of [this.#running, this.#waiting]) {
       const index = list.findIndex((sequence) =>
@@ -189,7 +190,7 @@
     }
   }
 
-  /** Drops all sequences and returns how many there were. */
+  /** Drops all sequences, tells their listeners, and returns the number of sequences. */
   dropAll(): number {
     const all = [...this.#running.splice(0), ...this.#waiting.splice(0)];
     for (const sequence of all) sequence.listener?.onDropped();
@@ -241,7 +242,7 @@
     }
   }
 
-  /** Spends the step's budget of prompt tokens, most urgent first. */
+  /** Distributes the step's prefill budget over the sequences, most urgent first. */
   #planPrefill(
     ready: readonly Sequence[],
   ): { tokens: number; finished: Sequence[] } {
@@ -281,7 +282,7 @@
     sequence.tokens.push(token);
     sequence.listener?.onToken(token, sequence.emittedTokens);
     sequence.emittedTokens++;
-    // The listener may have cancelled it.
+    // The listener can cancel the sequence.
     if (!this.#running.includes(sequence)) return;
     if (sequence.emittedTokens < sequence.request.maxTokens) return;
     this.#running.splice(this.#running.indexOf(sequence), 1);
@@ -318,7 +319,7 @@
   }
 }
 
-/** Chained hashes of the whole blocks of a prompt. */
+/** Hashes each complete block of a prompt together with all blocks before it. */
 function computeBlockHashes(prompt: string): number[] {
   const hashes: number[] = [];
   let hash: number | undefined;
--- a/packages/heatherarch-standins/fault_proxy.ts
+++ b/packages/heatherarch-standins/fault_proxy.ts
@@ -1,6 +1,6 @@
 /**
- * A TCP forwarder on loopback between two of the system's ends, which can be cut or made
- * silent in one direction while connections stay open.
+ * A TCP proxy on loopback that can simulate network faults: it closes and refuses connections,
+ * or discards the data of one direction while connections stay open.
  *
  * @module
  */
@@ -12,17 +12,20 @@
   type Socket,
 } from "node:net";
 
-/** How the link behaves. `silentForward` and `silentBack` swallow bytes of one direction. */
+/**
+ * Behavior of the proxy. `silentForward` discards data to the destination, `silentBack` discards
+ * data from it.
+ */
 export type FaultProxyMode = "open" | "cut" | "silentForward" | "silentBack";
 
 interface ConnectionPair {
   readonly inbound: Socket;
   readonly outbound: Socket;
-  /** Silence sticks to a connection that was open when it fell silent. */
+  /** Direction whose data is discarded for the rest of the connection. */
   silentDirection: FaultProxyMode | undefined;
 }
 
-/** One forwarder to one address. */
+/** A TCP proxy to one address. */
 export class FaultProxy {
   readonly #destination: { host: string; port: number };
   readonly #server: Server;
@@ -42,7 +45,7 @@
     return `127.0.0.1:${(this.#server.address() as AddressInfo).port}`;
   }
 
-  /** `cut` destroys connections and refuses new ones until `open`. */
+  /** Sets the mode. `cut` closes all connections and refuses new ones until the mode changes. */
   setMode(mode: FaultProxyMode): void {
     this.#mode = mode;
     if (mode !== "cut") return;
@@ -52,7 +55,10 @@
     }
   }
 
-  /** Open connections go silent for good while new ones work. */
+  /**
+   * Discards the data of one direction on all open connections, permanently; new connections
+   * work. Returns the number of open connections.
+   */
   silenceOpenConnections(direction: "silentForward" | "silentBack"): number {
     for (const pair of this.#pairs) pair.silentDirection = direction;
     return this.#pairs.size;
--- a/packages/heatherarch-standins/free_ports.ts
+++ b/packages/heatherarch-standins/free_ports.ts
@@ -1,19 +1,27 @@
 /**
- * Free ports on loopback, below the range from which the kernel gives ports to others.
+ * Finds free ports on loopback, below the kernel's ephemeral port range, so that no outgoing
+ * connection can take one of them.
  *
  * @module
  */
 import { createServer, type Server } from "node:net";
 
 const PORT_RANGE_START = 10_000;
+/** Exclusive. */
 const PORT_RANGE_END = 32_000;
-/** Processes start to look at different places. */
+/**
+ * Distance between the start ports of processes with successive ids, so that concurrent processes
+ * search different parts of the range.
+ */
 const PROCESS_STRIDE = 613;
 
 let nextPort = PORT_RANGE_START +
   (process.pid * PROCESS_STRIDE) % (PORT_RANGE_END - PORT_RANGE_START);
 
-/** Finds `count` free ports, all different, none of which this process was given before. */
+/**
+ * Finds `count` different free ports. A port is returned again only after the search has wrapped
+ * around the range.
+ */
 export async function findFreePorts(count: number): Promise<number[]> {
   const servers: Server[] = [];
   const ports: number[] = [];
--- a/packages/heatherarch-standins/http_server.ts
+++ b/packages/heatherarch-standins/http_server.ts
@@ -1,6 +1,6 @@
 /**
- * A small HTTP server for stand-ins: koa, one handler, and all sockets within reach so that
- * they can be destroyed.
+ * HTTP server for the stand-ins, built on koa, with a single request handler. It tracks its open
+ * sockets so that they can be destroyed.
  *
  * @module
  */
@@ -11,7 +11,7 @@
 /** Handles one request. */
 export type StandinHandler = (ctx: Koa.Context) => void | Promise<void>;
 
-/** A server whose connections can be cut. */
+/** An HTTP server whose open connections can be destroyed. */
 export class StandinServer {
   readonly #server: Server;
   readonly #sockets = new Set<Socket>();
@@ -30,7 +30,7 @@
     });
   }
 
-  /** Listens on loopback; port 0 takes a free one. Returns the address. */
+  /** Listens on loopback and returns the address. Port 0 selects a free port. */
   async listen(port = 0): Promise<string> {
     await new Promise<void>((resolve, reject) => {
       this.#server.once("error", reject);
@@ -44,7 +44,10 @@
     for (const socket of this.#sockets) socket.destroy();
   }
 
-  /** As if the process ended: connections are cut and new ones refused for `downMs`. */
+  /**
+   * Simulates a process exit: destroys all connections and refuses new ones for `downMs`, then
+   * listens on the same port again.
+   */
   simulateExit(downMs: number): void {
     const { port } = this.#server.address() as AddressInfo;
     this.#server.close();
@@ -59,14 +62,14 @@
   }
 }
 
-/** Reads a whole body as text. */
+/** Reads a request body as text. */
 export async function readBody(ctx: Koa.Context): Promise<string> {
   const chunks: Buffer[] = [];
   for await (const chunk of ctx.req) chunks.push(chunk as Buffer);
   return Buffer.concat(chunks).toString("utf8");
 }
 
-/** Reads a whole body as JSON; an empty body is an empty object. */
+/** Parses a request body as JSON. An empty body gives an empty object. */
 export async function readJsonBody<T>(ctx: Koa.Context): Promise<T> {
   const text = await readBody(ctx);
   return (text === "" ? {} : JSON.parse(text)) as T;
--- a/packages/heatherarch-standins/memory_log.ts
+++ b/packages/heatherarch-standins/memory_log.ts
@@ -1,5 +1,6 @@
 /**
- * The platform's log in memory, with the failures that the users describe.
+ * In-memory stand-in for the platform's log, with the failures that users of the platform have
+ * reported.
  *
  * @module
  */
@@ -12,17 +13,17 @@
   type ReadOptions,
 } from "heatherarch-log";
 
-/** Failures that can be switched on. */
+/** Simulated failures of the log. */
 export interface LogFaults {
-  /** Nothing is answered. */
+  /** Whether every read and append fails. */
   down: boolean;
-  /** Added to each answer, milliseconds. */
+  /** Delay added to each response. */
   slowMs: number;
-  /** Share of appends that take effect and whose answer is lost. */
+  /** Share of appends that take effect but whose response is lost. */
   loseAnswerShare: number;
   /** Share of appends that take effect twice. */
   duplicateShare: number;
-  /** Records kept for each stream. */
+  /** Maximum number of records kept per stream. */
   retainRecords: number;
 }
 
@@ -30,9 +31,9 @@
 export interface MemoryLogOptions {
   readonly clock?: Clock;
   readonly seed?: number;
-  /** Most appends a second over all streams; 0 for no limit. */
+  /** Maximum rate of appends over all streams; 0 for no limit. */
   readonly appendsPerSecond?: number;
-  /** Bounds of the time that an append takes, milliseconds. */
+  /** Range of the time that an append takes, milliseconds. */
   readonly appendMs?: { readonly low: number; readonly high: number };
 }
 
@@ -50,7 +51,7 @@
   retainRecords: Infinity,
 };
 
-/** An append-only log with named streams. */
+/** In-memory log with named append-only streams. */
 export class MemoryLog implements LogPort {
   readonly faults: LogFaults = { ...NO_LOG_FAULTS };
   readonly #options: MemoryLogOptions;
@@ -66,7 +67,7 @@
     this.#random = new Random(options.seed ?? 1);
   }
 
-  /** Appends that took effect. */
+  /** Number of records appended, duplicates included. */
   get appendCount(): number {
     return this.#appendCount;
   }
@@ -80,7 +81,9 @@
       this.appendWithoutFaults(stream, data);
     }
     if (this.#random.drawUnit() < this.faults.loseAnswerShare) {
-      throw new LogUnavailableError("the answer was lost");
+      throw new LogUnavailableError(
+        "response lost after the append took effect",
+      );
     }
     if (this.faults.slowMs > 0) await sleep(this.faults.slowMs);
     return offset;
@@ -100,7 +103,7 @@
     return this.readWithoutFaults(stream, from, maxRecords);
   }
 
-  /** Appends at once, without failures. */
+  /** Appends immediately, without simulated delays or failures. */
   appendWithoutFaults(stream: string, data: unknown): number {
     const entry = this.#getStream(stream);
     const offset = entry.next++;
@@ -116,7 +119,7 @@
     return offset;
   }
 
-  /** Reads at once, without failures. */
+  /** Reads immediately, without simulated delays or failures. */
   readWithoutFaults(stream: string, from: number, maxRecords = 1000): LogSlice {
     const entry = this.#getStream(stream);
     this.#trim(entry);
@@ -129,7 +132,7 @@
     };
   }
 
-  /** Names of all streams. */
+  /** Lists the names of all streams. */
   listStreams(): string[] {
     return [...this.#streams.keys()];
   }
--- a/packages/heatherarch-standins/mod.ts
+++ b/packages/heatherarch-standins/mod.ts
@@ -1,6 +1,6 @@
 /**
- * Stand-ins for the platform, engines and plain services, with ledgers of what they were
- * asked and switches for their failures.
+ * Stand-ins for the platform, engines and plain services. They record the requests they receive
+ * and can simulate failures.
  *
  * @module
  */
--- a/packages/heatherarch-standins/platform_server.ts
+++ b/packages/heatherarch-standins/platform_server.ts
@@ -1,5 +1,5 @@
 /**
- * The platform over HTTP: the log and the lagging list of VMs.
+ * HTTP stand-in for the platform: its log, and its list of VMs, which can be delayed.
  *
  * @module
  */
@@ -11,12 +11,12 @@
 
 const STREAM_PATH = /^\/streams\/([A-Za-z0-9._-]+)$/;
 
-/** The platform's stand-in. */
+/** Serves the platform's log and list of VMs over HTTP. */
 export class PlatformServer {
   readonly log: MemoryLog;
   readonly #server = new StandinServer((ctx) => this.#handleRequest(ctx));
   #vms: readonly ListedVm[] = [];
-  /** How long a change of the list stays unseen, milliseconds. */
+  /** Delay until a change of the list is visible to clients. */
   vmListLagMs = 0;
 
   constructor(options: MemoryLogOptions = {}) {
@@ -31,7 +31,7 @@
     return this.#server.close();
   }
 
-  /** Sets the list; callers see it after the lag. */
+  /** Sets the list of VMs. Clients see it after `vmListLagMs`. */
   setVms(vms: readonly ListedVm[]): void {
     if (this.vmListLagMs === 0) this.#vms = vms;
     else setTimeout(() => (this.#vms = vms), this.vmListLagMs);
--- a/packages/heatherarch-standins/service_server.ts
+++ b/packages/heatherarch-standins/service_server.ts
@@ -1,6 +1,6 @@
 /**
- * A booking service stand-in: quick slot lookups, and bookings that must run at most once.
- * Its ledger keeps every run.
+ * Stand-in for a booking service: fast slot lookups, and bookings that must run at most once.
+ * Each run of a booking is recorded.
  *
  * @module
  */
@@ -8,7 +8,7 @@
 import { sleep } from "heatherarch-core";
 import { readBody, StandinServer } from "./http_server.ts";
 
-/** One booking that ran. */
+/** Record of one run of a booking. */
 export interface BookingRun {
   readonly key: string;
   readonly requestId: string;
@@ -23,20 +23,20 @@
   readonly bookingMs?: number;
 }
 
-/** Failures that can be switched on. */
+/** Simulated failures of a service target. */
 export interface ServiceFaults {
-  /** Bookings run and their connection is cut before the answer. */
+  /** Whether bookings run but lose their connection before the response. */
   loseResponses: boolean;
-  /** Answers carry another call's try id. */
+  /** Whether responses carry the id of another attempt. */
   crossResponses: boolean;
-  /** Running a call whose body has this text ends the process for a while; empty for none. */
+  /** A booking whose body contains this text simulates a process exit; empty for none. */
   crashesOn: string;
 }
 
-/** Time for which a process that a call ended is away, milliseconds. */
+/** Time until the target listens again after a call has crashed it. */
 const RESTART_DELAY_MS = 600;
 
-/** One target of the booking service. */
+/** Simulates one target of the booking service. */
 export class ServiceServer {
   readonly options: ServiceServerOptions;
   readonly runs: BookingRun[] = [];
@@ -63,7 +63,7 @@
     return this.#server.close();
   }
 
-  /** Cuts all connections and refuses new ones for `downMs`. */
+  /** Destroys all connections, and for `downMs` each new one on its first request. */
   crash(downMs: number): void {
     this.#isDown = true;
     this.#server.destroyConnections();
--- a/packages/heatherarch-standins/standin_set.ts
+++ b/packages/heatherarch-standins/standin_set.ts
@@ -1,5 +1,5 @@
 /**
- * All stand-ins of one deployment in one process, driven by a control interface over HTTP.
+ * Runs all stand-ins of a deployment in one process, with an HTTP interface to control them.
  *
  * @module
  */
@@ -21,7 +21,7 @@
   readonly log?: MemoryLogOptions;
 }
 
-/** A command of the control interface. */
+/** A command to the control interface, sent as JSON. */
 export type StandinCommand =
   | { readonly kind: "log"; readonly faults: Partial<LogFaults> }
   | {
@@ -62,7 +62,7 @@
     readonly on: boolean;
   };
 
-/** Everything that the stand-ins saw. */
+/** What the stand-ins recorded, as the control interface returns it. */
 export interface StandinLedger {
   readonly engines: Record<
     string,
@@ -73,7 +73,7 @@
   readonly appends: number;
 }
 
-/** Platform, engines and services of one deployment. */
+/** The stand-ins of a deployment: its platform, engines and service targets. */
 export class StandinSet {
   readonly platform: PlatformServer;
   readonly engines = new Map<string, EngineServer>();
@@ -88,7 +88,7 @@
     this.platform = new PlatformServer(options.log);
   }
 
-  /** Starts the platform and every target at the port that the fleet names. */
+  /** Starts the platform, each target on its port in the fleet, and the control interface. */
   async start(ports: { platform: number; control: number }): Promise<void> {
     await this.platform.listen(ports.platform);
     for (const target of this.#options.fleet.targets) {
@@ -97,7 +97,7 @@
     await this.#controlServer.listen(ports.control);
   }
 
-  /** Carries out a command. */
+  /** Applies a command to the platform or to the target that it names. */
   runCommand(command: StandinCommand): void {
     switch (command.kind) {
       case "log":
--- a/packages/heatherarch-standins/tests/unit/engine_simulation_test.ts
+++ b/packages/heatherarch-standins/tests/unit/engine_simulation_test.ts
@@ -43,7 +43,7 @@
   });
 }
 
-test("a batch of prompts is generated as each prompt must be", async () => {
+test("each prompt of a batch gets its own completion", async () => {
   const engine = new EngineSimulation("mixed", FAST);
   const prompts = Array.from({ length: 10 }, (_, i) => `question ${i}`);
   const outcomes = await Promise.all(
@@ -57,13 +57,13 @@
   assert.equal(engine.readCounters().running, 0);
 });
 
-test("a continued prompt goes on as the first one would have", () => {
+test("a prompt continued with its partial completion gives the rest of the completion", () => {
   const whole = computeCompletion("a question", 8);
   const begun = computeCompletion("a question", 3);
   assert.equal(begun + computeCompletion(`a question${begun}`, 5), whole);
 });
 
-test("a prompt seen before is served from the prefix cache", async () => {
+test("a repeated prompt is served from the prefix cache", async () => {
   const engine = new EngineSimulation("mixed", FAST);
   const prompt = "clause ".repeat(200);
   assert.equal(
@@ -76,7 +76,7 @@
   );
 });
 
-test("a sequence cancelled at its last token takes no other with it", async () => {
+test("cancelling a sequence at its last token leaves other sequences running", async () => {
   const engine = new EngineSimulation("mixed", FAST);
   const other = generate(engine, "other", { prompt: "b", maxTokens: 12 });
   void generate(engine, "cancelled", {
