--- a/packages/heatherarch-standins/memory_log.ts
+++ b/packages/heatherarch-standins/memory_log.ts
@@ -1,5 +1,6 @@
 /**
- * The platform's log in memory, with the failures that the users describe.
+ * In-memory stand-in for the platform's log, with the failures that users of the platform have
+ * reported.
  *
  * @module
  */
@@ -12,17 +13,17 @@
   type ReadOptions,
 } from "heatherarch-log";
 
-/** Failures that can be switched on. */
+/** Simulated failures of the log. */
 export interface LogFaults {
-  /** Nothing is answered. */
+  /** Whether every read and append fails. */
   down: boolean;
-  /** Added to each answer, milliseconds. */
+  /** Delay added to each response. */
   slowMs: number;
-  /** Share of appends that take effect and whose answer is lost. */
+  /** Share of appends that take effect but whose response is lost. */
   loseAnswerShare: number;
   /** Share of appends that take effect twice. */
   duplicateShare: number;
-  /** Records kept for each stream. */
+  /** Maximum number of records kept per stream. */
   retainRecords: number;
 }
 
@@ -30,19 +31,19 @@
 export interface MemoryLogOptions {
   readonly clock?: Clock;
   readonly seed?: number;
-  /** Most appends a second over all streams; 0 for no limit. */
+  /** Maximum rate of appends over all streams; 0 for no limit. */
   readonly appendsPerSecond?: number;
-  /** Bounds of the time that an append takes, milliseconds. */
+  /** Range of the time that an append takes, milliseconds. */
   readonly appendMs?: { readonly low: number; readonly high: number };
 }
 
-interface Stream {
+interface LogStream {
   records: LogRecord[];
   next: number;
   waiters: Set<() => void>;
 }
 
-const NO_FAULTS: LogFaults = {
+const NO_LOG_FAULTS: LogFaults = {
   down: false,
   slowMs: 0,
   loseAnswerShare: 0,
@@ -50,14 +51,14 @@
   retainRecords: Infinity,
 };
 
-/** An append-only log with named streams. */
+/** In-memory log with named append-only streams. */
 export class MemoryLog implements LogPort {
-  readonly faults: LogFaults = { ...NO_FAULTS };
+  readonly faults: LogFaults = { ...NO_LOG_FAULTS };
   readonly #options: MemoryLogOptions;
   readonly #clock: Clock;
   readonly #random: Random;
-  readonly #streams = new Map<string, Stream>();
-  #appends = 0;
+  readonly #streams = new Map<string, LogStream>();
+  #appendCount = 0;
   #nextSlotMs = 0;
 
   constructor(options: MemoryLogOptions = {}) {
@@ -66,21 +67,23 @@
     this.#random = new Random(options.seed ?? 1);
   }
 
-  /** Appends that took effect. */
-  get appends(): number {
-    return this.#appends;
+  /** Number of records appended, duplicates included. */
+  get appendCount(): number {
+    return this.#appendCount;
   }
 
   async append(stream: string, data: unknown): Promise<number> {
-    this.#failWhenDown();
-    await this.#spendAppendTime();
-    this.#failWhenDown();
-    const offset = this.appendNow(stream, data);
+    this.#throwIfDown();
+    await this.#delayAppend();
+    this.#throwIfDown();
+    const offset = this.appendWithoutFaults(stream, data);
     if (this.#random.drawUnit() < this.faults.duplicateShare) {
-      this.appendNow(stream, data);
+      this.appendWithoutFaults(stream, data);
     }
     if (this.#random.drawUnit() < this.faults.loseAnswerShare) {
-      throw new LogUnavailableError("the answer was lost");
+      throw new LogUnavailableError(
+        "response lost after the append took effect",
+      );
     }
     if (this.faults.slowMs > 0) await sleep(this.faults.slowMs);
     return offset;
@@ -91,17 +94,17 @@
     from: number,
     options: ReadOptions = {},
   ): Promise<LogSlice> {
-    this.#failWhenDown();
+    this.#throwIfDown();
     if (this.faults.slowMs > 0) await sleep(this.faults.slowMs);
     const { maxRecords = 1000, waitMs = 0 } = options;
     const entry = this.#getStream(stream);
     if (from >= entry.next && waitMs > 0) await waitForRecord(entry, waitMs);
-    this.#failWhenDown();
-    return this.readNow(stream, from, maxRecords);
+    this.#throwIfDown();
+    return this.readWithoutFaults(stream, from, maxRecords);
   }
 
-  /** Appends at once, without failures. */
-  appendNow(stream: string, data: unknown): number {
+  /** Appends immediately, without simulated delays or failures. */
+  appendWithoutFaults(stream: string, data: unknown): number {
     const entry = this.#getStream(stream);
     const offset = entry.next++;
     const copy = JSON.parse(JSON.stringify(data)) as unknown;
@@ -110,14 +113,14 @@
       appendedAtMs: this.#clock.readWallMs(),
       data: copy,
     });
-    this.#appends++;
+    this.#appendCount++;
     this.#trim(entry);
     for (const wake of [...entry.waiters]) wake();
     return offset;
   }
 
-  /** Reads at once, without failures. */
-  readNow(stream: string, from: number, maxRecords = 1000): LogSlice {
+  /** Reads immediately, without simulated delays or failures. */
+  readWithoutFaults(stream: string, from: number, maxRecords = 1000): LogSlice {
     const entry = this.#getStream(stream);
     this.#trim(entry);
     const first = entry.next - entry.records.length;
@@ -129,17 +132,17 @@
     };
   }
 
-  /** Names of all streams. */
+  /** Lists the names of all streams. */
   listStreams(): string[] {
     return [...this.#streams.keys()];
   }
 
-  #trim(entry: Stream): void {
+  #trim(entry: LogStream): void {
     const surplus = entry.records.length - this.faults.retainRecords;
     if (surplus > 0) entry.records.splice(0, surplus);
   }
 
-  #getStream(name: string): Stream {
+  #getStream(name: string): LogStream {
     let entry = this.#streams.get(name);
     if (entry === undefined) {
       entry = { records: [], next: 0, waiters: new Set() };
@@ -148,11 +151,11 @@
     return entry;
   }
 
-  #failWhenDown(): void {
+  #throwIfDown(): void {
     if (this.faults.down) throw new LogUnavailableError("down");
   }
 
-  async #spendAppendTime(): Promise<void> {
+  async #delayAppend(): Promise<void> {
     const { appendsPerSecond = 0, appendMs } = this.#options;
     let waitMs = appendMs
       ? this.#random.drawInteger(appendMs.low, appendMs.high)
@@ -167,7 +170,7 @@
   }
 }
 
-function waitForRecord(entry: Stream, waitMs: number): Promise<void> {
+function waitForRecord(entry: LogStream, waitMs: number): Promise<void> {
   return new Promise((resolve) => {
     const wake = (): void => {
       clearTimeout(timer);
--- a/packages/heatherarch-standins/mod.ts
+++ b/packages/heatherarch-standins/mod.ts
@@ -1,11 +1,11 @@
 /**
- * Stand-ins for the platform, engines and plain services, with ledgers of what they were
- * asked and switches for their failures.
+ * Stand-ins for the platform, engines and plain services. They record the requests they receive
+ * and can simulate failures.
  *
  * @module
  */
 export * from "./completion.ts";
-export * from "./cuttable_link.ts";
+export * from "./fault_proxy.ts";
 export * from "./engine_server.ts";
 export * from "./engine_simulation.ts";
 export * from "./free_ports.ts";
--- a/packages/heatherarch-standins/tests/unit/engine_simulation_test.ts
+++ b/packages/heatherarch-standins/tests/unit/engine_simulation_test.ts
@@ -4,19 +4,19 @@
   computeCompletion,
   DEFAULT_SPEEDS,
   EngineSimulation,
-  type SequenceEnd,
+  type SequenceResult,
 } from "../../mod.ts";
 
 const FAST = { ...DEFAULT_SPEEDS, stepMs: 1, decodeMsPerSequence: 0 };
 
 interface Outcome {
   readonly text: string;
-  readonly end: SequenceEnd;
+  readonly result: SequenceResult;
 }
 
-function run(
+function generate(
   engine: EngineSimulation,
-  tryId: string,
+  attemptId: string,
   options: {
     prompt: string;
     maxTokens: number;
@@ -26,7 +26,7 @@
   let text = "";
   return new Promise((resolve) => {
     engine.submit({
-      tryId,
+      attemptId,
       prompt: options.prompt,
       maxTokens: options.maxTokens,
       priority: 1,
@@ -37,18 +37,18 @@
         text += token;
         options.onToken?.(index);
       },
-      onEnd: (end) => resolve({ text, end }),
-      onCut: () => undefined,
+      onEnd: (result) => resolve({ text, result }),
+      onDropped: () => undefined,
     });
   });
 }
 
-test("a batch of prompts is generated as each prompt must be", async () => {
+test("each prompt of a batch gets its own completion", async () => {
   const engine = new EngineSimulation("mixed", FAST);
   const prompts = Array.from({ length: 10 }, (_, i) => `question ${i}`);
   const outcomes = await Promise.all(
     prompts.map((prompt, i) =>
-      run(engine, `t${i}`, { prompt, maxTokens: 5 + i })
+      generate(engine, `t${i}`, { prompt, maxTokens: 5 + i })
     ),
   );
   outcomes.forEach(({ text }, i) =>
@@ -57,28 +57,29 @@
   assert.equal(engine.readCounters().running, 0);
 });
 
-test("a continued prompt goes on as the first one would have", () => {
+test("a prompt continued with its partial completion gives the rest of the completion", () => {
   const whole = computeCompletion("a question", 8);
   const begun = computeCompletion("a question", 3);
   assert.equal(begun + computeCompletion(`a question${begun}`, 5), whole);
 });
 
-test("a prompt seen before is served from the prefix cache", async () => {
+test("a repeated prompt is served from the prefix cache", async () => {
   const engine = new EngineSimulation("mixed", FAST);
   const prompt = "clause ".repeat(200);
   assert.equal(
-    (await run(engine, "a", { prompt, maxTokens: 1 })).end.cachedTokens,
+    (await generate(engine, "a", { prompt, maxTokens: 1 })).result.cachedTokens,
     0,
   );
   assert.ok(
-    (await run(engine, "b", { prompt, maxTokens: 1 })).end.cachedTokens > 200,
+    (await generate(engine, "b", { prompt, maxTokens: 1 })).result
+      .cachedTokens > 200,
   );
 });
 
-test("a sequence cancelled at its last token takes no other with it", async () => {
+test("cancelling a sequence at its last token leaves other sequences running", async () => {
   const engine = new EngineSimulation("mixed", FAST);
-  const other = run(engine, "other", { prompt: "b", maxTokens: 12 });
-  void run(engine, "cancelled", {
+  const other = generate(engine, "other", { prompt: "b", maxTokens: 12 });
+  void generate(engine, "cancelled", {
     prompt: "a",
     maxTokens: 3,
     onToken: (index) => {
