--- a/packages/heatherarch-gateway/gateway.ts
+++ b/packages/heatherarch-gateway/gateway.ts
@@ -1,5 +1,5 @@
 /**
- * The callers' HTTP server.
+ * HTTP server for clients.
  *
  * @module
  */
@@ -44,7 +44,7 @@
 import type { AdmittedRequest } from "./request_watch.ts";
 import { handleGeneration, handleResume } from "./generation_response.ts";
 
-/** Certificate of the callers' port, in PEM. */
+/** Certificate and private key of the client port, in PEM. */
 export interface GatewayTls {
   readonly cert: string;
   readonly key: string;
@@ -53,7 +53,7 @@
 const RESUME_PATH = /^\/v1\/streams\/([A-Za-z0-9._-]+)$/;
 const SERVICE_PATH = /^\/services\/([a-z0-9._-]+)(\/.*)?$/;
 const REQUEST_ID = /^[A-Za-z0-9._-]{1,128}$/;
-/** Serves callers. */
+/** Serves the requests of clients. */
 export class Gateway {
   readonly #host: GatewayHost;
   readonly #limits: AccountLimits;
@@ -85,12 +85,12 @@
     );
   }
 
-  /** Answers that callers may resume, for other VMs to read. */
+  /** Generations that clients may resume. Other VMs read them through this VM. */
   get store(): GenerationStore {
     return this.#store;
   }
 
-  /** Requests in progress. */
+  /** Number of requests in progress. */
   get inFlight(): number {
     return this.#inFlight;
   }
@@ -102,7 +102,7 @@
     });
   }
 
-  /** Takes no new connection and waits for requests in flight; false where time ran out. */
+  /** Accepts no new connections and waits for requests in flight. Returns false on a timeout. */
   async drain(timeoutMs: number): Promise<boolean> {
     this.#server.close();
     this.#server.closeIdleConnections();
@@ -122,16 +122,18 @@
     this.#server.closeAllConnections();
   }
 
-  /** Forgets idle accounts. */
+  /** Drops the state of idle client accounts. */
   removeIdleAccounts(): void {
     this.#limits.removeIdleAccounts(this.#host.clock.readMonotonicMs());
   }
 
   async #handleRequest(ctx: Koa.Context): Promise<void> {
-    const given = ctx.get("x-request-id");
-    // A stream is found again by its id, so that id is always one of ours.
-    const mayName = REQUEST_ID.test(given) && !isResumable(ctx);
-    const requestId = mayName ? given : createId(this.#host.vmId);
+    const clientRequestId = ctx.get("x-request-id");
+    // The id of a resumable stream names the VM that serves it, so this VM generates it.
+    const usesClientId = REQUEST_ID.test(clientRequestId) && !isResumable(ctx);
+    const requestId = usesClientId
+      ? clientRequestId
+      : createId(this.#host.vmId);
     ctx.set("x-request-id", requestId);
     this.#inFlight++;
     ctx.res.once("close", () => this.#recordRequestEnd());
@@ -145,7 +147,7 @@
   #recordRequestEnd(): void {
     this.#inFlight--;
     if (this.#inFlight > 0) return;
-    for (const wake of this.#drainCallbacks) wake();
+    for (const notify of this.#drainCallbacks) notify();
     this.#drainCallbacks.clear();
   }
 
@@ -155,7 +157,7 @@
     if (retryAfterMs > 0) {
       ctx.set("retry-after", String(Math.ceil(retryAfterMs / 1000)));
     }
-    // What is left of a refused body is not read.
+    // The rest of a rejected body is not read, so the connection can't be reused.
     if (!ctx.req.complete) ctx.set("connection", "close");
     ctx.status = error.status;
     ctx.body = buildErrorBody(error, requestId);
@@ -169,7 +171,10 @@
     }
     const fleet = this.#host.readFleet();
     if (fleet === null) {
-      throw new ServeError("notReady", "no fleet configuration is known yet");
+      throw new ServeError(
+        "notReady",
+        "no fleet configuration has been received yet",
+      );
     }
     const { path } = ctx;
     if (path === "/v1/models") return this.#listModels(ctx, fleet);
@@ -177,10 +182,10 @@
       requireMethod(ctx, "POST");
       return await this.#generate(ctx, fleet, requestId);
     }
-    const resumed = RESUME_PATH.exec(path)?.[1];
-    if (resumed !== undefined) {
+    const streamId = RESUME_PATH.exec(path)?.[1];
+    if (streamId !== undefined) {
       requireMethod(ctx, "GET");
-      return await handleResume(ctx, this.#host, this.#store, resumed);
+      return await handleResume(ctx, this.#host, this.#store, streamId);
     }
     const service = SERVICE_PATH.exec(path);
     if (service !== null) {
@@ -189,7 +194,7 @@
         path: `${service[2] ?? "/"}${ctx.search}`,
       });
     }
-    throw new ServeError("notFound", `there is nothing at ${path}`);
+    throw new ServeError("notFound", `no resource exists at ${path}`);
   }
 
   #listModels(ctx: Koa.Context, fleet: Fleet): void {
@@ -215,8 +220,8 @@
   ): Promise<void> {
     const startedAtMs = this.#host.clock.readMonotonicMs();
     const account = this.#accounts.find(readCredentials(ctx), fleet);
-    const bytes = await readRequestBody(ctx.req, this.#host.limits);
-    const json = unwrap(parseJsonBody(bytes));
+    const body = await readRequestBody(ctx.req, this.#host.limits);
+    const json = unwrap(parseJsonBody(body));
     const parse = ctx.path === "/v1/completions"
       ? parseTextRequest
       : parseChatRequest;
@@ -230,7 +235,7 @@
     const deadlineAtMs = startedAtMs + this.#readDeadlineMs(ctx, profile);
     this.#host.demand.recordRequest(promptTokens, maxTokens, startedAtMs);
     const release = this.#acquireSlot(account, startedAtMs);
-    const watched = this.#admit(ctx, account, bytes, requestId, release);
+    const admitted = this.#admit(ctx, account, body, requestId, release);
     await handleGeneration(ctx, {
       host: this.#host,
       store: this.#store,
@@ -242,7 +247,7 @@
       maxTokens,
       deadlineAtMs,
       resumable: isResumable(ctx),
-      admitted: watched,
+      admitted: admitted,
       release,
     });
   }
@@ -274,10 +279,10 @@
       body,
     });
     const release = this.#acquireSlot(account, startedAtMs);
-    const watched = this.#admit(ctx, account, body, requestId, release);
+    const admitted = this.#admit(ctx, account, body, requestId, release);
     let outcome: "ok" | ServeError = "ok";
     try {
-      const answer = await callPlainService(this.#host, {
+      const response = await callPlainService(this.#host, {
         service,
         profile,
         method: ctx.method,
@@ -286,19 +291,19 @@
         body: body.length > 0 ? body : undefined,
         deadlineAtMs,
         key,
-        admitted: watched,
+        admitted: admitted,
       });
-      for (const [name, value] of Object.entries(answer.headers)) {
+      for (const [name, value] of Object.entries(response.headers)) {
         ctx.set(name, value);
       }
-      if (answer.replayed) ctx.set("x-heatherarch-replayed", "true");
-      ctx.status = answer.status;
-      ctx.body = answer.body;
+      if (response.replayed) ctx.set("x-heatherarch-replayed", "true");
+      ctx.status = response.status;
+      ctx.body = response.body;
     } catch (thrown) {
       outcome = toServeError(thrown);
       throw outcome;
     } finally {
-      watched.end(outcome === "ok");
+      admitted.end(outcome === "ok");
       release();
       const nowMs = this.#host.clock.readMonotonicMs();
       this.#host.events.recordResult({
@@ -311,7 +316,7 @@
     }
   }
 
-  /** Gives the account's place back where the request may not be handed over. */
+  /** Checks the quarantine. Releases the account's slot if the request may not be sent. */
   #admit(
     ctx: Koa.Context,
     account: Account,
@@ -378,7 +383,7 @@
     const { maxDeadlineMs } = this.#host.limits;
     if (!Number.isInteger(value) || value < 1 || value > maxDeadlineMs) {
       const message =
-        `x-deadline-ms must be a whole number from 1 to ${maxDeadlineMs}`;
+        `x-deadline-ms must be an integer from 1 to ${maxDeadlineMs}`;
       throw new ServeError("badRequest", message);
     }
     return value;
