--- a/packages/heatherarch-forward/vm_tasks.ts
+++ b/packages/heatherarch-forward/vm_tasks.ts
@@ -122,8 +122,7 @@
     configReadTiming: planConfigReads(store),
     targetPollMs: store.targetPollMs,
     getFeedValidAtMs: () => getComponents().mesh.feedValidAtMs,
-    hasStoodStillSince: (atMs) =>
-      components.targetListGuard.hasStalledSince(atMs),
+    hasStalledSince: (atMs) => components.targetListGuard.hasStalledSince(atMs),
     clock: components.clock,
     log: components.log,
     metrics: components.metrics,
