--- a/packages/heatherarch-lab/bench/overload_result.ts
+++ b/packages/heatherarch-lab/bench/overload_result.ts
@@ -1,27 +1,28 @@
 /**
- * What became of the requests of an overload: shares and worth, by kind and size.
+ * Summarizes the requests of an overload simulation: shares served and earned worth, by kind and size.
  *
  * @module
  */
 import type { GenerationParams } from "heatherarch-forward";
 
-/** A kind of request. Sizes are lognormal. */
+/** A kind of request. Token counts are lognormal. */
 export interface OverloadRequestKind {
   readonly name: string;
-  /** Requests a second of the whole fleet. */
+  /** Requests per second of the whole fleet. */
   readonly rate: number;
   readonly sharedTokens: number;
-  /** Standard deviation of the shared sizes as a part of their mean. */
+  /** Coefficient of variation of the shared token counts. */
   readonly sharedTokensCv: number;
-  /** Beginnings that the requests share. */
+  /** Number of distinct shared prefixes. */
   readonly prefixCount: number;
   readonly uniqueTokens: number;
   readonly uniqueTokensCv: number;
   readonly aimMs: number;
   readonly deadlineMs: number;
   readonly lane: number;
-  /** What a request of mean size earns on time, and late. */
+  /** Worth of a request of mean size that is on time. */
   readonly worth: number;
+  /** Worth of a request of mean size that is late. */
   readonly lateWorth: number;
 }
 
@@ -29,81 +30,97 @@
 export interface ServedShares {
   readonly served: number;
   readonly onTime: number;
-  /** Of the worth that was asked for. */
+  /** Earned share of the offered worth. */
   readonly worth: number;
 }
 
-/** What became of one kind of request. */
+/** Result of one kind of request. */
 export interface KindResult extends ServedShares {
   readonly asked: number;
+  /** Of the largest tenth of the prompts. */
   readonly largestTenth: ServedShares;
+  /** Of the fifth below the largest tenth. */
   readonly fifthBelow: ServedShares;
 }
 
-/** What one caller wants. */
+/** A request of a caller. */
 export interface SimulatedRequest {
   readonly kind: OverloadRequestKind;
   readonly prompt: GenerationParams;
   readonly arrivedAtMs: number;
-  /** When its first token came; undefined if it came to nobody. */
+  /** When the first token reached the caller; undefined if it did not. */
   firstTokenAtMs: number | undefined;
 }
 
-/** Worth of a request by its size against the mean of its kind: a part that is fixed, and the rest. */
+/**
+ * The worth of a request is a fixed part, and a part in proportion to its size relative to the mean of
+ * its kind.
+ */
 const FIXED_WORTH_SHARE = 0.3;
 const SIZE_WORTH_SHARE = 0.7;
 const MAX_WORTH_FACTOR = 4;
 const LARGEST_TENTH_START = 0.9;
 const FIFTH_BELOW_START = 0.7;
 
-/** Rates all requests of one kind. */
-export function summarizeKind(wishes: readonly SimulatedRequest[]): KindResult {
-  const bySize = [...wishes]
+/** Summarizes all requests of one kind. */
+export function summarizeKind(
+  requests: readonly SimulatedRequest[],
+): KindResult {
+  const bySize = [...requests]
     .sort((a, b) => a.prompt.promptTokens - b.prompt.promptTokens);
-  const tenthAt = Math.floor(bySize.length * LARGEST_TENTH_START);
-  const fifthAt = Math.floor(bySize.length * FIFTH_BELOW_START);
+  const tenthStart = Math.floor(bySize.length * LARGEST_TENTH_START);
+  const fifthStart = Math.floor(bySize.length * FIFTH_BELOW_START);
   return {
-    asked: wishes.length,
+    asked: requests.length,
     ...computeServedShares(bySize),
-    largestTenth: computeServedShares(bySize.slice(tenthAt)),
-    fifthBelow: computeServedShares(bySize.slice(fifthAt, tenthAt)),
+    largestTenth: computeServedShares(bySize.slice(tenthStart)),
+    fifthBelow: computeServedShares(bySize.slice(fifthStart, tenthStart)),
   };
 }
 
-/** Rates requests of any kinds. */
+/** Computes the shares of requests of any kinds. */
 export function computeServedShares(
-  wishes: readonly SimulatedRequest[],
+  requests: readonly SimulatedRequest[],
 ): ServedShares {
-  const served = wishes.filter((wish) => wish.firstTokenAtMs !== undefined);
+  const served = requests.filter((request) =>
+    request.firstTokenAtMs !== undefined
+  );
   const onTime = served.filter(isOnTime);
-  const count = Math.max(1, wishes.length);
-  const asked = wishes.reduce((sum, wish) => sum + computeWorth(wish), 0);
-  const earned = served.reduce(
-    (sum, wish) => sum + computeEarnedWorth(wish),
+  const count = Math.max(1, requests.length);
+  const offeredWorth = requests.reduce(
+    (sum, request) => sum + computeWorth(request),
+    0,
+  );
+  const earnedWorth = served.reduce(
+    (sum, request) => sum + computeEarnedWorth(request),
     0,
   );
   return {
     served: served.length / count,
     onTime: onTime.length / count,
-    worth: earned / Math.max(1, asked),
+    worth: earnedWorth / Math.max(1, offeredWorth),
   };
 }
 
-/** Larger requests are worth more, up to a bound. */
+/** Returns the worth of a request, which grows with its size up to a limit. */
 function computeWorth({ kind, prompt }: SimulatedRequest): number {
-  const size = prompt.promptTokens / (kind.sharedTokens + kind.uniqueTokens);
+  const relativeSize = prompt.promptTokens /
+    (kind.sharedTokens + kind.uniqueTokens);
   return kind.worth *
-    Math.min(MAX_WORTH_FACTOR, FIXED_WORTH_SHARE + SIZE_WORTH_SHARE * size);
+    Math.min(
+      MAX_WORTH_FACTOR,
+      FIXED_WORTH_SHARE + SIZE_WORTH_SHARE * relativeSize,
+    );
 }
 
-function computeEarnedWorth(wish: SimulatedRequest): number {
-  const worth = computeWorth(wish);
-  const { kind } = wish;
-  return isOnTime(wish) ? worth : worth * kind.lateWorth / kind.worth;
+function computeEarnedWorth(request: SimulatedRequest): number {
+  const worth = computeWorth(request);
+  const { kind } = request;
+  return isOnTime(request) ? worth : worth * kind.lateWorth / kind.worth;
 }
 
 function isOnTime(
-  { firstTokenAtMs = Infinity, arrivedAtMs: atMs, kind }: SimulatedRequest,
+  { firstTokenAtMs = Infinity, arrivedAtMs, kind }: SimulatedRequest,
 ): boolean {
-  return firstTokenAtMs - atMs <= kind.aimMs;
+  return firstTokenAtMs - arrivedAtMs <= kind.aimMs;
 }
--- a/packages/heatherarch-lab/bench/overload_simulation.ts
+++ b/packages/heatherarch-lab/bench/overload_simulation.ts
@@ -1,12 +1,15 @@
 /**
- * A small fleet whose engines get more prompts than they can read, of sizes that differ by a
- * factor of ten and more: who is served? Without network and faster than time; queue, placement,
- * read model and ledger are the product's own.
+ * Simulates a small fleet whose prefill engines get more prompts than they can process. Prompt sizes
+ * differ by a factor of ten and more, and the result shows which sizes are served.
  *
- * Pattern of load: two kinds of request on the same engines, long prompts behind shared beginnings
- * and short ones, in turns of some seconds at up to three times their mean.
+ * The simulation runs in simulated time without a network. Prefill queue, placement, prefill time
+ * model and work tracker are those of the product.
  *
- * A caller that is refused comes back once, when it was told to. Not modelled: generating, faults.
+ * Two kinds of request use the same engines: long prompts with shared prefixes, and short prompts. They
+ * alternate in bursts of some seconds, at up to three times their mean rate.
+ *
+ * A rejected caller retries once, after the delay that it was given. Decode and faults are not
+ * simulated.
  *
  * @module
  */
@@ -35,10 +38,10 @@
 import { PromptGenerator } from "./prompt_generator.ts";
 import { SimulatedPrefillEngine } from "./simulated_prefill_engine.ts";
 
-/** A stretch of time with its own load. */
+/** A period with a constant load. */
 export interface OverloadPhase {
   readonly seconds: number;
-  /** Load by kind as a multiple of its rate. */
+  /** Load of each kind of request as a multiple of its rate. */
   readonly load: Readonly<Record<string, number>>;
 }
 
@@ -46,22 +49,22 @@
 export interface OverloadOptions {
   readonly seed: number;
   readonly vms: number;
-  /** Slowness of each reading engine. */
+  /** Slowdown factor of each prefill engine. */
   readonly engines: readonly number[];
   readonly kinds: readonly OverloadRequestKind[];
   readonly phases: readonly OverloadPhase[];
 }
 
-/** What a run showed. */
+/** Result of a simulation. */
 export interface OverloadResult {
-  /** Share of the worth that was asked for. */
+  /** Earned share of the offered worth. */
   readonly worth: number;
   readonly kinds: Readonly<Record<string, KindResult>>;
-  /** Part of the time for which engines worked. */
+  /** Utilization of the engines, 0 to 1. */
   readonly busy: number;
 }
 
-/** One try of a caller. */
+/** One attempt of a caller. */
 interface Attempt {
   readonly request: SimulatedRequest;
   readonly vm: number;
@@ -75,20 +78,20 @@
   readonly placer: PromptPlacer;
   readonly workTracker: WorkTracker;
   readonly jitter: EngineJitter;
+  /** Whether the VM's own work has changed since it was last sent. */
   isDirty: boolean;
   sentAtMs: number;
 }
 
 const STEP_MS = 2;
-/** Pause between the looks of a queue. */
 const DISPATCH_INTERVAL_MS = 10;
-/** VMs tell each other of changes of their work at once, but for this pause between two times. */
+/** VMs send changes of their work to each other immediately, but not more often than this. */
 const MIN_SEND_GAP_MS = 5;
-/** From an engine's last token to its answer at the VM, milliseconds. */
+/** Time from the last prefilled token to the arrival of the engine's response at the VM. */
 const RESPONSE_DELAY_MS = 16;
-/** From the answer to the first token at the caller, milliseconds. */
+/** Time from the engine's response to the first token at the caller. */
 const FIRST_TOKEN_DELAY_MS = 35;
-/** The fleet's bound on readings for late calls. */
+/** Maximum share of the engines that may prefill late requests at the same time. */
 const MAX_LATE_PREFILL_SHARE = 0.25;
 const RESPONSE_MARGIN_MS = 10;
 const KV_TRANSFER_MS = 15;
@@ -99,12 +102,12 @@
   linkMbps: 1_400_000,
   roleChangeMs: 3000,
 };
-/** Callers come back as told, within this part of the time that they have left. */
+/** Callers wait as long as they were told, but at most this share of the time to their deadline. */
 const MAX_RETRY_DELAY_SHARE = 1 / 3;
-/** Part of the KV cache that keeps beginnings. */
+/** Share of the KV cache that retains prefixes. */
 const PREFIX_CACHE_SHARE = 0.8;
 
-/** Plays one run. */
+/** Runs one simulation. */
 export function simulateOverload(options: OverloadOptions): OverloadResult {
   return new OverloadSimulation(options).run();
 }
@@ -118,21 +121,22 @@
   readonly #targets: readonly Target[];
   readonly #vms: readonly Vm[];
   readonly #requests: SimulatedRequest[] = [];
-  /** Fresh tokens that each engine has taken in, and the count at each beginning's last use. */
-  readonly #acceptedTokens: number[];
+  /** Number of tokens that each engine has added to its KV cache. */
+  readonly #addedKvTokens: number[];
+  /** For each prefix, the value of that number at its last use on each engine. */
   readonly #prefixUses = new Map<string, Map<string, number>>();
-  /** What ends at some time, in the order of time. */
+  /** Callbacks with the time at which they are due, in the order in which they were added. */
   #scheduled: { atMs: number; run: () => void }[] = [];
 
   constructor(options: OverloadOptions) {
     this.#options = options;
     this.#random = new Random(options.seed);
     this.#prompts = new PromptGenerator(this.#random);
-    this.#engines = options.engines.map((slowness) =>
-      new SimulatedPrefillEngine({ slowdown: slowness })
+    this.#engines = options.engines.map((slowdown) =>
+      new SimulatedPrefillEngine({ slowdown })
     );
     this.#targets = options.engines.map((_, i) => buildTarget(i));
-    this.#acceptedTokens = options.engines.map(() => 0);
+    this.#addedKvTokens = options.engines.map(() => 0);
     this.#vms = Array.from({ length: options.vms }, (_, i) => this.#buildVm(i));
   }
 
@@ -148,12 +152,12 @@
 
   #buildVm(vm: number): Vm {
     const model = new PrefillTimeModel();
-    const ledger = new WorkTracker();
+    const workTracker = new WorkTracker();
     const built: Vm = {
       queue: new PrefillQueue({ clock: this.#clock, isTimerEnabled: false }),
       model,
       placer: new PromptPlacer({ model }),
-      workTracker: ledger,
+      workTracker,
       jitter: new EngineJitter({
         vmId: `vm-${vm}`,
         drawUnit: () => this.#random.drawUnit(),
@@ -161,7 +165,7 @@
       isDirty: false,
       sentAtMs: -Infinity,
     };
-    ledger.registerOwnWorkListener(() => {
+    workTracker.registerOwnWorkListener(() => {
       built.isDirty = true;
     });
     return built;
@@ -192,14 +196,14 @@
   }
 
   #sendWork(): void {
-    this.#vms.forEach((vm, from) => {
+    this.#vms.forEach((vm, sender) => {
       if (!vm.isDirty || this.#nowMs - vm.sentAtMs < MIN_SEND_GAP_MS) return;
       vm.isDirty = false;
       vm.sentAtMs = this.#nowMs;
       const rows = vm.workTracker.listOwnRows(this.#nowMs);
       for (const peer of this.#vms) {
         if (peer === vm) continue;
-        peer.workTracker.setPeerWork(`vm-${from}`, rows, this.#nowMs);
+        peer.workTracker.setPeerWork(`vm-${sender}`, rows, this.#nowMs);
       }
     });
   }
@@ -214,169 +218,165 @@
   }
 
   #createRequest(kind: OverloadRequestKind): void {
-    const wish: SimulatedRequest = {
+    const request: SimulatedRequest = {
       kind,
       prompt: this.#prompts.draw(kind),
       arrivedAtMs: this.#nowMs,
       firstTokenAtMs: undefined,
     };
-    this.#requests.push(wish);
-    this.#enqueue(wish, false);
+    this.#requests.push(request);
+    this.#enqueue(request, false);
   }
 
-  #enqueue(wish: SimulatedRequest, isRepeat: boolean): void {
+  #enqueue(request: SimulatedRequest, isRetry: boolean): void {
     const vm = this.#random.drawInteger(0, this.#vms.length - 1);
-    const call: Attempt = {
-      request: wish,
-      vm,
-      startedAtMs: this.#nowMs,
-      isRetry: isRepeat,
-    };
-    const { kind, prompt } = wish;
+    const attempt: Attempt = { request, vm, startedAtMs: this.#nowMs, isRetry };
+    const { kind, prompt } = request;
     const { queue, model } = this.#vms[vm];
     queue.enqueue({
       lane: kind.lane,
       kind: kind.name,
       tokens: prompt.promptTokens,
-      waitStartedAtMs: call.startedAtMs,
+      waitStartedAtMs: attempt.startedAtMs,
       aimMs: kind.aimMs,
-      timeoutAtMs: computeTimeout(call),
+      timeoutAtMs: computeTimeout(attempt),
       firstTokenDelayMs: FIRST_TOKEN_DELAY_MS + model.latencyMs,
-      findPlacement: () => this.#findPlacement(call),
+      findPlacement: () => this.#findPlacement(attempt),
       mayPrefillLate: () => this.#mayPrefillLate(vm),
-      onOutcome: (verdict) => {
-        if (verdict.kind === "placed") this.#prefill(call, verdict.placed);
-        else if (verdict.kind === "tooLate") {
-          this.#handleRejection(call, verdict.placement);
+      onOutcome: (outcome) => {
+        if (outcome.kind === "placed") this.#prefill(attempt, outcome.placed);
+        else if (outcome.kind === "tooLate") {
+          this.#handleRejection(attempt, outcome.placement);
         }
       },
     });
   }
 
   #handleRejection(
-    { request: wish, startedAtMs: atMs, isRetry: isRepeat }: Attempt,
+    { request, startedAtMs, isRetry }: Attempt,
     { readyMs }: PromptPlacement,
   ): void {
-    if (isRepeat) return;
-    const { aimMs, deadlineMs } = wish.kind;
-    const waitedMs = this.#nowMs - atMs;
-    const draw = (): number => this.#random.drawUnit();
-    const toldMs = computeRetryAfterMs(waitedMs, readyMs - aimMs, draw);
-    const mostMs = (deadlineMs - waitedMs) * MAX_RETRY_DELAY_SHARE;
+    if (isRetry) return;
+    const { aimMs, deadlineMs } = request.kind;
+    const waitedMs = this.#nowMs - startedAtMs;
+    const drawUnit = (): number => this.#random.drawUnit();
+    const retryAfterMs = computeRetryAfterMs(
+      waitedMs,
+      readyMs - aimMs,
+      drawUnit,
+    );
+    const maxMs = (deadlineMs - waitedMs) * MAX_RETRY_DELAY_SHARE;
     this.#scheduled.push({
-      atMs: this.#nowMs + Math.min(toldMs, mostMs),
-      run: () => this.#enqueue(wish, true),
+      atMs: this.#nowMs + Math.min(retryAfterMs, maxMs),
+      run: () => this.#enqueue(request, true),
     });
   }
 
   #findPlacement(
     { vm, request: { prompt } }: Attempt,
   ): PromptPlacement | undefined {
-    const { workTracker: ledger, placer, jitter: spread } = this.#vms[vm];
+    const { workTracker, placer, jitter } = this.#vms[vm];
     const key = placer.findPrefixKey(prompt);
     const holders = key === undefined ? [] : this.#listPrefixHolders(key);
     return placer.pickEngine(prompt, {
       candidates: this.#targets.map((target) => ({
         target,
-        backlogMs: ledger.getPrefillBacklogMs(target.id, this.#nowMs),
+        backlogMs: workTracker.getPrefillBacklogMs(target.id, this.#nowMs),
       })),
       prefillEngines: this.#targets,
       prefixHolders: holders,
       prefixSources: holders,
       traits: TRAITS,
-      drawJitterMs: (target) => spread.drawMs(target),
+      drawJitterMs: (target) => jitter.drawMs(target),
     });
   }
 
   #listPrefixHolders(key: string): Target[] {
-    const held = this.#prefixUses.get(key);
-    if (held === undefined) return [];
+    const uses = this.#prefixUses.get(key);
+    if (uses === undefined) return [];
     return this.#targets.filter(({ id }, i) => {
-      const at = held.get(id);
-      return at !== undefined &&
-        this.#acceptedTokens[i] - at < TRAITS.kvTokens * PREFIX_CACHE_SHARE;
+      const tokensAtUse = uses.get(id);
+      return tokensAtUse !== undefined &&
+        this.#addedKvTokens[i] - tokensAtUse <
+          TRAITS.kvTokens * PREFIX_CACHE_SHARE;
     });
   }
 
   #mayPrefillLate(vm: number): boolean {
-    const { workTracker: ledger } = this.#vms[vm];
-    const busy = this.#targets.filter(({ id }) =>
-      ledger.hasLatePrefill(id, this.#nowMs)
+    const { workTracker } = this.#vms[vm];
+    const lateEngines = this.#targets.filter(({ id }) =>
+      workTracker.hasLatePrefill(id, this.#nowMs)
     );
-    const most = Math.max(
+    const max = Math.max(
       1,
       Math.floor(this.#targets.length * MAX_LATE_PREFILL_SHARE),
     );
-    return busy.length < most;
+    return lateEngines.length < max;
   }
 
-  #prefill(call: Attempt, { placement, lane }: LanePlacement): void {
+  #prefill(attempt: Attempt, { placement, lane }: LanePlacement): void {
     const {
       target,
       costMs,
-      unloadedMs: aloneMs,
+      unloadedMs,
       backlogMs,
       isCold,
       fetchFrom,
     } = placement;
-    const { workTracker: ledger, model, placer } = this.#vms[call.vm];
+    const { workTracker, model, placer } = this.#vms[attempt.vm];
     const startMs = this.#nowMs;
     const latencyMs = model.latencyMs + RESPONSE_MARGIN_MS;
-    const endRead = ledger.beginPrefill(
+    const endPrefill = workTracker.beginPrefill(
       target.id,
       { costMs, lane, latencyMs },
       startMs,
     );
-    const { prompt } = call.request;
+    const { prompt } = attempt.request;
     const key = placer.findPrefixKey(prompt);
-    const heldTokens = key === undefined || isCold
+    const cachedTokens = key === undefined || isCold
       ? 0
       : sumPrefixTokens(prompt);
-    const freshTokens = prompt.promptTokens - heldTokens;
+    const freshTokens = prompt.promptTokens - cachedTokens;
     const i = this.#targets.indexOf(target);
-    this.#acceptedTokens[i] += prompt.promptTokens -
-      (fetchFrom ? 0 : heldTokens);
+    this.#addedKvTokens[i] += prompt.promptTokens -
+      (fetchFrom ? 0 : cachedTokens);
     if (key !== undefined) this.#recordPrefixUse(key, i);
     const finish = (): void => {
-      endRead();
-      this.#recordFirstToken(call);
+      endPrefill();
+      this.#recordFirstToken(attempt);
       const tookMs = this.#nowMs - startMs;
       if (key === undefined) {
         model.learn(target.id, { costMs, backlogMs, tookMs });
       } else {
-        model.learnUnloaded(target.id, {
-          unloadedMs: aloneMs,
-          backlogMs,
-          tookMs,
-        });
+        model.learnUnloaded(target.id, { unloadedMs, backlogMs, tookMs });
       }
     };
     this.#engines[i].enqueue({
       freshTokens,
-      cachedTokens: heldTokens,
+      cachedTokens,
       setupMs: fetchFrom === undefined ? 0 : KV_TRANSFER_MS,
       onPrefilled: (atMs) =>
         this.#scheduled.push({ atMs: atMs + RESPONSE_DELAY_MS, run: finish }),
     }, startMs);
   }
 
-  /** The first token reaches the caller, unless it has left. */
-  #recordFirstToken(call: Attempt): void {
+  /** Records the first token, unless the caller has timed out before it arrives. */
+  #recordFirstToken(attempt: Attempt): void {
     const atMs = this.#nowMs + FIRST_TOKEN_DELAY_MS;
-    if (atMs <= computeTimeout(call)) call.request.firstTokenAtMs = atMs;
+    if (atMs <= computeTimeout(attempt)) attempt.request.firstTokenAtMs = atMs;
   }
 
   #recordPrefixUse(key: string, engine: number): void {
-    const held = this.#prefixUses.get(key) ?? new Map<string, number>();
-    held.set(this.#targets[engine].id, this.#acceptedTokens[engine]);
-    this.#prefixUses.set(key, held);
+    const uses = this.#prefixUses.get(key) ?? new Map<string, number>();
+    uses.set(this.#targets[engine].id, this.#addedKvTokens[engine]);
+    this.#prefixUses.set(key, uses);
   }
 
   #buildResult(endMs: number): OverloadResult {
     const kinds: Record<string, KindResult> = {};
     for (const kind of this.#options.kinds) {
       kinds[kind.name] = summarizeKind(
-        this.#requests.filter((wish) => wish.kind === kind),
+        this.#requests.filter((request) => request.kind === kind),
       );
     }
     const busyMs = this.#engines.reduce((sum, e) => sum + e.busyMs, 0);
@@ -397,10 +397,10 @@
   };
 }
 
-/** When the caller of a try leaves, unless its first token has come. */
+/** Returns when the caller of an attempt times out if it has not received its first token. */
 function computeTimeout(
-  { startedAtMs: atMs, request: { kind, arrivedAtMs: wishedAtMs } }: Attempt,
+  { startedAtMs, request: { kind, arrivedAtMs } }: Attempt,
 ): number {
-  const patienceMs = computeCallerTimeoutMs(kind.aimMs);
-  return Math.min(atMs + patienceMs, wishedAtMs + kind.deadlineMs);
+  const timeoutMs = computeCallerTimeoutMs(kind.aimMs);
+  return Math.min(startedAtMs + timeoutMs, arrivedAtMs + kind.deadlineMs);
 }
--- a/packages/heatherarch-lab/bench/placement_simulation.ts
+++ b/packages/heatherarch-lab/bench/placement_simulation.ts
@@ -1,10 +1,11 @@
 /**
- * A model of many VMs that place prompts at engines by what they know of each other, without
- * network and faster than time. The decisions are the product's own: queue, placement, read model.
+ * Simulates many VMs that place prompts on engines, each with its own knowledge of the other VMs' work.
+ * The simulation runs in simulated time without a network. Prefill queue, placement and prefill time
+ * model are those of the product.
  *
- * What is modelled: arrivals by kind with bursts, engines that read first come, first served, the
- * age of the sums by which VMs know of each other's work, caches that keep a beginning for a time.
- * What is not: generating, faults, and messages that get lost.
+ * Simulated are arrivals by kind of request with a burst, engines that prefill in order of arrival, the
+ * age of the digests through which VMs know of each other's work, and caches that retain a prefix for
+ * a fixed time. Decode, faults and lost messages are not simulated.
  *
  * @module
  */
@@ -23,7 +24,7 @@
 /** A kind of request. */
 export interface PlacementRequestKind {
   readonly name: string;
-  /** Requests a second for each reading engine. */
+  /** Requests per second for each prefill engine. */
   readonly rate: number;
   readonly sharedTokens: number;
   readonly uniqueTokens: number;
@@ -37,28 +38,30 @@
 export interface PlacementSimulationOptions {
   readonly seed: number;
   readonly vms: number;
-  /** Engines that read. */
+  /** Number of prefill engines. */
   readonly engines: number;
   readonly seconds: number;
   readonly kinds: readonly PlacementRequestKind[];
-  /** Load in the middle third of the time, as a multiple. */
+  /** Factor by which the load is higher in the middle third of the time. */
   readonly burst: number;
-  /** Age of the sums at their arrival, and the pause between them, milliseconds. */
+  /** Age of the digests when they arrive, in milliseconds. */
   readonly digestAgeMs: number;
+  /** Interval between digests, in milliseconds. */
   readonly digestIntervalMs: number;
-  /** Longest wait that a VM adds to an engine in its choice, milliseconds. */
+  /** Longest jitter that a VM adds to its estimate of an engine, in milliseconds. */
   readonly maxJitterMs: number;
-  /** Every VM knows at once what all have given. */
+  /** Whether every VM knows the current work of all VMs without delay. */
   readonly isOracle?: boolean;
 }
 
-/** What a run earned, by kind. */
+/** Result of a simulation. */
 export interface PlacementSimulationResult {
-  /** Share of the worth that was asked for. */
+  /** Earned share of the offered worth. */
   readonly worth: number;
+  /** Share of requests on time, by kind. */
   readonly onTime: Readonly<Record<string, number>>;
   readonly refused: number;
-  /** Work of the engine that read most, in means. */
+  /** Prefill time of the busiest engine as a multiple of the mean over all engines. */
   readonly busiest: number;
   readonly coldShare: number;
 }
@@ -77,10 +80,9 @@
 }
 
 const STEP_MS = 5;
-/** Beginnings that a kind's requests share. */
 const PREFIXES_PER_KIND = 400;
 const PREFIX_RETENTION_MS = 11_000;
-/** From the end of the reading to the first token at the caller, milliseconds. */
+/** Time from the end of the prefill to the first token at the caller. */
 const FIRST_TOKEN_DELAY_MS = 45;
 const CALLER_TIMEOUT_MS = 1750;
 const TRAITS = {
@@ -91,7 +93,7 @@
   roleChangeMs: 3000,
 };
 
-/** Plays one run. */
+/** Runs one simulation. */
 export function simulatePlacement(
   options: PlacementSimulationOptions,
 ): PlacementSimulationResult {
@@ -105,13 +107,15 @@
   readonly #model = new PrefillTimeModel();
   readonly #placer: PromptPlacer;
   readonly #engines: readonly Target[];
-  /** Readings in progress by engine, and those of some time ago. */
+  /** Prefills in progress, by engine. */
   readonly #prefills: RunningPrefill[][];
+  /** Earlier values of `#prefills`, oldest first. */
   #history: { atMs: number; prefills: RunningPrefill[][] }[] = [];
+  /** For each VM, the prefills of all VMs as it knows them from its last digest. */
   readonly #snapshots: RunningPrefill[][][];
   readonly #queues: PrefillQueue[];
   readonly #jitters: EngineJitter[];
-  /** Engines that hold a beginning, with the time of its last use. */
+  /** For each prefix, the time of its last use on each engine that holds it. */
   readonly #prefixUses = new Map<string, Map<string, number>>();
   readonly #prefillMs: number[];
   #offeredWorth = 0;
@@ -169,22 +173,22 @@
   }
 
   #dropFinishedPrefills(): void {
-    this.#prefills.forEach((readings, i) => {
-      if (readings.length === 0) return;
-      this.#prefills[i] = readings.filter((r) => r.finishAtMs > this.#nowMs);
+    this.#prefills.forEach((prefills, i) => {
+      if (prefills.length === 0) return;
+      this.#prefills[i] = prefills.filter((p) => p.finishAtMs > this.#nowMs);
     });
   }
 
-  /** Each VM hears, in turn, what was going on some time ago. */
+  /** Gives the VMs whose turn it is the state of all prefills as of `digestAgeMs` ago. */
   #updateSnapshots(): void {
-    const { digestAgeMs: ageMs, digestIntervalMs: sumMs, vms } = this.#options;
+    const { digestAgeMs, digestIntervalMs, vms } = this.#options;
     this.#history.push({ atMs: this.#nowMs, prefills: [...this.#prefills] });
-    const known = this.#history.findLastIndex(({ atMs }) =>
-      atMs <= this.#nowMs - ageMs
+    const latest = this.#history.findLastIndex(({ atMs }) =>
+      atMs <= this.#nowMs - digestAgeMs
     );
-    if (known > 0) this.#history = this.#history.slice(known);
-    if (known < 0) return;
-    const turns = sumMs / STEP_MS;
+    if (latest > 0) this.#history = this.#history.slice(latest);
+    if (latest < 0) return;
+    const turns = digestIntervalMs / STEP_MS;
     const turn = Math.round(this.#nowMs / STEP_MS) % turns;
     for (let vm = turn; vm < vms; vm += turns) {
       this.#snapshots[vm] = this.#history[0].prefills;
@@ -193,8 +197,8 @@
 
   #drawArrivals(): void {
     const { kinds, engines, seconds, burst, vms } = this.#options;
-    const third = this.#nowMs / (seconds * 1000);
-    const factor = third > 1 / 3 && third < 2 / 3 ? burst : 1;
+    const elapsedShare = this.#nowMs / (seconds * 1000);
+    const factor = elapsedShare > 1 / 3 && elapsedShare < 2 / 3 ? burst : 1;
     for (const kind of kinds) {
       let expected = kind.rate * engines * factor * STEP_MS / 1000;
       for (; expected > 0; expected--) {
@@ -210,20 +214,25 @@
   }
 
   #drawPrompt(
-    { name, sharedTokens, uniqueTokens: ownTokens }: PlacementRequestKind,
+    { name, sharedTokens, uniqueTokens }: PlacementRequestKind,
   ): GenerationParams {
-    const key = `${name}-${this.#random.drawInteger(0, PREFIXES_PER_KIND - 1)}`;
-    const own = Math.round(this.#random.drawExponential(ownTokens));
+    const prefixId = `${name}-${
+      this.#random.drawInteger(0, PREFIXES_PER_KIND - 1)
+    }`;
+    const unique = Math.round(this.#random.drawExponential(uniqueTokens));
     return {
       model: "m",
-      promptTokens: sharedTokens + own,
+      promptTokens: sharedTokens + unique,
       maxOutputTokens: 20,
-      parts: [{ id: key, tokens: sharedTokens }, { id: "own", tokens: own }],
+      parts: [{ id: prefixId, tokens: sharedTokens }, {
+        id: "own",
+        tokens: unique,
+      }],
     };
   }
 
-  #enqueue(job: ArrivedRequest): void {
-    const { kind, arrivedAtMs: atMs, vm, prompt } = job;
+  #enqueue(request: ArrivedRequest): void {
+    const { kind, arrivedAtMs, vm, prompt } = request;
     this.#requestCount++;
     this.#offeredWorth += kind.worth;
     const count = this.#countsByKind.get(kind.name) ?? { asked: 0, onTime: 0 };
@@ -233,15 +242,15 @@
       lane: kind.lane,
       kind: kind.name,
       tokens: prompt.promptTokens,
-      waitStartedAtMs: atMs,
+      waitStartedAtMs: arrivedAtMs,
       aimMs: kind.aimMs,
-      timeoutAtMs: atMs + CALLER_TIMEOUT_MS,
+      timeoutAtMs: arrivedAtMs + CALLER_TIMEOUT_MS,
       firstTokenDelayMs: FIRST_TOKEN_DELAY_MS,
-      findPlacement: () => this.#findPlacement(job),
+      findPlacement: () => this.#findPlacement(request),
       mayPrefillLate: () => true,
-      onOutcome: (verdict) => {
-        if (verdict.kind === "placed") {
-          this.#startPrefill(job, verdict.placed.placement);
+      onOutcome: (outcome) => {
+        if (outcome.kind === "placed") {
+          this.#startPrefill(request, outcome.placed.placement);
         } else this.#refusedCount++;
       },
     });
@@ -253,9 +262,9 @@
       backlogMs: this.#estimateBacklog(vm, i),
     }));
     const key = this.#placer.findPrefixKey(prompt) ?? "";
-    const held = this.#prefixUses.get(key) ?? new Map<string, number>();
+    const uses = this.#prefixUses.get(key) ?? new Map<string, number>();
     const holders = this.#engines.filter(({ id }) =>
-      this.#nowMs - (held.get(id) ?? -Infinity) < PREFIX_RETENTION_MS
+      this.#nowMs - (uses.get(id) ?? -Infinity) < PREFIX_RETENTION_MS
     );
     return this.#placer.pickEngine(prompt, {
       candidates,
@@ -267,28 +276,29 @@
     });
   }
 
-  /** Own readings are known at once, those of others from the last sum. */
+  /** Sums the VM's own prefills, which it knows at once, and those of other VMs in its last digest. */
   #estimateBacklog(vm: number, engine: number): number {
-    const now = this.#prefills[engine];
-    if (this.#options.isOracle) return sumRemainingMs(now, this.#nowMs);
-    const others = this.#snapshots[vm][engine].filter((r) => r.vm !== vm);
-    const own = now.filter((r) => r.vm === vm);
+    const current = this.#prefills[engine];
+    if (this.#options.isOracle) return sumRemainingMs(current, this.#nowMs);
+    const others = this.#snapshots[vm][engine].filter((p) => p.vm !== vm);
+    const own = current.filter((p) => p.vm === vm);
     return sumRemainingMs(others, this.#nowMs) +
       sumRemainingMs(own, this.#nowMs);
   }
 
   #startPrefill(
-    { vm, kind, arrivedAtMs: atMs, prompt }: ArrivedRequest,
+    { vm, kind, arrivedAtMs, prompt }: ArrivedRequest,
     placement: PromptPlacement,
   ): void {
     const i = this.#engines.indexOf(placement.target);
     const { costMs } = placement;
-    const last = this.#prefills[i].at(-1)?.finishAtMs ?? this.#nowMs;
-    const finishAtMs = last + costMs;
+    const startAtMs = this.#prefills[i].at(-1)?.finishAtMs ?? this.#nowMs;
+    const finishAtMs = startAtMs + costMs;
     this.#prefills[i] = [...this.#prefills[i], { vm, finishAtMs, costMs }];
     this.#prefillMs[i] += costMs;
     this.#recordPrefixUse(placement, prompt);
-    const isOnTime = finishAtMs + FIRST_TOKEN_DELAY_MS <= atMs + kind.aimMs;
+    const isOnTime =
+      finishAtMs + FIRST_TOKEN_DELAY_MS <= arrivedAtMs + kind.aimMs;
     this.#earnedWorth += isOnTime ? kind.worth : kind.lateWorth;
     const count = this.#countsByKind.get(kind.name);
     if (isOnTime && count !== undefined) count.onTime++;
@@ -299,9 +309,9 @@
     if (key === undefined) return;
     this.#prefixedCount++;
     if (placement.isCold) this.#coldCount++;
-    const held = this.#prefixUses.get(key) ?? new Map<string, number>();
-    held.set(placement.target.id, this.#nowMs);
-    this.#prefixUses.set(key, held);
+    const uses = this.#prefixUses.get(key) ?? new Map<string, number>();
+    uses.set(placement.target.id, this.#nowMs);
+    this.#prefixUses.set(key, uses);
   }
 
   #buildResult(): PlacementSimulationResult {
@@ -321,14 +331,14 @@
   }
 }
 
-/** What is left to read, milliseconds. */
+/** Sums the remaining prefill time, in milliseconds. */
 function sumRemainingMs(
-  readings: readonly RunningPrefill[],
+  prefills: readonly RunningPrefill[],
   nowMs: number,
 ): number {
-  let leftMs = 0;
-  for (const { finishAtMs, costMs } of readings) {
-    leftMs += Math.max(0, Math.min(costMs, finishAtMs - nowMs));
+  let remainingMs = 0;
+  for (const { finishAtMs, costMs } of prefills) {
+    remainingMs += Math.max(0, Math.min(costMs, finishAtMs - nowMs));
   }
-  return leftMs;
+  return remainingMs;
 }
--- a/packages/heatherarch-lab/bench/prompt_generator.ts
+++ b/packages/heatherarch-lab/bench/prompt_generator.ts
@@ -1,6 +1,6 @@
 /**
- * Draws the prompts of a model: a shared beginning, of one size for all that share it, and a part
- * of the call's own.
+ * Draws random prompts. Each has a shared prefix, whose size is the same for all prompts that share it,
+ * and a unique part.
  *
  * @module
  */
@@ -8,7 +8,7 @@
 import type { GenerationParams } from "heatherarch-forward";
 import type { OverloadRequestKind } from "./overload_result.ts";
 
-/** Prompts of all kinds of one run. */
+/** Draws the prompts of all kinds of request of one simulation. */
 export class PromptGenerator {
   readonly #random: Random;
   readonly #sharedSizes = new Map<string, number>();
@@ -17,7 +17,7 @@
     this.#random = random;
   }
 
-  /** A prompt of that kind. */
+  /** Draws a prompt of `kind`. */
   draw(kind: OverloadRequestKind): GenerationParams {
     const id = `${kind.name}-${
       this.#random.drawInteger(0, kind.prefixCount - 1)
@@ -27,20 +27,20 @@
       shared = this.#drawSize(kind.sharedTokens, kind.sharedTokensCv);
       this.#sharedSizes.set(id, shared);
     }
-    const own = this.#drawSize(kind.uniqueTokens, kind.uniqueTokensCv);
+    const unique = this.#drawSize(kind.uniqueTokens, kind.uniqueTokensCv);
     return {
       model: "m",
-      promptTokens: shared + own,
+      promptTokens: shared + unique,
       maxOutputTokens: 20,
-      parts: [{ id, tokens: shared }, { id: "own", tokens: own }],
+      parts: [{ id, tokens: shared }, { id: "own", tokens: unique }],
     };
   }
 
-  /** Lognormal by its mean and its standard deviation as a part of the mean. */
-  #drawSize(mean: number, spread: number): number {
-    const variance = Math.log(1 + spread * spread);
-    const a = Math.sqrt(-2 * Math.log(1 - this.#random.drawUnit()));
-    const normal = a * Math.cos(2 * Math.PI * this.#random.drawUnit());
+  /** Draws a lognormal size from its mean and its coefficient of variation. */
+  #drawSize(mean: number, cv: number): number {
+    const variance = Math.log(1 + cv * cv);
+    const radius = Math.sqrt(-2 * Math.log(1 - this.#random.drawUnit()));
+    const normal = radius * Math.cos(2 * Math.PI * this.#random.drawUnit());
     const size = mean * Math.exp(normal * Math.sqrt(variance) - variance / 2);
     return Math.max(1, Math.round(size));
   }
--- a/packages/heatherarch-lab/bench/simulated_prefill_engine.ts
+++ b/packages/heatherarch-lab/bench/simulated_prefill_engine.ts
@@ -1,31 +1,36 @@
 /**
- * An engine that reads prompts in steps, in the order of arrival: one step takes pieces of as many
- * prompts as fit, and costs a fixed time besides. Without network, in simulated time.
+ * Simulates an engine with chunked prefill in simulated time, without a network.
+ *
+ * Prompts are prefilled in order of arrival. One step processes chunks of as many prompts as fit into
+ * its token budget, and adds a fixed overhead.
  *
  * @module
  */
 
-/** Speeds of an engine, from the users' sheet of a 70B model on slower accelerators. */
+/**
+ * Speed of an engine. The defaults are those of a 70B model on the slower accelerators of the users'
+ * load specification.
+ */
 export interface SimulatedPrefillEngineOptions {
-  /** How much longer than on the sheet everything takes. */
+  /** Factor by which every step takes longer than in the load specification. */
   readonly slowdown?: number;
   readonly tokensPerMs?: number;
-  /** Time of attention over a million pairs of tokens, milliseconds. */
+  /** Attention time for a million pairs of tokens, in milliseconds. */
   readonly attentionMsPerMillionPairs?: number;
-  /** Fixed time of a step, milliseconds. */
+  /** Fixed time of a step, in milliseconds. */
   readonly stepOverheadMs?: number;
-  /** Prompt tokens of one step. */
+  /** Maximum number of prompt tokens in one step. */
   readonly chunkTokens?: number;
 }
 
-/** A prompt at an engine. */
+/** A prompt to prefill. */
 export interface SimulatedPrefill {
   readonly freshTokens: number;
-  /** Tokens that are there already. */
+  /** Tokens that are already in the engine's KV cache. */
   readonly cachedTokens: number;
-  /** Time before the reading may begin, such as that of a transfer, milliseconds. */
+  /** Time before the prefill can start, such as that of a KV transfer, in milliseconds. */
   readonly setupMs: number;
-  /** Called with the time at which its last token was read. */
+  /** Called with the time at which the last token was prefilled. */
   readonly onPrefilled: (atMs: number) => void;
 }
 
@@ -49,7 +54,7 @@
 };
 const MILLION = 1e6;
 
-/** One engine. */
+/** A simulated engine. */
 export class SimulatedPrefillEngine {
   readonly #options: Required<SimulatedPrefillEngineOptions>;
   #pending: PendingPrefill[] = [];
@@ -60,12 +65,12 @@
     this.#options = { ...DEFAULTS, ...options };
   }
 
-  /** Time for which it has worked, milliseconds. */
+  /** Total time of all steps, in milliseconds. */
   get busyMs(): number {
     return this.#busyMs;
   }
 
-  /** Takes a prompt in at `nowMs`, which never goes down. */
+  /** Adds a prompt at `nowMs`. `nowMs` must not decrease from call to call. */
   enqueue(prompt: SimulatedPrefill, nowMs: number): void {
     this.advance(nowMs);
     const readyAtMs = nowMs + prompt.setupMs;
@@ -73,55 +78,53 @@
     this.#step ??= this.#startStep(nowMs);
   }
 
-  /** Carries out all steps that end until `nowMs`. */
+  /** Runs all steps that end at or before `nowMs`. */
   advance(nowMs: number): void {
     while (this.#step !== undefined && this.#step.endsAtMs <= nowMs) {
-      const { endsAtMs, completed: read } = this.#step;
-      for (const { prompt } of read) prompt.onPrefilled(endsAtMs);
+      const { endsAtMs, completed } = this.#step;
+      for (const { prompt } of completed) prompt.onPrefilled(endsAtMs);
       this.#step = this.#startStep(endsAtMs);
     }
   }
 
   #startStep(atMs: number): Step | undefined {
     if (this.#pending.length === 0) return undefined;
-    const first = Math.min(...this.#pending.map((w) => w.readyAtMs));
-    const startMs = Math.max(atMs, first);
-    const { slowdown: slowness, stepOverheadMs: stepMs, chunkTokens } =
-      this.#options;
-    let workMs = stepMs;
-    let left = chunkTokens;
-    for (const waiting of this.#pending) {
-      if (left <= 0) break;
-      if (waiting.readyAtMs > startMs) continue;
-      const tokens = Math.min(left, countRemainingTokens(waiting));
-      workMs += this.#computePrefillMs(waiting, tokens);
-      waiting.prefilledTokens += tokens;
-      left -= tokens;
+    const earliestMs = Math.min(...this.#pending.map((p) => p.readyAtMs));
+    const startMs = Math.max(atMs, earliestMs);
+    const { slowdown, stepOverheadMs, chunkTokens } = this.#options;
+    let workMs = stepOverheadMs;
+    let budget = chunkTokens;
+    for (const pending of this.#pending) {
+      if (budget <= 0) break;
+      if (pending.readyAtMs > startMs) continue;
+      const tokens = Math.min(budget, countRemainingTokens(pending));
+      workMs += this.#computePrefillMs(pending, tokens);
+      pending.prefilledTokens += tokens;
+      budget -= tokens;
     }
-    const read = this.#pending.filter((w) => isPrefilled(w, startMs));
-    this.#pending = this.#pending.filter((w) => !isPrefilled(w, startMs));
-    this.#busyMs += workMs * slowness;
-    return { endsAtMs: startMs + workMs * slowness, completed: read };
+    const completed = this.#pending.filter((p) => isPrefilled(p, startMs));
+    this.#pending = this.#pending.filter((p) => !isPrefilled(p, startMs));
+    this.#busyMs += workMs * slowdown;
+    return { endsAtMs: startMs + workMs * slowdown, completed };
   }
 
   #computePrefillMs(
-    { prompt, prefilledTokens: readTokens }: PendingPrefill,
+    { prompt, prefilledTokens }: PendingPrefill,
     tokens: number,
   ): number {
-    const { tokensPerMs, attentionMsPerMillionPairs: pairMsPerMillion } =
-      this.#options;
-    const before = prompt.cachedTokens + readTokens;
-    const pairs = tokens * (before + tokens / 2);
-    return tokens / tokensPerMs + pairs / MILLION * pairMsPerMillion;
+    const { tokensPerMs, attentionMsPerMillionPairs } = this.#options;
+    const contextTokens = prompt.cachedTokens + prefilledTokens;
+    const pairs = tokens * (contextTokens + tokens / 2);
+    return tokens / tokensPerMs + pairs / MILLION * attentionMsPerMillionPairs;
   }
 }
 
 function countRemainingTokens(
-  { prompt, prefilledTokens: readTokens }: PendingPrefill,
+  { prompt, prefilledTokens }: PendingPrefill,
 ): number {
-  return prompt.freshTokens - readTokens;
+  return prompt.freshTokens - prefilledTokens;
 }
 
-function isPrefilled(waiting: PendingPrefill, startMs: number): boolean {
-  return waiting.readyAtMs <= startMs && countRemainingTokens(waiting) <= 0;
+function isPrefilled(pending: PendingPrefill, startMs: number): boolean {
+  return pending.readyAtMs <= startMs && countRemainingTokens(pending) <= 0;
 }
--- a/packages/heatherarch-lab/tests/unit/overload_simulation_test.ts
+++ b/packages/heatherarch-lab/tests/unit/overload_simulation_test.ts
@@ -9,15 +9,18 @@
   simulateOverload,
 } from "../../bench/overload_simulation.ts";
 
-// What was seen: on days of long and short prompts in turn, at up to three times the mean of the
-// long ones, their largest tenth was served a third as often as all of them.
-// How it came about: a prompt that can't be on time went last, and the last got only idle engines.
-// Its price decided that, and the price grew with its size: 1.3 s and more for the largest.
-// Cause: priorities that follow size, with nothing that counted what each size got. Besides, the
-// price held the waits of short prompts, so that most of the largest seemed to be impossible.
-// What proved it: with true prices, and with one ledger for all VMs, the largest starve all the
-// same; counted and given their turn they are served on all seeds once they are judged by the time
-// that they take by themselves.
+// Guards against starvation of the largest prompts in an overload. With bursts of long and short prompts
+// in turn, at up to three times the mean rate of the long ones, the largest tenth of the long prompts
+// was served a third as often as all long prompts.
+//
+// A prompt that could not be on time was served last, and only by an idle engine. This was decided by its
+// estimated cost, which grew with its size and was 1.3 s and more for the largest prompts. Priority thus
+// followed size, and nothing counted the share that each size received. The cost also included waits
+// behind short prompts, so that most of the largest prompts appeared unable to be on time.
+//
+// With exact costs, and with one work tracker for all VMs, the largest prompts starved all the same.
+// They are served with all seeds since shares are counted by size, underserved sizes get their turn, and
+// prompts are judged by their prefill time on an unloaded engine.
 
 const LONG: OverloadRequestKind = {
   name: "long",
@@ -47,16 +50,16 @@
   worth: 1.3,
   lateWorth: 0.13,
 };
-const TURN_S = 2.8;
+const BURST_S = 2.8;
 
-/** Fourteen seconds of long prompts above their mean and as many of short ones, in turns. */
-function buildTurns(): OverloadPhase[] {
+/** Builds fourteen seconds of long prompts above their mean rate, then fourteen of short ones, in bursts. */
+function buildPhases(): OverloadPhase[] {
   const phases: OverloadPhase[] = [{ seconds: 3, load: { long: 1, short: 1 } }];
   for (const [long, short] of [[1.7, 0.47], [0.37, 1.8]]) {
-    for (let turn = 0; turn < 5; turn++) {
-      const isLong = turn % 2 === 0;
+    for (let burst = 0; burst < 5; burst++) {
+      const isLong = burst % 2 === 0;
       phases.push({
-        seconds: TURN_S,
+        seconds: BURST_S,
         load: {
           long: long * (isLong ? 1.65 : 0.62),
           short: short * (isLong ? 0.62 : 1.6),
@@ -67,35 +70,35 @@
   return phases;
 }
 
-/** Two kinds of engine; on heavy days one of four is lost. */
+/** Slowdown factors of the engines. There are two kinds of engine, and in one fleet one of four has failed. */
 const FLEETS: Readonly<Record<string, readonly number[]>> = {
   "four engines": [1, 1, 1.3, 1.3],
   "three engines": [1, 1, 1.3],
 };
-/** Least share of the large prompts of a kind that is served, as a part of that of all of it. */
-const LEAST_PART = 0.5;
+/** Minimum served share of the large prompts of a kind, relative to the served share of all of its prompts. */
+const MIN_RELATIVE_SHARE = 0.5;
 
-function assertEven({ served, largestTenth, fifthBelow }: KindResult): void {
+function assertFair({ served, largestTenth, fifthBelow }: KindResult): void {
   for (const [name, band] of Object.entries({ largestTenth, fifthBelow })) {
     assert.ok(
-      band.served >= served * LEAST_PART,
+      band.served >= served * MIN_RELATIVE_SHARE,
       `${name}: ${band.served.toFixed(2)} served, of all ${served.toFixed(2)}`,
     );
   }
 }
 
 for (const [name, engines] of Object.entries(FLEETS)) {
-  test(`${name} under an overload: the largest prompts are served at least half as often as all`, () => {
+  test(`${name} under overload: the largest prompts are served at least half as often as all`, () => {
     for (let seed = 1; seed <= 12; seed++) {
       const { kinds } = simulateOverload({
         seed,
         vms: 6,
         engines,
         kinds: [LONG, SHORT],
-        phases: buildTurns(),
+        phases: buildPhases(),
       });
-      assertEven(kinds.long);
-      assertEven(kinds.short);
+      assertFair(kinds.long);
+      assertFair(kinds.short);
     }
   });
 }
--- a/packages/heatherarch-lab/tests/unit/placement_simulation_test.ts
+++ b/packages/heatherarch-lab/tests/unit/placement_simulation_test.ts
@@ -16,7 +16,10 @@
   lateWorth: 0.3,
 };
 
-function play(vms: number, changes: { spreadMs?: number; isOracle?: boolean }) {
+function simulate(
+  vms: number,
+  changes: { maxJitterMs?: number; isOracle?: boolean },
+) {
   return simulatePlacement({
     seed: 3,
     vms,
@@ -31,18 +34,22 @@
   });
 }
 
-// Pattern: many VMs with the same sums, a tenth of a second old, before engines that are busy for
-// a third of the time. Seen at 195 VMs: a third of the short prompts late while engines stood idle.
-test("many VMs that know little of each other leave no short prompt behind others", () => {
-  const alike = play(60, {});
-  const spread = play(60, { spreadMs: 40 });
-  const oracle = play(60, { isOracle: true });
+// Guards against VMs that all choose the same engine because they have the same digests, a tenth of a
+// second old, while the engines are busy for a third of the time. With 195 VMs, a third of the short
+// prompts were late while engines were idle.
+test("jitter keeps many VMs with stale digests from queueing short prompts on the same engines", () => {
+  const noJitter = simulate(60, {});
+  const jitter = simulate(60, { maxJitterMs: 40 });
+  const oracle = simulate(60, { isOracle: true });
   assert.ok(oracle.worth > 0.98, `${oracle.worth}`);
-  assert.ok(alike.worth < 0.8, `${alike.worth}`);
-  const lost = (oracle.worth - spread.worth) / (oracle.worth - alike.worth);
-  assert.ok(lost < 0.25, `${lost} of what is lost by choosing alike`);
+  assert.ok(noJitter.worth < 0.8, `${noJitter.worth}`);
+  const lost = (oracle.worth - jitter.worth) / (oracle.worth - noJitter.worth);
+  assert.ok(lost < 0.25, `${lost} of the worth that is lost without jitter`);
 });
 
-test("a run depends on its seed alone", () => {
-  assert.deepEqual(play(9, { spreadMs: 40 }), play(9, { spreadMs: 40 }));
+test("a simulation depends only on its seed", () => {
+  assert.deepEqual(
+    simulate(9, { maxJitterMs: 40 }),
+    simulate(9, { maxJitterMs: 40 }),
+  );
 });
