--- a/packages/heatherarch-lab/bench/claims_bench.ts
+++ b/packages/heatherarch-lab/bench/claims_bench.ts
@@ -1,6 +1,6 @@
 /**
- * At most once at rate: claims a second against appends a second, with and without group
- * commit, on a log that takes 300 appends a second and answers in 5 to 50 ms.
+ * Measures the throughput of claims, with and without group commit, on a log that accepts 300
+ * appends per second and responds in 5 to 50 ms.
  *
  * @module
  */
@@ -9,7 +9,7 @@
 import { MemoryLog } from "heatherarch-standins";
 import { computeQuantiles, type Quantiles, roundTo } from "./statistics.ts";
 
-/** Result of one way of committing. */
+/** Result of one configuration. */
 export interface ClaimsReport {
   readonly way: string;
   readonly shards: number;
@@ -26,7 +26,7 @@
 const APPEND_LATENCY_MS = { low: 5, high: 50 };
 const DURATION_S = 6;
 
-/** Measures several ways. */
+/** Measures all configurations. */
 export async function runClaimsBench(): Promise<ClaimsReport[]> {
   const reports: ClaimsReport[] = [];
   for (const [way, shards, maxBatch, callers] of CONFIGURATIONS) {
@@ -48,32 +48,35 @@
 async function measureConfiguration(
   options: { way: string; shards: number; maxBatch: number; callers: number },
 ): Promise<ClaimsReport> {
-  const { way, shards: count, maxBatch, callers } = options;
+  const { way, shards: shardCount, maxBatch, callers } = options;
   const log = new MemoryLog({
     appendsPerSecond: APPENDS_PER_SECOND,
     appendMs: APPEND_LATENCY_MS,
   });
-  const shards = Array.from({ length: count }, (_, shard) =>
-    new ClaimShard({
-      shard,
-      log,
-      clock: new RuntimeClock(),
-      batchMs: 5,
-      maxBatch,
-      timeoutMs: 30_000,
-      snapshotEveryRecords: 1_000_000,
-      keyWindowMs: 86_400_000,
-      futureSkewMs: 60_000,
-    }));
-  const times: number[] = [];
-  const untilMs = performance.now() + DURATION_S * 1000;
-  const cpuBefore = process.cpuUsage();
-  const worker = async (): Promise<void> => {
-    while (performance.now() < untilMs) {
+  const shards = Array.from(
+    { length: shardCount },
+    (_, shard) =>
+      new ClaimShard({
+        shard,
+        log,
+        clock: new RuntimeClock(),
+        batchMs: 5,
+        maxBatch,
+        timeoutMs: 30_000,
+        snapshotEveryRecords: 1_000_000,
+        keyWindowMs: 86_400_000,
+        futureSkewMs: 60_000,
+      }),
+  );
+  const latenciesMs: number[] = [];
+  const endMs = performance.now() + DURATION_S * 1000;
+  const cpuAtStart = process.cpuUsage();
+  const runCaller = async (): Promise<void> => {
+    while (performance.now() < endMs) {
       const madeAtMs = Date.now();
       const key = `desk/bookings/${madeAtMs}-${createId("k")}`;
       const startMs = performance.now();
-      await shards[computeShard(key, count)].claim({
+      await shards[computeShard(key, shardCount)].claim({
         op: "claim",
         claimId: createId("claim"),
         key,
@@ -81,20 +84,23 @@
         fingerprint: "f",
         vm: "vm",
       });
-      times.push(performance.now() - startMs);
+      latenciesMs.push(performance.now() - startMs);
     }
   };
-  await Promise.all(Array.from({ length: callers }, worker));
-  const cpu = process.cpuUsage(cpuBefore);
+  await Promise.all(Array.from({ length: callers }, runCaller));
+  const cpu = process.cpuUsage(cpuAtStart);
   return {
     way,
-    shards: count,
+    shards: shardCount,
     maxBatch,
     callers,
-    claimsPerSecond: Math.round(times.length / DURATION_S),
+    claimsPerSecond: Math.round(latenciesMs.length / DURATION_S),
     appendsPerSecond: Math.round(log.appends / DURATION_S),
-    claimsPerAppend: roundTo(times.length / log.appends, 1),
-    addedLatencyMs: computeQuantiles(times),
-    cpuMicrosecondsPerClaim: roundTo((cpu.user + cpu.system) / times.length, 1),
+    claimsPerAppend: roundTo(latenciesMs.length / log.appends, 1),
+    addedLatencyMs: computeQuantiles(latenciesMs),
+    cpuMicrosecondsPerClaim: roundTo(
+      (cpu.user + cpu.system) / latenciesMs.length,
+      1,
+    ),
   };
 }
--- a/packages/heatherarch-lab/bench/clairvoyant_goodput.ts
+++ b/packages/heatherarch-lab/bench/clairvoyant_goodput.ts
@@ -1,7 +1,7 @@
 /**
- * An estimate of what a planner could do that knows the whole trace: engines change roles at
- * once and for nothing, every prefix that was seen is cached, and requests that would be late
- * are known from the start.
+ * Estimates the goodput of a clairvoyant planner, which knows the whole trace in advance. Its
+ * engines change roles immediately and at no cost, every prefix that has occurred is cached, and
+ * requests that would miss their deadline are known from the start.
  *
  * @module
  */
@@ -17,30 +17,30 @@
   readonly workMs: number;
 }
 
-/** Counts the readings that `engines` could answer in time. */
+/** Counts the generation requests that `engines` could complete within their deadlines. */
 export function countClairvoyantGoodput(
   requests: readonly TraceRequest[],
   engines: number,
   costs: TokenCosts,
 ): number {
   const jobs = buildJobs(requests, engines, costs);
-  // Cheapest first: each kept job leaves the most room for others.
-  const order = [...jobs].sort((a, b) => a.workMs - b.workMs);
+  // The cheapest jobs come first, because they leave the most capacity for others.
+  const byCost = [...jobs].sort((a, b) => a.workMs - b.workMs);
   if (isFeasible(jobs)) return jobs.length;
-  // Find the longest feasible prefix by halving, then add what still fits in steps.
+  // A binary search finds the longest feasible prefix; later jobs are added one by one if they fit.
   let low = 0;
-  let high = order.length;
+  let high = byCost.length;
   while (low < high) {
     const middle = Math.ceil((low + high) / 2);
-    if (isFeasible(order.slice(0, middle))) low = middle;
+    if (isFeasible(byCost.slice(0, middle))) low = middle;
     else high = middle - 1;
   }
-  const kept = order.slice(0, low);
-  for (let at = low; at < order.length; at++) {
-    kept.push(order[at]);
-    if (!isFeasible(kept)) kept.pop();
+  const selected = byCost.slice(0, low);
+  for (let index = low; index < byCost.length; index++) {
+    selected.push(byCost[index]);
+    if (!isFeasible(selected)) selected.pop();
   }
-  return kept.length;
+  return selected.length;
 }
 
 function buildJobs(
@@ -48,13 +48,17 @@
   engines: number,
   costs: TokenCosts,
 ): Job[] {
-  const seen = new Set<string>();
+  const seenPrefixes = new Set<string>();
   return requests.filter((request) => request.outputTokens > 0).map(
     (request) => {
-      const cached = seen.has(request.prefixId) ? SHARED_PREFIX_SHARE : 0;
-      seen.add(request.prefixId);
-      const prefill = request.promptTokens * (1 - cached) * costs.prefill;
-      const workMs = (prefill + request.outputTokens * costs.decode) * 1000 /
+      const cachedShare = seenPrefixes.has(request.prefixId)
+        ? SHARED_PREFIX_SHARE
+        : 0;
+      seenPrefixes.add(request.prefixId);
+      const prefillSeconds = request.promptTokens * (1 - cachedShare) *
+        costs.prefill;
+      const workMs = (prefillSeconds + request.outputTokens * costs.decode) *
+        1000 /
         engines;
       return {
         releasedAtMs: request.atMs,
@@ -65,36 +69,41 @@
   );
 }
 
-/** Whether one machine as fast as all engines together can finish all in time (preemptive EDF). */
+/**
+ * Whether one machine that is as fast as all engines together can finish all jobs by their
+ * deadlines, with preemptive earliest-deadline-first scheduling.
+ */
 function isFeasible(jobs: readonly Job[]): boolean {
   const arrivals = [...jobs].sort((a, b) => a.releasedAtMs - b.releasedAtMs);
-  const open: { dueMs: number; leftMs: number }[] = [];
+  const ready: { deadlineAtMs: number; remainingMs: number }[] = [];
   let nowMs = 0;
-  for (let at = 0; at <= arrivals.length; at++) {
-    const untilMs = at < arrivals.length ? arrivals[at].releasedAtMs : Infinity;
-    while (open.length > 0 && nowMs < untilMs) {
-      const job = open[0];
-      const spentMs = Math.min(job.leftMs, untilMs - nowMs);
-      nowMs += spentMs;
-      job.leftMs -= spentMs;
-      if (nowMs > job.dueMs + 1e-6) return false;
-      if (job.leftMs <= 1e-9) open.shift();
+  for (let index = 0; index <= arrivals.length; index++) {
+    const nextReleaseMs = index < arrivals.length
+      ? arrivals[index].releasedAtMs
+      : Infinity;
+    while (ready.length > 0 && nowMs < nextReleaseMs) {
+      const job = ready[0];
+      const runMs = Math.min(job.remainingMs, nextReleaseMs - nowMs);
+      nowMs += runMs;
+      job.remainingMs -= runMs;
+      if (nowMs > job.deadlineAtMs + 1e-6) return false;
+      if (job.remainingMs <= 1e-9) ready.shift();
     }
-    if (at === arrivals.length) break;
-    nowMs = Math.max(nowMs, untilMs);
-    insertByDeadline(open, {
-      dueMs: arrivals[at].deadlineAtMs,
-      leftMs: arrivals[at].workMs,
+    if (index === arrivals.length) break;
+    nowMs = Math.max(nowMs, nextReleaseMs);
+    insertByDeadline(ready, {
+      deadlineAtMs: arrivals[index].deadlineAtMs,
+      remainingMs: arrivals[index].workMs,
     });
   }
   return true;
 }
 
 function insertByDeadline(
-  open: { dueMs: number; leftMs: number }[],
-  job: { dueMs: number; leftMs: number },
+  ready: { deadlineAtMs: number; remainingMs: number }[],
+  job: { deadlineAtMs: number; remainingMs: number },
 ): void {
-  let at = open.length;
-  while (at > 0 && open[at - 1].dueMs > job.dueMs) at--;
-  open.splice(at, 0, job);
+  let index = ready.length;
+  while (index > 0 && ready[index - 1].deadlineAtMs > job.deadlineAtMs) index--;
+  ready.splice(index, 0, job);
 }
--- a/packages/heatherarch-lab/bench/control_bench.ts
+++ b/packages/heatherarch-lab/bench/control_bench.ts
@@ -1,7 +1,7 @@
 /**
- * Slopes of the control work: bytes and processor time of one real daemon by the number of
- * its peers, the runners of its zone and the changes of configuration; cost of a step of each
- * decision machine at the size to design for.
+ * Measures how the control work of one real daemon, in bytes and CPU time, grows with its peers,
+ * the targets of its zone and configuration changes. Also measures the cost of one step of each
+ * state machine at the design size.
  *
  * @module
  */
@@ -26,7 +26,7 @@
 import { readUsage } from "./process_usage.ts";
 import { fitLine, roundTo } from "./statistics.ts";
 
-/** One size at which the daemon was measured. */
+/** Measurement of the daemon at one size. */
 export interface ControlPoint {
   readonly peers: number;
   readonly runners: number;
@@ -72,41 +72,43 @@
     points.push(point);
   }
   const byPeer = points.filter((point) => point.runners === 0);
-  const byRunner = points.filter((point) =>
+  const byTarget = points.filter((point) =>
     point.peers === 50 && point.changesPerSecond === 0
   );
-  const line = (
-    of: readonly ControlPoint[],
+  const computeSlope = (
+    subset: readonly ControlPoint[],
     x: (point: ControlPoint) => number,
     y: (point: ControlPoint) => number,
-  ) => fitLine(of.map((point) => ({ x: x(point), y: y(point) }))).slope;
-  const [quiet, busy] = points.slice(-2);
-  const rate = busy.changesPerSecond;
+  ) => fitLine(subset.map((point) => ({ x: x(point), y: y(point) }))).slope;
+  const [unchanged, changed] = points.slice(-2);
+  const rate = changed.changesPerSecond;
   return {
     points,
     perPeer: {
       cpuPercent: roundTo(
-        100 * line(byPeer, (p) => p.peers, (p) => p.cpuShare),
+        100 * computeSlope(byPeer, (p) => p.peers, (p) => p.cpuShare),
         4,
       ),
       bytesPerSecond: roundTo(
-        line(byPeer, (p) => p.peers, (p) => p.bytesPerSecond),
+        computeSlope(byPeer, (p) => p.peers, (p) => p.bytesPerSecond),
         1,
       ),
     },
     perRunner: {
       cpuPercent: roundTo(
-        100 * line(byRunner, (p) => p.runners, (p) => p.cpuShare),
+        100 * computeSlope(byTarget, (p) => p.runners, (p) => p.cpuShare),
         4,
       ),
       bytesPerSecond: roundTo(
-        line(byRunner, (p) => p.runners, (p) => p.bytesPerSecond),
+        computeSlope(byTarget, (p) => p.runners, (p) => p.bytesPerSecond),
         1,
       ),
     },
     perChange: {
-      cpuMs: roundTo(1000 * (busy.cpuShare - quiet.cpuShare) / rate, 2),
-      bytes: Math.round((busy.bytesPerSecond - quiet.bytesPerSecond) / rate),
+      cpuMs: roundTo(1000 * (changed.cpuShare - unchanged.cpuShare) / rate, 2),
+      bytes: Math.round(
+        (changed.bytesPerSecond - unchanged.bytesPerSecond) / rate,
+      ),
     },
     machines: measureMachines(),
   };
@@ -125,10 +127,10 @@
     plainService: "bookings",
     planning: { policy: "none" },
   });
-  const runners = await startTargetServers(size.runners);
+  const targetServers = await startTargetServers(size.runners);
   const peers: MeshNode[] = [];
-  const withRunners = addTargets(deployment, runners);
-  const cluster = new Cluster({ deployment: withRunners.deployment });
+  const extended = addTargets(deployment, targetServers);
+  const cluster = new Cluster({ deployment: extended.deployment });
   try {
     await cluster.startStandins();
     const [vm] = deployment.vms;
@@ -142,19 +144,22 @@
           index: i,
           port: ports[i],
           count: size.peers,
-          runners: withRunners.ids,
+          targetIds: extended.ids,
         }),
       );
     }
-    const fleet = withRunners.fleet;
-    const first = await cluster.publish({ kind: "publishFleet", fleet }, -1);
-    if (first.status !== 200) throw new Error(JSON.stringify(first.body));
+    const fleet = extended.fleet;
+    const result = await cluster.publish(
+      { kind: "publishFleet", fleet },
+      -1,
+    );
+    if (result.status !== 200) throw new Error(JSON.stringify(result.body));
     await sleep(WARMUP_MS);
     return await measurePoint(cluster, vm, size);
   } finally {
     for (const peer of peers) peer.stop();
     await cluster.stop();
-    for (const server of runners) server.close();
+    for (const server of targetServers) server.close();
   }
 }
 
@@ -165,24 +170,27 @@
 ): Promise<ControlPoint> {
   const pid = cluster.getPid(vm.id) as number;
   const startMs = performance.now();
-  const before = readUsage(pid);
-  const trafficBefore = (await cluster.readStatus(vm)).mesh;
+  const usageBefore = readUsage(pid);
+  const meshBefore = (await cluster.readStatus(vm)).mesh;
   let publishing = Promise.resolve();
   if (size.changesPerSecond > 0) {
     publishing = publishRepeatedly(cluster, size.changesPerSecond);
   }
   await sleep(MEASUREMENT_MS);
   await publishing;
-  const after = readUsage(pid);
-  const traffic = (await cluster.readStatus(vm)).mesh;
+  const usageAfter = readUsage(pid);
+  const meshAfter = (await cluster.readStatus(vm)).mesh;
   const seconds = (performance.now() - startMs) / 1000;
-  const bytes = traffic.bytesSent + traffic.bytesReceived -
-    trafficBefore.bytesSent - trafficBefore.bytesReceived;
+  const bytes = meshAfter.bytesSent + meshAfter.bytesReceived -
+    meshBefore.bytesSent - meshBefore.bytesReceived;
   return {
     ...size,
-    cpuShare: roundTo((after.cpuSeconds - before.cpuSeconds) / seconds, 4),
+    cpuShare: roundTo(
+      (usageAfter.cpuSeconds - usageBefore.cpuSeconds) / seconds,
+      4,
+    ),
     bytesPerSecond: Math.round(bytes / seconds),
-    residentMb: Math.round(after.residentBytes / 1024 / 1024),
+    residentMb: Math.round(usageAfter.residentBytes / 1024 / 1024),
   };
 }
 
@@ -191,25 +199,25 @@
   perSecond: number,
 ): Promise<void> {
   let base = -1;
-  const untilMs = performance.now() + MEASUREMENT_MS - 1000;
-  while (performance.now() < untilMs) {
+  const endMs = performance.now() + MEASUREMENT_MS - 1000;
+  while (performance.now() < endMs) {
     const change = {
       kind: "putProfile",
       profile: { name: "default", deadlineMs: 1000 + base + 10 },
     };
-    const answer = await cluster.publish(change, base);
-    if (answer.status === 200) base = answer.body.offset ?? base;
+    const response = await cluster.publish(change, base);
+    if (response.status === 200) base = response.body.offset ?? base;
     await sleep(1000 / perSecond);
   }
 }
 
-/** Small servers that report a load that changes all the time. */
+/** Starts servers that report a constantly changing load. */
 async function startTargetServers(count: number): Promise<Server[]> {
   const servers: Server[] = [];
   for (let i = 0; i < count; i++) {
-    let reads = i;
+    let readCount = i;
     const server = createServer((_req, res) => {
-      reads++;
+      readCount++;
       res.setHeader("content-type", "application/json");
       res.end(JSON.stringify({
         role: "decode",
@@ -217,9 +225,9 @@
         version: "1",
         changing: false,
         draining: false,
-        running: reads % 60,
-        waiting: reads % 3,
-        pending_prefill_tokens: (reads * 37) % 4000,
+        running: readCount % 60,
+        waiting: readCount % 3,
+        pending_prefill_tokens: (readCount * 37) % 4000,
         kv_used: 0.5,
         fencing: 0,
       }));
@@ -234,29 +242,31 @@
 }
 
 function addTargets(deployment: Deployment, servers: readonly Server[]) {
-  const extra: Partial<Target>[] = servers.map((server, index) => ({
+  const targetsOfServers: Partial<Target>[] = servers.map((server, index) => ({
     id: `runner${index}`,
     service: "reader",
     availabilityZone: ZONE,
     address: `127.0.0.1:${(server.address() as { port: number }).port}`,
   }));
-  const targets = servers.length === 0 ? deployment.fleet.targets : extra;
+  const targets = servers.length === 0
+    ? deployment.fleet.targets
+    : targetsOfServers;
   const fleet = parseFleet({ ...deployment.fleet, targets }).unwrap();
-  const ids = extra.map((target) => target.id as string);
+  const ids = targetsOfServers.map((target) => target.id as string);
   return { deployment, fleet, ids };
 }
 
-/** A peer of the daemon that behaves as one: heartbeats, and rows of what it watches. */
+/** Starts a mesh peer that sends heartbeats with load reports of the targets that it watches. */
 async function startPeer(
   options: {
     vm: DeployedVm;
     index: number;
     port: number;
     count: number;
-    runners: readonly string[];
+    targetIds: readonly string[];
   },
 ): Promise<MeshNode> {
-  const { vm, index, port, count, runners } = options;
+  const { vm, index, port, count, targetIds } = options;
   const id = `${ZONE}-peer${index}`;
   const mesh = `127.0.0.1:${port}`;
   const self = {
@@ -271,21 +281,21 @@
     availabilityZone: ZONE,
     mesh: vm.mesh,
   }]);
-  const watched = runners.filter((_, at) =>
-    at % count === index || (at + 7) % count === index
+  const watched = targetIds.filter((_, position) =>
+    position % count === index || (position + 7) % count === index
   );
-  let beats = 0;
+  let heartbeatCount = 0;
   const buildHeartbeat = (_link: Link): Heartbeat => {
-    beats++;
+    heartbeatCount++;
     const reports = watched.map((
-      runner,
+      targetId,
     ): ReportRow => [
-      runner,
+      targetId,
       1,
       0,
-      (beats + index) % 60,
-      beats % 3,
-      (beats * 37) % 4000,
+      (heartbeatCount + index) % 60,
+      heartbeatCount % 3,
+      (heartbeatCount * 37) % 4000,
     ]);
     return {
       kind: "heartbeat",
--- a/packages/heatherarch-lab/bench/machine_costs.ts
+++ b/packages/heatherarch-lab/bench/machine_costs.ts
@@ -1,5 +1,5 @@
 /**
- * Cost of one step of each decision machine at the size to design for.
+ * Measures the cost of one step of each state machine at the design size.
  *
  * @module
  */
@@ -23,12 +23,12 @@
 import { parseFleet } from "heatherarch-settings";
 import { roundTo } from "./statistics.ts";
 
-/** Cost of one step. */
+/** Cost of one step of a state machine. */
 export interface MachineCost {
   readonly machine: string;
   readonly size: string;
   readonly microseconds: number;
-  /** Growth of the heap by the machine's whole state, megabytes; absent where not measured. */
+  /** Heap growth by the whole state, in megabytes; absent if not measured. */
   readonly stateMb?: number;
 }
 
@@ -41,7 +41,7 @@
 const KEY_COUNT = 100_000;
 const MEGABYTE = 1024 * 1024;
 
-/** Measures all machines. */
+/** Measures all state machines. */
 export function measureMachines(): MachineCost[] {
   return [
     ...measureConfig(),
@@ -91,9 +91,13 @@
 }
 
 function measureConfig(): MachineCost[] {
-  const before = readHeapMb();
+  const heapBeforeMb = readHeapMb();
   const fleet = buildLargeFleet();
-  const build = (offset: number, change: unknown, baseRevision: number) => ({
+  const buildRecord = (
+    offset: number,
+    change: unknown,
+    baseRevision: number,
+  ) => ({
     offset,
     appendedAtMs: 0,
     data: {
@@ -110,17 +114,17 @@
   const startMs = performance.now();
   state = applyConfigRecord(
     state,
-    build(0, { kind: "publishFleet", fleet }, -1),
+    buildRecord(0, { kind: "publishFleet", fleet }, -1),
   );
   const publishMs = performance.now() - startMs;
   let base = -1;
   const microseconds = measureStep(2000, () => {
     const offset = state.offset + 1;
     const change = { kind: "putProfile", profile: { name: "p" } };
-    state = applyConfigRecord(state, build(offset, change, base));
+    state = applyConfigRecord(state, buildRecord(offset, change, base));
     base = offset;
   });
-  const check = performance.now();
+  const checkStartMs = performance.now();
   parseFleet(fleet);
   const size = `${TARGET_COUNT} runners, ${ACCOUNT_COUNT} accounts`;
   return [
@@ -128,7 +132,7 @@
       machine: "config fold, one profile change",
       size,
       microseconds,
-      stateMb: roundTo(readHeapMb() - before, 1),
+      stateMb: roundTo(readHeapMb() - heapBeforeMb, 1),
     },
     {
       machine: "config fold, whole fleet published",
@@ -138,7 +142,7 @@
     {
       machine: "check of a fleet",
       size,
-      microseconds: Math.round((performance.now() - check) * 1000),
+      microseconds: Math.round((performance.now() - checkStartMs) * 1000),
     },
   ];
 }
@@ -232,14 +236,14 @@
 }
 
 function measureLease(): MachineCost {
-  let ids = 0;
+  let idCount = 0;
   const machine = new LeaseStateMachine({
     vm: "vm",
     incarnation: "r",
     durationMs: 4000,
     driftMs: 500,
     renewMs: 1000,
-    createId: () => `id${ids++}`,
+    createId: () => `id${idCount++}`,
   });
   let offset = 0;
   const microseconds = measureStep(5000, (index) => {
@@ -252,12 +256,12 @@
 }
 
 function measureClaims(): MachineCost[] {
-  const before = readHeapMb();
+  const heapBeforeMb = readHeapMb();
   const fold = new ClaimFold({ keyWindowMs: 86_400_000, futureSkewMs: 60_000 });
-  const perBatch = 50;
+  const batchSize = 50;
   const startMs = performance.now();
-  for (let batch = 0; batch < KEY_COUNT / perBatch; batch++) {
-    const entries = Array.from({ length: perBatch }, (_, i) => ({
+  for (let batch = 0; batch < KEY_COUNT / batchSize; batch++) {
+    const entries = Array.from({ length: batchSize }, (_, i) => ({
       op: "claim" as const,
       claimId: `claim${batch}-${i}`,
       key: `desk/bookings/1764700000000-${batch}-${i}`,
@@ -277,8 +281,11 @@
     (performance.now() - startMs) * 1000 / KEY_COUNT,
     2,
   );
-  const stateMb = roundTo(readHeapMb() - before, 1);
-  const snapshot = measureStep(5, () => void fold.buildSnapshot(() => "id"));
+  const stateMb = roundTo(readHeapMb() - heapBeforeMb, 1);
+  const snapshotMicroseconds = measureStep(
+    5,
+    () => void fold.buildSnapshot(() => "id"),
+  );
   return [
     {
       machine: "claims fold, one claim",
@@ -289,13 +296,13 @@
     {
       machine: "claims snapshot",
       size: `${KEY_COUNT} keys`,
-      microseconds: snapshot,
+      microseconds: snapshotMicroseconds,
     },
   ];
 }
 
 function measureAccounts(): MachineCost {
-  const before = readHeapMb();
+  const heapBeforeMb = readHeapMb();
   const limits = new AccountLimits({ maxInFlight: 20_000 });
   const accounts = Array.from({ length: ACCOUNT_COUNT }, (_, i) => ({
     name: `account${i}`,
@@ -312,7 +319,7 @@
     );
     if (acquired.ok) (acquired.val as () => void)();
   });
-  const stateMb = roundTo(readHeapMb() - before, 1);
+  const stateMb = roundTo(readHeapMb() - heapBeforeMb, 1);
   return {
     machine: "account limits, one request",
     size: `${ACCOUNT_COUNT} accounts`,
--- a/packages/heatherarch-lab/bench/mix_bench.ts
+++ b/packages/heatherarch-lab/bench/mix_bench.ts
@@ -1,6 +1,6 @@
 /**
- * Goodput of policies through a shifting mix: the same trace through real daemons, once for
- * each policy.
+ * Measures the goodput of policies while the request mix shifts. The same trace is replayed against
+ * real daemons, once for each policy.
  *
  * @module
  */
@@ -24,10 +24,10 @@
   type TraceRequest,
 } from "./trace.ts";
 
-/** Deployments that the benchmark runs as. */
+/** Deployments that the benchmark can use. */
 export type MixDeployment = "alalay" | "bomnal";
 
-/** A policy under test. */
+/** One arm of the benchmark: a policy under test. */
 interface Arm {
   readonly name: ArmName;
   readonly routing: RoutingKind;
@@ -52,7 +52,7 @@
   { name: "ours", routing: "prefixAffinity", planning: "horizon" },
 ];
 
-/** Speeds of the engines in this benchmark. */
+/** Speed of the engines in this benchmark. */
 export const MIX_SPEEDS = {
   stepMs: 20,
   decodeMsPerSequence: 0.15,
@@ -61,7 +61,7 @@
 };
 const ROLE_CHANGE_MS = 4000;
 
-/** Engine-seconds that a token costs at these speeds. */
+/** Computes the engine-seconds that a token costs at these speeds. */
 export function computeTokenCosts(): TokenCosts {
   const model = new EngineModel(MIX_SPEEDS);
   return {
@@ -70,7 +70,7 @@
   };
 }
 
-/** What one policy did with the trace. */
+/** Result of one policy. */
 export interface ArmReport {
   readonly goodput: number;
   readonly goodputTokens: number;
@@ -102,7 +102,7 @@
   readonly deployment: MixDeployment;
   readonly arms: Partial<Record<ArmName, ArmReport>>;
   readonly clairvoyantGoodput: number;
-  /** Ours over the best of the others. */
+  /** Goodput of our policy divided by that of the best other policy. */
   readonly ratioToBest: number;
   readonly ratioToClairvoyant: number;
   readonly roleChangesToGreedy: number;
@@ -119,7 +119,7 @@
   readonly print?: (line: string) => void;
 }
 
-/** Runs a trace through every policy. */
+/** Replays a trace with every policy. */
 export async function runMixBench(options: MixOptions): Promise<MixReport> {
   const arms: Partial<Record<ArmName, ArmReport>> = {};
   const timelines: Partial<Record<ArmName, readonly TimelinePoint[]>> = {};
@@ -143,7 +143,7 @@
     engines,
     computeTokenCosts(),
   );
-  const others = ARMS.filter((arm) => arm.name !== "ours").map((arm) =>
+  const otherGoodputs = ARMS.filter((arm) => arm.name !== "ours").map((arm) =>
     arms[arm.name]?.goodput ?? 0
   );
   const ours = arms.ours;
@@ -153,7 +153,7 @@
     deployment: options.deployment,
     arms,
     clairvoyantGoodput,
-    ratioToBest: ratio(ours?.goodput ?? 0, Math.max(...others)),
+    ratioToBest: ratio(ours?.goodput ?? 0, Math.max(...otherGoodputs)),
     ratioToClairvoyant: ratio(ours?.goodput ?? 0, clairvoyantGoodput),
     roleChangesToGreedy: ratio(
       ours?.roleChanges ?? 0,
@@ -173,7 +173,7 @@
   readonly isWithinDeadline: boolean;
 }
 
-/** One policy's run. */
+/** Runs the trace with one policy. */
 class ArmRun {
   readonly #arm: Arm;
   readonly #options: MixOptions;
@@ -222,11 +222,11 @@
     try {
       await cluster.start();
       await sleep(1000);
-      const unloaded = await this.#measureUnloaded(deployment);
+      const unloadedLookupP99Ms = await this.#measureUnloaded(deployment);
       await this.#replayTrace(cluster);
       const roleChanges = await countRoleChanges(cluster);
       return {
-        report: this.#summarize(roleChanges, unloaded),
+        report: this.#summarize(roleChanges, unloadedLookupP99Ms),
         timeline: this.#timeline,
       };
     } finally {
@@ -236,7 +236,7 @@
   }
 
   async #measureUnloaded(deployment: Deployment): Promise<number> {
-    const times: number[] = [];
+    const latenciesMs: number[] = [];
     for (let i = 0; i < 200; i++) {
       const vm = deployment.vms[i % deployment.vms.length];
       const result = await this.#caller.callService({
@@ -245,39 +245,39 @@
         method: "GET",
         path: `/slots/${i}`,
       });
-      times.push(result.durationMs);
+      latenciesMs.push(result.durationMs);
     }
-    return computeQuantiles(times.slice(20)).p99;
+    return computeQuantiles(latenciesMs.slice(20)).p99;
   }
 
   async #replayTrace(cluster: Cluster): Promise<void> {
     const { trace, seed } = this.#options;
     const random = new Random(seed);
     const startMs = performance.now();
-    const sent: Promise<void>[] = [];
-    const sampling = setInterval(
+    const pendingRequests: Promise<void>[] = [];
+    const samplingTimer = setInterval(
       () => void this.#sampleRoles(cluster, startMs),
       1000,
     );
-    let withdrawn = trace.withdrawAtMs === undefined;
-    for (const [number, request] of trace.requests.entries()) {
+    let isWithdrawn = trace.withdrawAtMs === undefined;
+    for (const [index, request] of trace.requests.entries()) {
       const waitMs = startMs + request.atMs - performance.now();
       if (waitMs > 1) await sleep(waitMs);
-      if (!withdrawn && request.atMs >= (trace.withdrawAtMs ?? 0)) {
-        withdrawn = true;
+      if (!isWithdrawn && request.atMs >= (trace.withdrawAtMs ?? 0)) {
+        isWithdrawn = true;
         void withdrawEngine(cluster);
       }
       const vm = random.drawItem(cluster.deployment.vms);
-      sent.push(this.#send(`http://${vm.callers}`, request, number));
+      pendingRequests.push(this.#send(`http://${vm.callers}`, request, index));
     }
-    await Promise.all(sent);
-    clearInterval(sampling);
+    await Promise.all(pendingRequests);
+    clearInterval(samplingTimer);
   }
 
   async #send(
     url: string,
     request: TraceRequest,
-    number: number,
+    index: number,
   ): Promise<void> {
     const { plainService, modelService } = SHAPES[this.#options.deployment];
     const { deadlineMs, profile } = request;
@@ -286,20 +286,20 @@
         url,
         service: plainService,
         method: "GET",
-        path: `/slots/${number}`,
+        path: `/slots/${index}`,
         deadlineMs,
       })
       : await this.#caller.generate({
         url,
         model: `${modelService}-7b`,
-        prompt: buildTracePrompt(request, number),
+        prompt: buildTracePrompt(request, index),
         maxTokens: request.outputTokens,
         deadlineMs,
         profile,
       });
-    const inTime = result.outcome === "whole" &&
+    const isWithinDeadline = result.outcome === "whole" &&
       result.durationMs <= deadlineMs;
-    this.#finished.push({ request, result, isWithinDeadline: inTime });
+    this.#finished.push({ request, result, isWithinDeadline });
   }
 
   async #sampleRoles(cluster: Cluster, startMs: number): Promise<void> {
@@ -320,29 +320,34 @@
   }
 
   #summarize(roleChanges: number, unloadedLookupP99Ms: number): ArmReport {
-    const readings = this.#finished.filter(({ request }) =>
+    const generations = this.#finished.filter(({ request }) =>
       request.outputTokens > 0
     );
     const lookups = this.#finished.filter(({ request }) =>
       request.outputTokens === 0
     );
-    const good = readings.filter(({ isWithinDeadline: inTime }) => inTime);
-    this.#fillTimeline(readings);
-    const whole = readings.filter(({ result }) => result.outcome === "whole");
+    const successful = generations.filter(({ isWithinDeadline }) =>
+      isWithinDeadline
+    );
+    this.#fillTimeline(generations);
+    const complete = generations.filter(({ result }) =>
+      result.outcome === "whole"
+    );
     const count = (...outcomes: string[]) =>
-      readings.filter(({ result }) => outcomes.includes(result.outcome)).length;
-    const p95 = (read: (result: CallResult) => number) =>
-      whole.length === 0 ? 0 : roundTo(
-        computeQuantiles(whole.map(({ result }) => read(result))).p95,
+      generations.filter(({ result }) => outcomes.includes(result.outcome))
+        .length;
+    const p95 = (getValue: (result: CallResult) => number) =>
+      complete.length === 0 ? 0 : roundTo(
+        computeQuantiles(complete.map(({ result }) => getValue(result))).p95,
         1,
       );
     return {
-      goodput: good.length,
-      goodputTokens: good.reduce(
+      goodput: successful.length,
+      goodputTokens: successful.reduce(
         (sum, { request }) => sum + request.outputTokens,
         0,
       ),
-      offered: readings.length,
+      offered: generations.length,
       roleChanges,
       ttftP95Ms: p95((result) => result.firstTokenMs),
       tokenGapP95Ms: p95((result) => result.tokenGapMs),
@@ -352,22 +357,22 @@
       ),
       unloadedLookupP99Ms: roundTo(unloadedLookupP99Ms, 1),
       refused: count("refused"),
-      late: whole.length - good.length,
+      late: complete.length - successful.length,
       broken: count("cut", "failed"),
       wrong: count("wrong"),
     };
   }
 
-  /** Puts each reading into the second in which it arrived. */
-  #fillTimeline(readings: readonly FinishedRequest[]): void {
-    for (const [at, point] of this.#timeline.entries()) {
-      const inSecond = readings.filter(({ request }) =>
+  /** Counts each generation request in the second in which it arrived. */
+  #fillTimeline(generations: readonly FinishedRequest[]): void {
+    for (const [index, point] of this.#timeline.entries()) {
+      const inSecond = generations.filter(({ request }) =>
         Math.floor(request.atMs / 1000) === point.second - 1
       );
-      const goodput = inSecond.filter(({ isWithinDeadline: inTime }) =>
-        inTime
+      const goodput = inSecond.filter(({ isWithinDeadline }) =>
+        isWithinDeadline
       ).length;
-      this.#timeline[at] = { ...point, offered: inSecond.length, goodput };
+      this.#timeline[index] = { ...point, offered: inSecond.length, goodput };
     }
   }
 }
@@ -382,15 +387,15 @@
 
 async function countRoleChanges(cluster: Cluster): Promise<number> {
   const { vms, fleet } = cluster.deployment;
-  let count = 0;
+  let total = 0;
   for (const zone of fleet.availabilityZones) {
     const inZone = vms.filter((vm) => vm.availabilityZone === zone);
-    const seen = await Promise.all(
+    const roleChanges = await Promise.all(
       inZone.map(async (vm) =>
         (await cluster.readStatus(vm)).lease.roleChanges
       ),
     );
-    count += Math.max(...seen);
+    total += Math.max(...roleChanges);
   }
-  return count;
+  return total;
 }
--- a/packages/heatherarch-lab/bench/order_window.ts
+++ b/packages/heatherarch-lab/bench/order_window.ts
@@ -1,6 +1,7 @@
 /**
- * The window that remains for engines that ignore fencing numbers: time from the last check
- * of the lease to the moment the whole order has been handed to the kernel.
+ * Measures the window in which an engine that ignores fencing tokens can receive an order after its
+ * sender has lost the lease: the time from the last check of the lease until the whole order has
+ * been passed to the kernel.
  *
  * @module
  */
@@ -16,10 +17,10 @@
   readonly maxMs: number;
 }
 
-const ORDERS = 400;
-const BODY_SENT = "undici:request:bodySent";
+const ORDER_COUNT = 400;
+const BODY_SENT_CHANNEL = "undici:request:bodySent";
 
-/** Gives orders to a stand-in and times each one. */
+/** Sends orders to a stand-in and measures the window of each. */
 export async function measureOrderWindow(): Promise<OrderWindowReport> {
   const server = new EngineServer({
     id: "e",
@@ -36,14 +37,14 @@
     maxConnections: 2,
     timeouts,
   });
-  const times: number[] = [];
+  const windowsMs: number[] = [];
   let checkedAtMs = 0;
-  const onSent = (): void => {
-    if (checkedAtMs > 0) times.push(performance.now() - checkedAtMs);
+  const onBodySent = (): void => {
+    if (checkedAtMs > 0) windowsMs.push(performance.now() - checkedAtMs);
     checkedAtMs = 0;
   };
-  subscribe(BODY_SENT, onSent);
-  for (let i = 0; i < ORDERS; i++) {
+  subscribe(BODY_SENT_CHANNEL, onBodySent);
+  for (let i = 0; i < ORDER_COUNT; i++) {
     await engine.sendOrder({ kind: "setRole", role: "decode" }, {
       fencing: i,
       guard: () => {
@@ -53,12 +54,12 @@
       timeoutMs: 1000,
     });
   }
-  unsubscribe(BODY_SENT, onSent);
+  unsubscribe(BODY_SENT_CHANNEL, onBodySent);
   await engine.close();
   await server.close();
   return {
-    orders: times.length,
-    checkToWrittenMs: computeQuantiles(times),
-    maxMs: roundTo(Math.max(...times), 3),
+    orders: windowsMs.length,
+    checkToWrittenMs: computeQuantiles(windowsMs),
+    maxMs: roundTo(Math.max(...windowsMs), 3),
   };
 }
--- a/packages/heatherarch-lab/bench/overload_result.ts
+++ b/packages/heatherarch-lab/bench/overload_result.ts
@@ -1,5 +1,6 @@
 /**
- * Summarizes the requests of an overload simulation: shares served and earned worth, by kind and size.
+ * Summarizes the requests of an overload simulation: shares served and earned worth, by kind and
+ * size.
  *
  * @module
  */
@@ -53,8 +54,8 @@
 }
 
 /**
- * The worth of a request is a fixed part, and a part in proportion to its size relative to the mean of
- * its kind.
+ * The worth of a request is a fixed part, and a part in proportion to its size relative to the mean
+ * of its kind.
  */
 const FIXED_WORTH_SHARE = 0.3;
 const SIZE_WORTH_SHARE = 0.7;
--- a/packages/heatherarch-lab/bench/overload_simulation.ts
+++ b/packages/heatherarch-lab/bench/overload_simulation.ts
@@ -1,12 +1,12 @@
 /**
- * Simulates a small fleet whose prefill engines get more prompts than they can process. Prompt sizes
- * differ by a factor of ten and more, and the result shows which sizes are served.
+ * Simulates a small fleet whose prefill engines get more prompts than they can process. Prompt
+ * sizes differ by a factor of ten and more, and the result shows which sizes are served.
  *
  * The simulation runs in simulated time without a network. Prefill queue, placement, prefill time
  * model and work tracker are those of the product.
  *
- * Two kinds of request use the same engines: long prompts with shared prefixes, and short prompts. They
- * alternate in bursts of some seconds, at up to three times their mean rate.
+ * Two kinds of request use the same engines: long prompts with shared prefixes, and short prompts.
+ * They alternate in bursts of some seconds, at up to three times their mean rate.
  *
  * A rejected caller retries once, after the delay that it was given. Decode and faults are not
  * simulated.
--- a/packages/heatherarch-lab/bench/path_bench.ts
+++ b/packages/heatherarch-lab/bench/path_bench.ts
@@ -1,6 +1,6 @@
 /**
- * What the daemon adds on the path of a request: latency against calling the stand-in
- * directly, requests and tokens a second on one core, memory.
+ * Measures the overhead of the daemon on the path of a request: its latency compared with direct
+ * calls to a stand-in, requests and tokens per second and core, and memory.
  *
  * @module
  */
@@ -69,36 +69,36 @@
     const [vm] = deployment.vms;
     const pid = cluster.getPid(vm.id) as number;
     await sleep(1500);
-    const idle = readUsage(pid).residentBytes;
-    const engine = deployment.fleet.targets[0].address;
-    const service = deployment.fleet.targets[ENGINES].address;
-    const through = `http://${vm.callers}`;
+    const idleBytes = readUsage(pid).residentBytes;
+    const engineAddress = deployment.fleet.targets[0].address;
+    const serviceAddress = deployment.fleet.targets[ENGINES].address;
+    const daemonUrl = `http://${vm.callers}`;
     await measureLookups(
       agent,
-      `${through}/services/bookings/slots/1`,
+      `${daemonUrl}/services/bookings/slots/1`,
       LATENCY_LOOKUPS,
       1,
     );
     const lookupDirect = await measureLookups(
       agent,
-      `http://${service}/slots/1`,
+      `http://${serviceAddress}/slots/1`,
       LATENCY_LOOKUPS,
       1,
     );
     const lookupThrough = await measureLookups(
       agent,
-      `${through}/services/bookings/slots/1`,
+      `${daemonUrl}/services/bookings/slots/1`,
       LATENCY_LOOKUPS,
       1,
     );
     const direct = await measureStreams(agent, {
-      url: `http://${engine}/v1/completions`,
+      url: `http://${engineAddress}/v1/completions`,
       streams: LATENCY_STREAMS,
       concurrency: 4,
       tokens: LATENCY_STREAM_TOKENS,
     });
     const routed = await measureStreams(agent, {
-      url: `${through}/v1/completions`,
+      url: `${daemonUrl}/v1/completions`,
       streams: LATENCY_STREAMS,
       concurrency: 4,
       tokens: LATENCY_STREAM_TOKENS,
@@ -108,50 +108,51 @@
       () =>
         measureLookups(
           agent,
-          `${through}/services/bookings/slots/1`,
+          `${daemonUrl}/services/bookings/slots/1`,
           LOAD_LOOKUPS,
           LOAD_CONCURRENCY,
         ),
     );
-    let peak = 0;
-    const sampling = setInterval(() => {
-      peak = Math.max(peak, readUsage(pid).residentBytes);
+    let peakBytes = 0;
+    const samplingTimer = setInterval(() => {
+      peakBytes = Math.max(peakBytes, readUsage(pid).residentBytes);
     }, 250);
     const tokens = await measureCpu(pid, () =>
       measureStreams(agent, {
-        url: `${through}/v1/completions`,
+        url: `${daemonUrl}/v1/completions`,
         streams: STREAMS,
         concurrency: STREAMS,
         tokens: STREAM_TOKENS,
       }));
-    clearInterval(sampling);
-    const streamed = STREAMS * STREAM_TOKENS;
-    const added = (a: Quantiles, b: Quantiles) => roundTo(b.p50 - a.p50, 3);
+    clearInterval(samplingTimer);
+    const streamedTokens = STREAMS * STREAM_TOKENS;
+    const computeAddedP50 = (a: Quantiles, b: Quantiles) =>
+      roundTo(b.p50 - a.p50, 3);
     return {
       lookupDirectMs: computeQuantiles(lookupDirect),
       lookupThroughMs: computeQuantiles(lookupThrough),
-      addedLookupP50Ms: added(
+      addedLookupP50Ms: computeAddedP50(
         computeQuantiles(lookupDirect),
         computeQuantiles(lookupThrough),
       ),
       firstTokenDirectMs: computeQuantiles(direct.firstMs),
       firstTokenThroughMs: computeQuantiles(routed.firstMs),
-      addedFirstTokenP50Ms: added(
+      addedFirstTokenP50Ms: computeAddedP50(
         computeQuantiles(direct.firstMs),
         computeQuantiles(routed.firstMs),
       ),
       gapDirectMs: computeQuantiles(direct.gapsMs),
       gapThroughMs: computeQuantiles(routed.gapsMs),
-      addedGapP50Ms: added(
+      addedGapP50Ms: computeAddedP50(
         computeQuantiles(direct.gapsMs),
         computeQuantiles(routed.gapsMs),
       ),
       lookupsPerCoreSecond: Math.round(LOAD_LOOKUPS / lookups.cpuSeconds),
-      tokensPerCoreSecond: Math.round(streamed / tokens.cpuSeconds),
-      tokensPerSecond: Math.round(streamed / tokens.seconds),
+      tokensPerCoreSecond: Math.round(streamedTokens / tokens.cpuSeconds),
+      tokensPerSecond: Math.round(streamedTokens / tokens.seconds),
       daemonCpuShare: roundTo(tokens.cpuSeconds / tokens.seconds, 2),
-      residentIdleMb: Math.round(idle / MEGABYTE),
-      residentAtStreamsMb: Math.round(peak / MEGABYTE),
+      residentIdleMb: Math.round(idleBytes / MEGABYTE),
+      residentAtStreamsMb: Math.round(peakBytes / MEGABYTE),
       streams: STREAMS,
     };
   } finally {
@@ -164,11 +165,11 @@
   pid: number,
   work: () => Promise<unknown>,
 ): Promise<{ cpuSeconds: number; seconds: number }> {
-  const before = readUsage(pid).cpuSeconds;
+  const cpuSecondsBefore = readUsage(pid).cpuSeconds;
   const startMs = performance.now();
   await work();
   const seconds = (performance.now() - startMs) / 1000;
-  return { cpuSeconds: readUsage(pid).cpuSeconds - before, seconds };
+  return { cpuSeconds: readUsage(pid).cpuSeconds - cpuSecondsBefore, seconds };
 }
 
 async function measureLookups(
@@ -177,21 +178,21 @@
   count: number,
   concurrency: number,
 ): Promise<number[]> {
-  const times: number[] = [];
+  const latenciesMs: number[] = [];
   let started = 0;
-  const worker = async (): Promise<void> => {
+  const runWorker = async (): Promise<void> => {
     while (started++ < count) {
       const startMs = performance.now();
-      const answer = await request(url, { dispatcher: agent });
-      await answer.body.dump();
-      if (answer.statusCode !== 200) {
-        throw new Error(`lookup: status ${answer.statusCode}`);
+      const response = await request(url, { dispatcher: agent });
+      await response.body.dump();
+      if (response.statusCode !== 200) {
+        throw new Error(`lookup: status ${response.statusCode}`);
       }
-      times.push(performance.now() - startMs);
+      latenciesMs.push(performance.now() - startMs);
     }
   };
-  await Promise.all(Array.from({ length: concurrency }, worker));
-  return times;
+  await Promise.all(Array.from({ length: concurrency }, runWorker));
+  return latenciesMs;
 }
 
 interface StreamTimes {
@@ -210,24 +211,24 @@
 ): Promise<StreamTimes> {
   const times: StreamTimes = { firstMs: [], gapsMs: [] };
   let started = 0;
-  const worker = async (): Promise<void> => {
+  const runWorker = async (): Promise<void> => {
     while (started < options.streams) {
       const number = started++;
       await measureStream(agent, { ...options, number }, times);
     }
   };
-  await Promise.all(Array.from({ length: options.concurrency }, worker));
+  await Promise.all(Array.from({ length: options.concurrency }, runWorker));
   return times;
 }
 
-/** Reads one stream without parsing it: a chunk is taken for its tokens' arrival. */
+/** Reads one stream without parsing it. The arrival of a chunk counts as that of its tokens. */
 async function measureStream(
   agent: Agent,
   options: { url: string; tokens: number; number: number },
   times: StreamTimes,
 ): Promise<void> {
   const startMs = performance.now();
-  const answer = await request(options.url, {
+  const response = await request(options.url, {
     method: "POST",
     dispatcher: agent,
     headers: { "content-type": "application/json" },
@@ -242,17 +243,17 @@
     bodyTimeout: 0,
   });
   let lastMs = 0;
-  let tail = "";
-  for await (const bytes of answer.body) {
+  let lastBytes = "";
+  for await (const chunk of response.body) {
     const nowMs = performance.now();
     if (lastMs === 0) times.firstMs.push(nowMs - startMs);
     else times.gapsMs.push(nowMs - lastMs);
     lastMs = nowMs;
-    tail = (bytes as Buffer).subarray(-16).toString("latin1");
+    lastBytes = (chunk as Buffer).subarray(-16).toString("latin1");
   }
-  if (!tail.includes("[DONE]")) {
+  if (!lastBytes.includes("[DONE]")) {
     throw new Error(
-      `stream ${options.number}: status ${answer.statusCode}, ends with ${tail}`,
+      `stream ${options.number}: status ${response.statusCode}, ends with ${lastBytes}`,
     );
   }
 }
--- a/packages/heatherarch-lab/bench/placement_bench.ts
+++ b/packages/heatherarch-lab/bench/placement_bench.ts
@@ -1,5 +1,5 @@
 /**
- * Ways to decide where prompts are read, at fleets of 6 to 870 VMs, side by side in a model.
+ * Compares strategies for placing prompts, in simulated fleets of 6 to 870 VMs.
  *
  * @module
  */
@@ -11,20 +11,21 @@
 } from "./placement_simulation.ts";
 import { roundTo } from "./statistics.ts";
 
-/** A size of fleet. Engines are those that read. */
+/** Size of a fleet. */
 interface FleetSize {
   readonly vms: number;
+  /** Number of prefill engines. */
   readonly engines: number;
-  /** Age of the sums at their arrival, milliseconds: without hubs, and over hubs. */
+  /** Age of the digests when they arrive, in milliseconds. Hubs add to it in larger fleets. */
   readonly digestAgeMs: number;
 }
 
-/** One way at one size, over all seeds. */
+/** Result of one strategy at one fleet size, over all seeds. */
 export interface PlacementRow {
   readonly vms: number;
   readonly way: string;
   readonly worth: number;
-  /** Half of the distance between the least and the greatest worth of a seed. */
+  /** Half of the difference between the lowest and the highest worth of a seed. */
   readonly spread: number;
   readonly onTime: Readonly<Record<string, number>>;
   readonly refused: number;
@@ -40,7 +41,10 @@
   readonly print: (line: string) => void;
 }
 
-/** Fleets of the users' sheets and the size to design for; 51 VMs a zone share engines there. */
+/**
+ * Fleets of the users' load specifications, and the design size, in which the 51 VMs of a zone
+ * share its engines.
+ */
 const FLEET_SIZES: readonly FleetSize[] = [
   { vms: 6, engines: 4, digestAgeMs: 30 },
   { vms: 9, engines: 10, digestAgeMs: 30 },
@@ -50,11 +54,14 @@
   { vms: 195, engines: 70, digestAgeMs: 100 },
   { vms: 870, engines: 310, digestAgeMs: 100 },
 ];
-/** Pause between sums where there are hubs, and between heartbeats where there are none. */
+/** Interval between digests in a fleet with hubs. */
 const DIGEST_INTERVAL_MS = 100;
+/** Interval between heartbeats, which carry the digests in a fleet without hubs. */
 const SMALL_FLEET_DIGEST_INTERVAL_MS = 60;
 const SMALL_FLEET_VMS = 20;
-/** Reading engines are busy for some three fifths of the time with these, as on the sheets. */
+/**
+ * With these rates, prefill engines are busy some 60% of the time, as in the load specifications.
+ */
 const KINDS: readonly PlacementRequestKind[] = [
   {
     name: "long",
@@ -97,7 +104,7 @@
   "all known at once": { maxJitterMs: 0, isOracle: true },
 };
 
-/** Plays all ways at all sizes. */
+/** Simulates all strategies at all fleet sizes. */
 export function runPlacementBench(
   options: PlacementBenchOptions,
 ): PlacementRow[] {
@@ -105,8 +112,8 @@
   print("| VMs | way | worth | long | middle | short | refused | busiest |");
   const rows: PlacementRow[] = [];
   for (const size of FLEET_SIZES) {
-    for (const [way, changes] of Object.entries(STRATEGIES)) {
-      const row = simulateRow(size, way, changes, options);
+    for (const [way, overrides] of Object.entries(STRATEGIES)) {
+      const row = simulateRow(size, way, overrides, options);
       rows.push(row);
       print(formatRow(row));
     }
@@ -115,9 +122,9 @@
 }
 
 function simulateRow(
-  { vms, engines, digestAgeMs: ageMs }: FleetSize,
+  { vms, engines, digestAgeMs }: FleetSize,
   way: string,
-  changes: Partial<PlacementSimulationOptions>,
+  overrides: Partial<PlacementSimulationOptions>,
   { seed, seeds, seconds, burst }: PlacementBenchOptions,
 ): PlacementRow {
   const results: PlacementSimulationResult[] = [];
@@ -126,7 +133,7 @@
       seed: seed + i,
       vms,
       engines,
-      digestAgeMs: ageMs,
+      digestAgeMs,
       seconds,
       burst,
       kinds: KINDS,
@@ -134,10 +141,10 @@
         ? SMALL_FLEET_DIGEST_INTERVAL_MS
         : DIGEST_INTERVAL_MS,
       maxJitterMs: 0,
-      ...changes,
+      ...overrides,
     }));
   }
-  const worths = results.map(({ worth }) => worth);
+  const worthBySeed = results.map(({ worth }) => worth);
   const onTime = Object.fromEntries(
     KINDS.map(({ name }) => [
       name,
@@ -147,8 +154,11 @@
   return {
     vms,
     way,
-    worth: computeMean(worths),
-    spread: roundTo((Math.max(...worths) - Math.min(...worths)) / 2, 3),
+    worth: computeMean(worthBySeed),
+    spread: roundTo(
+      (Math.max(...worthBySeed) - Math.min(...worthBySeed)) / 2,
+      3,
+    ),
     onTime,
     refused: computeMean(results.map(({ refused }) => refused)),
     busiest: computeMean(results.map(({ busiest }) => busiest)),
--- a/packages/heatherarch-lab/bench/placement_simulation.ts
+++ b/packages/heatherarch-lab/bench/placement_simulation.ts
@@ -1,11 +1,11 @@
 /**
- * Simulates many VMs that place prompts on engines, each with its own knowledge of the other VMs' work.
- * The simulation runs in simulated time without a network. Prefill queue, placement and prefill time
- * model are those of the product.
+ * Simulates many VMs that place prompts on engines, each with its own knowledge of the other VMs'
+ * work. The simulation runs in simulated time without a network. Prefill queue, placement and
+ * prefill time model are those of the product.
  *
- * Simulated are arrivals by kind of request with a burst, engines that prefill in order of arrival, the
- * age of the digests through which VMs know of each other's work, and caches that retain a prefix for
- * a fixed time. Decode, faults and lost messages are not simulated.
+ * Simulated are arrivals by kind of request with a burst, engines that prefill in order of arrival,
+ * the age of the digests through which VMs know of each other's work, and caches that retain a
+ * prefix for a fixed time. Decode, faults and lost messages are not simulated.
  *
  * @module
  */
@@ -276,7 +276,9 @@
     });
   }
 
-  /** Sums the VM's own prefills, which it knows at once, and those of other VMs in its last digest. */
+  /**
+   * Sums the VM's own prefills, which it knows at once, and those of other VMs in its last digest.
+   */
   #estimateBacklog(vm: number, engine: number): number {
     const current = this.#prefills[engine];
     if (this.#options.isOracle) return sumRemainingMs(current, this.#nowMs);
--- a/packages/heatherarch-lab/bench/plot.ts
+++ b/packages/heatherarch-lab/bench/plot.ts
@@ -1,5 +1,5 @@
 /**
- * Plots of goodput and roles over time, as SVG.
+ * Draws SVG plots of goodput and engine roles over time.
  *
  * @module
  */
@@ -50,15 +50,15 @@
   top: number,
 ): string {
   if (points.length === 0) return "";
-  const highest = Math.max(1, ...points.map((point) => point.offered));
-  const engines = Math.max(
+  const maxRequests = Math.max(1, ...points.map((point) => point.offered));
+  const maxEngines = Math.max(
     1,
     ...points.map((p) => p.prefillers + p.decoders + p.mixed),
   );
   const lines = (Object.keys(COLOURS) as Series[]).map((series) => {
     const scale = series === "offered" || series === "goodput"
-      ? highest
-      : engines;
+      ? maxRequests
+      : maxEngines;
     return drawLine(points, series, { top, scale });
   });
   const bottom = top + PANEL_HEIGHT;
@@ -68,7 +68,7 @@
     }" height="${PANEL_HEIGHT}" fill="none" stroke="#ccc"/>`,
     `<text x="${MARGIN}" y="${
       top - 6
-    }">${name}: requests a second (left, to ${highest}), engines by role (right, to ${engines})</text>`,
+    }">${name}: requests per second (left axis, max. ${maxRequests}), engines by role (right axis, max. ${maxEngines})</text>`,
     `<text x="${WIDTH - MARGIN}" y="${
       bottom + 14
     }" text-anchor="end">${points.length} s</text>`,
--- a/packages/heatherarch-lab/bench/process_usage.ts
+++ b/packages/heatherarch-lab/bench/process_usage.ts
@@ -1,5 +1,5 @@
 /**
- * Processor time and memory of a process, from the kernel's own accounts.
+ * Reads the CPU time and memory use of a process from `/proc`.
  *
  * @module
  */
@@ -10,13 +10,13 @@
 const UTIME_FIELD = 11;
 const STIME_FIELD = 12;
 
-/** Use of a process since its start. */
+/** CPU time of a process since its start, and its current memory use. */
 export interface ProcessUsage {
   readonly cpuSeconds: number;
   readonly residentBytes: number;
 }
 
-/** Reads the use of a process by its id. */
+/** Reads the resource usage of a process by its id. */
 export function readUsage(pid: number): ProcessUsage {
   const stat = readFileSync(`/proc/${pid}/stat`, "utf8");
   const fields = stat.slice(stat.lastIndexOf(")") + 2).split(" ");
--- a/packages/heatherarch-lab/bench/prompt_generator.ts
+++ b/packages/heatherarch-lab/bench/prompt_generator.ts
@@ -1,6 +1,6 @@
 /**
- * Draws random prompts. Each has a shared prefix, whose size is the same for all prompts that share it,
- * and a unique part.
+ * Draws random prompts. Each has a shared prefix, whose size is the same for all prompts that share
+ * it, and a unique part.
  *
  * @module
  */
--- a/packages/heatherarch-lab/bench/simulated_prefill_engine.ts
+++ b/packages/heatherarch-lab/bench/simulated_prefill_engine.ts
@@ -1,15 +1,15 @@
 /**
  * Simulates an engine with chunked prefill in simulated time, without a network.
  *
- * Prompts are prefilled in order of arrival. One step processes chunks of as many prompts as fit into
- * its token budget, and adds a fixed overhead.
+ * Prompts are prefilled in order of arrival. One step processes chunks of as many prompts as fit
+ * into its token budget, and adds a fixed overhead.
  *
  * @module
  */
 
 /**
- * Speed of an engine. The defaults are those of a 70B model on the slower accelerators of the users'
- * load specification.
+ * Speed of an engine. The defaults are those of a 70B model on the slower accelerators of the
+ * users' load specification.
  */
 export interface SimulatedPrefillEngineOptions {
   /** Factor by which every step takes longer than in the load specification. */
--- a/packages/heatherarch-lab/bin/bench.ts
+++ b/packages/heatherarch-lab/bin/bench.ts
@@ -1,5 +1,5 @@
 /**
- * `npm run bench -- NAME`: benchmarks.
+ * `npm run bench -- NAME`: runs a benchmark.
  *
  * @module
  */
@@ -33,22 +33,30 @@
   .option("json", {
     type: "boolean",
     default: false,
-    describe: "one JSON report on the last line",
+    describe: "print one JSON report on the last line",
   })
   .command(
     "path",
-    "what the daemon adds on a request's path",
+    "overhead of the daemon on the request path",
     {},
     async (args) => {
       printReport(await runPathBench(), args.json);
     },
   )
-  .command("control", "slopes of the control work", {}, async (args) => {
-    printReport(await runControlBench((line) => console.log(line)), args.json);
-  })
+  .command(
+    "control",
+    "cost of the control work per peer, target and change",
+    {},
+    async (args) => {
+      printReport(
+        await runControlBench((line) => console.log(line)),
+        args.json,
+      );
+    },
+  )
   .command(
     "window",
-    "from the last check of a lease to the written order",
+    "time from the last check of a lease to the written order",
     {},
     async (args) => {
       printReport(await measureOrderWindow(), args.json);
@@ -56,7 +64,7 @@
   )
   .command(
     "claims",
-    "claims a second against appends a second",
+    "claims per second and appends per second",
     {},
     async (args) => {
       const reports = await runClaimsBench();
@@ -66,7 +74,7 @@
   )
   .command(
     "decide",
-    "ways to place prompts, in fleets of 6 to 870 VMs",
+    "strategies for placing prompts, in fleets of 6 to 870 VMs",
     (y) =>
       y.option("seed", { type: "number", default: 1 })
         .option("seeds", { type: "number", default: 3 })
@@ -74,7 +82,7 @@
         .option("burst", {
           type: "number",
           default: 1.5,
-          describe: "load in the middle third of the time, as a multiple",
+          describe: "load factor in the middle third of the time",
         }),
     (args) => {
       const print = args.json ? () => {} : console.log;
@@ -84,19 +92,19 @@
   )
   .command(
     "mix",
-    "goodput of policies through a shifting mix",
+    "goodput of policies while the request mix shifts",
     (y) =>
       y.option("trace", {
         type: "string",
         array: true,
-        describe: `file, or ${TRACE_NAMES.join(", ")}`,
+        describe: `trace file, or ${TRACE_NAMES.join(", ")}`,
       })
         .option("seed", { type: "number", default: 1 })
         .option("seconds", { type: "number", default: 60 })
         .option("load", {
           type: "number",
           default: 10,
-          describe: "engine-seconds of work a second",
+          describe: "engine-seconds of work per second",
         })
         .option("deployment", {
           choices: ["alalay", "bomnal"] as const,
@@ -105,7 +113,7 @@
         .option("arms", {
           type: "string",
           array: true,
-          describe: "policies to run; default all",
+          describe: "policies to run; default: all",
         }),
     async (args) => {
       const reports: MixReport[] = [];
@@ -119,9 +127,9 @@
           print: (line) => console.log(line),
         });
         writePlot(report, args.seed);
-        const { timelines: _timelines, ...numbers } = report;
-        reports.push(numbers as MixReport);
-        console.log(JSON.stringify(numbers));
+        const { timelines: _timelines, ...summary } = report;
+        reports.push(summary as MixReport);
+        console.log(JSON.stringify(summary));
       }
       printReport({ reports }, args.json);
     },
--- a/packages/heatherarch-lab/bin/prove.ts
+++ b/packages/heatherarch-lab/bin/prove.ts
@@ -1,5 +1,5 @@
 /**
- * `npm run prove`: proofs under failure.
+ * `npm run prove`: runs the proofs under failure.
  *
  * @module
  */
@@ -14,18 +14,18 @@
   .option("mutations", {
     type: "boolean",
     default: false,
-    describe: "switch each guard off in turn",
+    describe: "disable each guard in turn",
   })
   .option("seed", { type: "number", default: 1 })
   .option("seconds", {
     type: "number",
     default: 60,
-    describe: "length of the randomised run",
+    describe: "duration of the randomized run",
   })
   .option("recovery", {
     type: "boolean",
     default: false,
-    describe: "measure times of recovery",
+    describe: "measure recovery times",
   })
   .option("json", { type: "boolean", default: false })
   .strict()
@@ -51,5 +51,7 @@
   print: (line) => console.log(line),
 });
 console.log(args.json ? JSON.stringify(report) : report);
-const broken = Object.values(report.violations).some((count) => count > 0);
-process.exit(broken ? 1 : 0);
+const hasViolations = Object.values(report.violations).some((count) =>
+  count > 0
+);
+process.exit(hasViolations ? 1 : 0);
--- a/packages/heatherarch-lab/bin/start.ts
+++ b/packages/heatherarch-lab/bin/start.ts
@@ -1,5 +1,5 @@
 /**
- * `npm start`: the product on embedded stand-ins.
+ * `npm start`: runs the product with embedded stand-ins.
  *
  * @module
  */
@@ -15,12 +15,12 @@
   .option("once", {
     type: "boolean",
     default: false,
-    describe: "drive a short load and stop",
+    describe: "send a short load and stop",
   })
   .option("json", {
     type: "boolean",
     default: false,
-    describe: "one JSON summary on the last line",
+    describe: "print one JSON summary on the last line",
   })
   .option("shape", {
     choices: Object.keys(SHAPES) as ShapeName[],
@@ -51,10 +51,11 @@
   const status = await cluster.readStatus(deployment.vms[0]);
   await cluster.stop();
   const { wrongAnswers, cutAnswers, keysRunTwice, wholeAnswers } = summary;
-  const right = wrongAnswers + cutAnswers + keysRunTwice + summary.failed === 0;
+  const isCorrect =
+    wrongAnswers + cutAnswers + keysRunTwice + summary.failed === 0;
   const report = { ...summary, roleChanges: status.lease.roleChanges };
   console.log(args.json ? JSON.stringify(report) : report);
-  return right && wholeAnswers > 0 ? 0 : 1;
+  return isCorrect && wholeAnswers > 0 ? 0 : 1;
 }
 
 function printHints(): void {
@@ -62,7 +63,7 @@
   const [vm] = vms;
   const model = fleet.services.find((service) => service.kind === "model");
   const plain = fleet.services.find((service) => service.kind === "plain");
-  const name = model?.kind === "model" ? model.models[0] : "";
+  const modelName = model?.kind === "model" ? model.models[0] : "";
   const key = `${Date.now()}-first`;
   console.log(
     `heatherarch serves at ${
@@ -75,7 +76,7 @@
   console.log("try:");
   console.log(
     `  curl -N http://${vm.callers}/v1/chat/completions -H 'content-type: application/json' ` +
-      `-d '{"model":"${name}","stream":true,"max_tokens":16,` +
+      `-d '{"model":"${modelName}","stream":true,"max_tokens":16,` +
       `"messages":[{"role":"user","content":"fare rules?"}]}'`,
   );
   console.log(
--- a/packages/heatherarch-lab/bin/test.ts
+++ b/packages/heatherarch-lab/bin/test.ts
@@ -1,6 +1,6 @@
 /**
- * `npm test`: runs every `*_test.js` of the workspace. Tests listed in KNOWN-RED.txt are run
- * and printed, and do not decide the verdict.
+ * `npm test`: runs every `*_test.js` of the workspace. Tests that are listed in KNOWN-RED.txt are
+ * run and printed, but their failure does not change the exit code.
  *
  * @module
  */
@@ -9,7 +9,7 @@
 import { run } from "node:test";
 import { spec } from "node:test/reporters";
 
-/** Built test files. */
+/** Matches compiled test files. */
 const TEST_FILE = /dist\/.*_test\.js$/;
 
 const filter = process.argv[2] ?? "";
@@ -17,15 +17,15 @@
   ...findFiles("packages", TEST_FILE),
   ...findFiles("platform", TEST_FILE),
 ].filter((file) => file.includes(filter));
-const known = existsSync("KNOWN-RED.txt")
+const knownRed = existsSync("KNOWN-RED.txt")
   ? readTextFile("KNOWN-RED.txt").split("\n").filter((line) =>
     line && !line.startsWith("#")
   )
   : [];
-const knownNames = known.map((line) => line.split("|")[0].trim());
+const knownNames = knownRed.map((line) => line.split("|")[0].trim());
 let passed = 0;
 let failed = 0;
-let red = 0;
+let knownRedFailed = 0;
 const filesWithFailures = new Set<string>();
 
 const stream = run({ files, concurrency: 4, timeout: 180_000 });
@@ -36,18 +36,19 @@
   if (event.details.type === "suite") return;
   if (!event.name.endsWith(".js")) {
     filesWithFailures.add(basename(event.file ?? ""));
-    if (knownNames.includes(event.name)) red++;
+    if (knownNames.includes(event.name)) knownRedFailed++;
     else failed++;
     return;
   }
-  // A file fails with its tests, which have been counted; one that failed without any crashed.
+  // A file fails if one of its tests fails, which is already counted. A file that fails without a
+  // failed test has crashed.
   if (!filesWithFailures.has(basename(event.name))) failed++;
 });
 stream.compose(new spec()).pipe(process.stdout);
 stream.on("end", () => {
   setTimeout(() => {
-    for (const line of known) console.log(`known red: ${line}`);
-    console.log(`known red that failed: ${red}`);
+    for (const line of knownRed) console.log(`known red: ${line}`);
+    console.log(`known red that failed: ${knownRedFailed}`);
     console.log(`${passed} passed, ${failed} failed`);
     process.exit(failed === 0 && passed > 0 ? 0 : 1);
   }, 200);
--- a/packages/heatherarch-lab/caller.ts
+++ b/packages/heatherarch-lab/caller.ts
@@ -1,6 +1,6 @@
 /**
- * A caller: sends requests as the users' clients would and checks every answer against what
- * the request must give.
+ * A caller that sends requests as the users' clients do, and compares every response with the one
+ * that is expected for its request.
  *
  * @module
  */
@@ -9,25 +9,25 @@
 import { createParser } from "eventsource-parser";
 import { computeCompletion } from "heatherarch-standins";
 
-/** How a request ended, as its caller sees it. */
+/** How a request ended, as seen by its caller. */
 export type CallOutcome = "whole" | "wrong" | "cut" | "refused" | "failed";
 
 /** Result of one request. */
 export interface CallResult {
   readonly outcome: CallOutcome;
   readonly kind: string;
-  /** What the error said of the run; empty without an error. */
+  /** The error's `run` field: whether the call has run. Empty without an error. */
   readonly run: string;
   readonly requestId: string;
   readonly durationMs: number;
   readonly firstTokenMs: number;
-  /** Mean gap between tokens, milliseconds. */
+  /** Mean gap between tokens, in milliseconds. */
   readonly tokenGapMs: number;
   readonly tokens: number;
   readonly detail: string;
 }
 
-/** A generation to ask for. */
+/** A generation request. */
 export interface GenerationCall {
   readonly url: string;
   readonly model: string;
@@ -38,7 +38,7 @@
   readonly stream?: boolean;
 }
 
-/** A call on the booking service. */
+/** A call of the booking service. */
 export interface ServiceCall {
   readonly url: string;
   readonly service: string;
@@ -53,7 +53,7 @@
   error?: { kind?: string; run?: string; message?: string };
 }
 
-/** Sends requests over its own connections. */
+/** Sends requests over its own connection pool. */
 export class Caller {
   readonly #agent = new Agent({ connections: 2000, keepAliveTimeout: 10_000 });
 
@@ -61,42 +61,42 @@
     await this.#agent.destroy();
   }
 
-  /** Asks for text and compares it with what the prompt must give. */
+  /** Requests a generation and compares the text with the one that is expected for the prompt. */
   async generate(call: GenerationCall): Promise<CallResult> {
     const requestId = randomUUID();
     const startMs = performance.now();
-    const gathered = {
+    const received = {
       text: "",
       tokens: 0,
       firstAtMs: 0,
       lastAtMs: 0,
       done: false,
     };
-    const finish = (
+    const buildResult = (
       outcome: CallOutcome,
       error?: ErrorBody,
       detail = "",
     ): CallResult => {
-      const gaps = gathered.tokens - 1;
+      const gapCount = received.tokens - 1;
       return {
         outcome,
         kind: error?.error?.kind ?? "",
         run: error?.error?.run ?? "",
         requestId,
         durationMs: performance.now() - startMs,
-        firstTokenMs: gathered.firstAtMs === 0
+        firstTokenMs: received.firstAtMs === 0
           ? 0
-          : gathered.firstAtMs - startMs,
-        tokenGapMs: gaps > 0
-          ? (gathered.lastAtMs - gathered.firstAtMs) / gaps
+          : received.firstAtMs - startMs,
+        tokenGapMs: gapCount > 0
+          ? (received.lastAtMs - received.firstAtMs) / gapCount
           : 0,
-        tokens: gathered.tokens,
+        tokens: received.tokens,
         detail: detail || (error?.error?.message ?? ""),
       };
     };
     try {
       const stream = call.stream ?? true;
-      const answer = await request(`${call.url}/v1/completions`, {
+      const response = await request(`${call.url}/v1/completions`, {
         method: "POST",
         dispatcher: this.#agent,
         headers: this.#buildHeaders(requestId, call),
@@ -110,40 +110,44 @@
         headersTimeout: 0,
         bodyTimeout: 0,
       });
-      if (answer.statusCode !== 200) {
-        return finish("refused", await answer.body.json() as ErrorBody);
+      if (response.statusCode !== 200) {
+        return buildResult("refused", await response.body.json() as ErrorBody);
       }
       if (!stream) {
-        const body = await answer.body.json() as {
+        const body = await response.body.json() as {
           choices: { text: string }[];
         };
-        gathered.text = body.choices[0].text;
-        gathered.tokens = call.maxTokens;
+        received.text = body.choices[0].text;
+        received.tokens = call.maxTokens;
       } else {
-        const failure = await readStream(answer.body, gathered);
-        if (failure !== undefined) return finish("failed", failure);
-        if (!gathered.done) {
-          return finish("cut", undefined, "the stream ended without [DONE]");
+        const failure = await readStream(response.body, received);
+        if (failure !== undefined) return buildResult("failed", failure);
+        if (!received.done) {
+          return buildResult(
+            "cut",
+            undefined,
+            "the stream ended without [DONE]",
+          );
         }
       }
       const expected = computeCompletion(call.prompt, call.maxTokens);
-      const right = gathered.text === expected;
-      return finish(
-        right ? "whole" : "wrong",
+      const isExpected = received.text === expected;
+      return buildResult(
+        isExpected ? "whole" : "wrong",
         undefined,
-        right ? "" : "text differs",
+        isExpected ? "" : "text differs",
       );
     } catch (error) {
-      const outcome = gathered.tokens > 0 ? "cut" : "failed";
-      return finish(outcome, undefined, (error as Error).message);
+      const outcome = received.tokens > 0 ? "cut" : "failed";
+      return buildResult(outcome, undefined, (error as Error).message);
     }
   }
 
-  /** Calls the booking service and checks that the answer belongs to the request. */
+  /** Calls the booking service and checks that the response belongs to the request. */
   async callService(call: ServiceCall): Promise<CallResult> {
     const requestId = randomUUID();
     const startMs = performance.now();
-    const finish = (
+    const buildResult = (
       outcome: CallOutcome,
       error?: ErrorBody,
       detail = "",
@@ -159,7 +163,7 @@
       detail: detail || (error?.error?.message ?? ""),
     });
     try {
-      const answer = await request(
+      const response = await request(
         `${call.url}/services/${call.service}${call.path}`,
         {
           method: call.method,
@@ -173,22 +177,22 @@
           bodyTimeout: 0,
         },
       );
-      const text = await answer.body.text();
+      const text = await response.body.text();
       const body = JSON.parse(text) as ErrorBody & {
         path?: string;
         echo?: string;
       };
-      if (answer.statusCode !== 200) return finish("refused", body);
-      const right = call.method === "GET"
+      if (response.statusCode !== 200) return buildResult("refused", body);
+      const isExpected = call.method === "GET"
         ? body.path === call.path
         : body.echo === call.body;
-      return finish(
-        right ? "whole" : "wrong",
+      return buildResult(
+        isExpected ? "whole" : "wrong",
         undefined,
-        right ? "" : text.slice(0, 200),
+        isExpected ? "" : text.slice(0, 200),
       );
     } catch (error) {
-      return finish("failed", undefined, (error as Error).message);
+      return buildResult("failed", undefined, (error as Error).message);
     }
   }
 
@@ -206,10 +210,10 @@
   }
 }
 
-/** Reads a stream to its end; the error event where there was one. */
+/** Reads a stream to its end. Returns the error event, if there was one. */
 async function readStream(
   body: AsyncIterable<Buffer>,
-  gathered: {
+  received: {
     text: string;
     tokens: number;
     firstAtMs: number;
@@ -222,7 +226,7 @@
   const parser = createParser({
     onEvent: ({ data }) => {
       if (data === "[DONE]") {
-        gathered.done = true;
+        received.done = true;
         return;
       }
       const event = JSON.parse(data) as ErrorBody & {
@@ -231,14 +235,14 @@
       if (event.error !== undefined) failure = event;
       const text = event.choices?.[0]?.text;
       if (!text) return;
-      gathered.text += text;
-      gathered.tokens++;
-      gathered.lastAtMs = performance.now();
-      if (gathered.firstAtMs === 0) gathered.firstAtMs = gathered.lastAtMs;
+      received.text += text;
+      received.tokens++;
+      received.lastAtMs = performance.now();
+      if (received.firstAtMs === 0) received.firstAtMs = received.lastAtMs;
     },
   });
-  for await (const bytes of body) {
-    parser.feed(decoder.decode(bytes, { stream: true }));
+  for await (const chunk of body) {
+    parser.feed(decoder.decode(chunk, { stream: true }));
   }
   return failure;
 }
--- a/packages/heatherarch-lab/cluster.ts
+++ b/packages/heatherarch-lab/cluster.ts
@@ -1,5 +1,5 @@
 /**
- * Runs a deployment as separate processes on loopback, and ends them by their ids.
+ * Runs a deployment as separate processes on the loopback interface, and kills them by process id.
  *
  * @module
  */
@@ -37,14 +37,14 @@
   readonly standins?: Omit<StandinSetOptions, "fleet">;
   /** Sections merged into each VM's settings. */
   readonly settings?: Record<string, Record<string, unknown>>;
-  /** Settings of one VM, over the ones above. */
+  /** Settings of one VM, which override `settings`. */
   readonly vmSettings?: (
     vm: DeployedVm,
   ) => Record<string, Record<string, unknown>>;
   readonly profiles?: readonly Record<string, unknown>[];
 }
 
-/** A process of ours. */
+/** A process that the cluster started. */
 interface RunningProcess {
   readonly child: ChildProcess;
   readonly exited: Promise<number | null>;
@@ -66,12 +66,12 @@
     this.deployment = options.deployment;
   }
 
-  /** Folder with settings and logs; removed by `stop`. */
+  /** Folder with settings and logs. {@linkcode stop} removes it. */
   get directory(): string {
     return this.#directory;
   }
 
-  /** Starts everything, publishes the fleet, and waits until every VM is ready. */
+  /** Starts all processes, publishes the fleet, and waits until every VM is ready. */
   async start(): Promise<void> {
     await this.startStandins();
     await this.publishVmList();
@@ -94,7 +94,7 @@
     await this.#waitFor(() => this.readLedger().then(() => true), "stand-ins");
   }
 
-  /** Puts all entry VMs on the platform's list. */
+  /** Publishes the list of all entry VMs on the platform. */
   async publishVmList(
     states: Record<string, "live" | "leaving"> = {},
   ): Promise<void> {
@@ -123,7 +123,7 @@
     this.#vms.get(id)?.child.kill(signal);
   }
 
-  /** Process id of a VM. */
+  /** Returns the process id of a VM. */
   getPid(id: string): number | undefined {
     return this.#vms.get(id)?.child.pid;
   }
@@ -133,47 +133,47 @@
     return await (this.#vms.get(id)?.exited ?? Promise.resolve(null));
   }
 
-  /** Carries out a command of the stand-ins' control interface. */
+  /** Sends a command to the control interface of the stand-ins. */
   async sendCommand(command: StandinCommand): Promise<void> {
-    const answer = await request(`http://${this.deployment.control}/`, {
+    const response = await request(`http://${this.deployment.control}/`, {
       method: "POST",
       body: JSON.stringify(command),
     });
-    await answer.body.dump();
+    await response.body.dump();
   }
 
   async readLedger(): Promise<StandinLedger> {
-    const answer = await request(`http://${this.deployment.control}/`);
-    return await answer.body.json() as StandinLedger;
+    const response = await request(`http://${this.deployment.control}/`);
+    return await response.body.json() as StandinLedger;
   }
 
-  /** Publishes a change through the first VM that takes it. */
+  /** Publishes a change through `vm`, or through the first VM if none is given. */
   async publish(
     change: unknown,
     baseRevision: number,
     vm?: DeployedVm,
   ): Promise<PublishResult> {
-    const at = vm ?? this.deployment.vms[0];
-    const answer = await request(`http://${at.operators}/v1/changes`, {
+    const receiver = vm ?? this.deployment.vms[0];
+    const response = await request(`http://${receiver.operators}/v1/changes`, {
       method: "POST",
       body: JSON.stringify({ change, baseRevision }),
       headers: { "x-operator": "lab" },
     });
     return {
-      status: answer.statusCode,
-      body: await answer.body.json() as PublishResult["body"],
+      status: response.statusCode,
+      body: await response.body.json() as PublishResult["body"],
     };
   }
 
   async readStatus(vm: DeployedVm): Promise<VmStatus> {
     const signal = AbortSignal.timeout(2000);
-    const answer = await request(`http://${vm.operators}/v1/status`, {
+    const response = await request(`http://${vm.operators}/v1/status`, {
       signal,
     });
-    return await answer.body.json() as VmStatus;
+    return await response.body.json() as VmStatus;
   }
 
-  /** Waits until each of `vms` says that it is ready. */
+  /** Waits until each of `vms` reports that it is ready. */
   async waitReady(
     vms: readonly DeployedVm[] = this.deployment.vms,
   ): Promise<void> {
@@ -200,29 +200,29 @@
     }
   }
 
-  /** Ends every process that this object started. */
+  /** Kills every process that the cluster started, and waits for their exit. */
   async stop(): Promise<void> {
-    const all = [
+    const processes = [
       ...this.#vms.values(),
       ...(this.#standins ? [this.#standins] : []),
     ];
-    for (const { child } of all) child.kill("SIGKILL");
-    await Promise.all(all.map(({ exited }) => exited));
+    for (const { child } of processes) child.kill("SIGKILL");
+    await Promise.all(processes.map(({ exited }) => exited));
     rmSync(this.#directory, { recursive: true, force: true });
   }
 
   async publishConfig(): Promise<void> {
-    const fleet = await this.publish({
+    const fleetResult = await this.publish({
       kind: "publishFleet",
       fleet: this.deployment.fleet,
     }, -1);
-    if (fleet.status !== 200) {
-      throw new Error(`publish: ${JSON.stringify(fleet.body)}`);
+    if (fleetResult.status !== 200) {
+      throw new Error(`publish: ${JSON.stringify(fleetResult.body)}`);
     }
     for (const profile of this.#options.profiles ?? []) {
-      const answer = await this.publish({ kind: "putProfile", profile }, -1);
-      if (answer.status !== 200) {
-        throw new Error(`publish: ${JSON.stringify(answer.body)}`);
+      const response = await this.publish({ kind: "putProfile", profile }, -1);
+      if (response.status !== 200) {
+        throw new Error(`publish: ${JSON.stringify(response.body)}`);
       }
     }
   }
@@ -239,12 +239,12 @@
       },
       mesh: { sharedKey: "lab" },
     };
-    const layers = [
+    const overrides = [
       this.#options.settings ?? {},
       this.#options.vmSettings?.(vm) ?? {},
     ];
-    for (const layer of layers) {
-      for (const [section, values] of Object.entries(layer)) {
+    for (const override of overrides) {
+      for (const [section, values] of Object.entries(override)) {
         base[section] = Array.isArray(values)
           ? values as never
           : { ...base[section], ...values };
@@ -254,9 +254,9 @@
   }
 
   #spawn(name: string, args: readonly string[]): RunningProcess {
-    const log = openSync(join(this.#directory, `${name}.log`), "a");
+    const logFile = openSync(join(this.#directory, `${name}.log`), "a");
     const child = spawn(process.execPath, ["--enable-source-maps", ...args], {
-      stdio: ["ignore", log, log],
+      stdio: ["ignore", logFile, logFile],
     });
     const exited = new Promise<number | null>((resolve) =>
       child.once("exit", resolve)
@@ -264,19 +264,19 @@
     return { child, exited };
   }
 
-  async #waitFor(check: () => Promise<boolean>, what: string): Promise<void> {
-    const until = performance.now() + READY_TIMEOUT_MS;
-    while (performance.now() < until) {
+  async #waitFor(check: () => Promise<boolean>, goal: string): Promise<void> {
+    const deadlineMs = performance.now() + READY_TIMEOUT_MS;
+    while (performance.now() < deadlineMs) {
       if (await check().catch(() => false)) return;
       await sleep(POLL_INTERVAL_MS);
     }
     throw new Error(
-      `${what}: not so within ${READY_TIMEOUT_MS} ms; logs in ${this.#directory}`,
+      `${goal}: timed out after ${READY_TIMEOUT_MS} ms; logs in ${this.#directory}`,
     );
   }
 }
 
-/** Answer to a publication. */
+/** Response to a published change. */
 export interface PublishResult {
   readonly status: number;
   readonly body: {
@@ -286,7 +286,7 @@
   };
 }
 
-/** The part of a VM's status that the lab reads. */
+/** The fields of a VM's status that the lab reads. */
 export interface VmStatus {
   readonly config: {
     offset: number;
@@ -321,11 +321,11 @@
 }
 
 async function isOk(vm: DeployedVm, path: string): Promise<boolean> {
-  const answer = await request(`http://${vm.operators}${path}`, {
+  const response = await request(`http://${vm.operators}${path}`, {
     signal: AbortSignal.timeout(1000),
   });
-  await answer.body.dump();
-  return answer.statusCode === 200;
+  await response.body.dump();
+  return response.statusCode === 200;
 }
 
 function readPort(address: string): number {
--- a/packages/heatherarch-lab/deployment.ts
+++ b/packages/heatherarch-lab/deployment.ts
@@ -1,5 +1,6 @@
 /**
- * Deployments on loopback: zones, entry VMs, engines of both dialects and a booking service.
+ * Deployments on the loopback interface: zones, entry VMs, engines of both dialects and a booking
+ * service.
  *
  * @module
  */
@@ -13,7 +14,7 @@
 } from "heatherarch-settings";
 import { findFreePorts } from "heatherarch-standins";
 
-/** What a deployment looks like. */
+/** Size and content of a deployment. */
 export interface DeploymentShape {
   readonly name: string;
   readonly availabilityZones: readonly string[];
@@ -23,9 +24,9 @@
   readonly modelService: string;
   readonly plainService: string;
   readonly planning?: Partial<Planning>;
-  /** Speeds that the fleet configuration tells of its engines. */
+  /** Engine speeds that the fleet configuration states. */
   readonly speeds?: Partial<ModelService["speeds"]>;
-  /** Role of the `index`-th of a zone's `count` engines. */
+  /** Returns the role of engine `index` of the `count` engines of a zone. */
   readonly pickRole?: (index: number, count: number) => EngineRole;
 }
 
@@ -38,7 +39,7 @@
   readonly mesh: string;
 }
 
-/** A deployment with all addresses chosen. */
+/** A deployment with assigned addresses. */
 export interface Deployment {
   readonly fleet: Fleet;
   readonly vms: readonly DeployedVm[];
@@ -46,7 +47,9 @@
   readonly control: string;
 }
 
-/** Alalay's and Bomnal's deployments as the brief sizes them, and a small one to start with. */
+/**
+ * A small deployment, and those of Alalay and Bomnal with the sizes of their load specifications.
+ */
 export const SHAPES = {
   small: {
     name: "small",
@@ -79,12 +82,12 @@
   },
 } as const satisfies Record<string, DeploymentShape>;
 
-/** Name of a ready-made shape. */
+/** Name of a predefined shape. */
 export type ShapeName = keyof typeof SHAPES;
 
 const PORTS_PER_VM = 3;
 
-/** Chooses addresses for a deployment. */
+/** Builds a deployment of `shape` with free ports on the loopback interface. */
 export async function buildDeployment(
   shape: DeploymentShape,
 ): Promise<Deployment> {
@@ -92,9 +95,9 @@
     shape;
   const perZone = vmsPerZone * PORTS_PER_VM + enginesPerZone + servicesPerZone;
   const ports = await findFreePorts(2 + availabilityZones.length * perZone);
-  const takeAddress = (): string => `127.0.0.1:${ports.pop()}`;
-  const platform = takeAddress();
-  const control = takeAddress();
+  const allocateAddress = (): string => `127.0.0.1:${ports.pop()}`;
+  const platform = allocateAddress();
+  const control = allocateAddress();
   const vms: DeployedVm[] = [];
   const targets: Partial<Target>[] = [];
   for (const zone of availabilityZones) {
@@ -102,12 +105,12 @@
       vms.push({
         id: `${zone}-vm${i + 1}`,
         availabilityZone: zone,
-        callers: takeAddress(),
-        operators: takeAddress(),
-        mesh: takeAddress(),
+        callers: allocateAddress(),
+        operators: allocateAddress(),
+        mesh: allocateAddress(),
       });
     }
-    targets.push(...buildTargets(shape, zone, takeAddress));
+    targets.push(...buildTargets(shape, zone, allocateAddress));
   }
   const fleet = parseFleet({
     deployment: shape.name,
@@ -131,7 +134,7 @@
 function buildTargets(
   shape: DeploymentShape,
   zone: string,
-  takeAddress: () => string,
+  allocateAddress: () => string,
 ): Partial<Target>[] {
   const { enginesPerZone, servicesPerZone, modelService, plainService } = shape;
   const pickRole = shape.pickRole ?? pickDefaultRole;
@@ -139,7 +142,7 @@
     id: `${zone}-engine${index + 1}`,
     service: modelService,
     availabilityZone: zone,
-    address: takeAddress(),
+    address: allocateAddress(),
     dialect: index % 2 === 0 ? "sse" as const : "ndjson" as const,
     checksFencing: index % 2 === 0,
     role: pickRole(index, enginesPerZone),
@@ -148,13 +151,13 @@
     id: `${zone}-service${index + 1}`,
     service: plainService,
     availabilityZone: zone,
-    address: takeAddress(),
+    address: allocateAddress(),
     maxConcurrent: 256,
   }));
   return [...engines, ...services];
 }
 
-/** Half of the engines prefill, the rest decode. */
+/** Makes the first half of the engines prefill and the others decode. */
 function pickDefaultRole(index: number, count: number): EngineRole {
   return index < Math.floor(count / 2) ? "prefill" : "decode";
 }
--- a/packages/heatherarch-lab/find_files.ts
+++ b/packages/heatherarch-lab/find_files.ts
@@ -1,5 +1,5 @@
 /**
- * Finding files below a folder.
+ * Finds and reads files.
  *
  * @module
  */
@@ -13,11 +13,11 @@
   return readBytes(file, "utf8");
 }
 
-/** Files below `folder` whose path matches, sorted. */
+/** Lists the files below `folder` whose path matches `pattern`, sorted by path. */
 export function findFiles(folder: string, pattern: RegExp): string[] {
-  const found = readdirSync(folder, { recursive: true, withFileTypes: true })
+  const files = readdirSync(folder, { recursive: true, withFileTypes: true })
     .filter((entry) => entry.isFile())
     .map((entry) => join(entry.parentPath ?? entry.path, entry.name))
     .filter((file) => pattern.test(file) && !file.includes("node_modules"));
-  return found.sort();
+  return files.sort();
 }
--- a/packages/heatherarch-lab/mixed_load.ts
+++ b/packages/heatherarch-lab/mixed_load.ts
@@ -1,5 +1,5 @@
 /**
- * A short mixed load: readings streamed and whole, lookups, and bookings with repeats.
+ * A mixed load of streamed and buffered generations, lookups, and bookings with duplicates.
  *
  * @module
  */
@@ -11,12 +11,12 @@
 export interface MixedLoadOptions {
   readonly deployment: Deployment;
   readonly requests: number;
-  /** Requests in progress at once. */
+  /** Maximum number of concurrent requests. */
   readonly concurrency: number;
   readonly seed: number;
 }
 
-/** One request of the load and how it ended. */
+/** One request of the load and its result. */
 export interface LoadRecord {
   readonly what: "reading" | "lookup" | "booking";
   readonly key: string;
@@ -30,38 +30,38 @@
   const random = new Random(options.seed);
   const caller = new Caller();
   const records: LoadRecord[] = [];
-  let started = 0;
-  const worker = async (): Promise<void> => {
-    while (started < options.requests) {
-      started++;
+  let startedCount = 0;
+  const runWorker = async (): Promise<void> => {
+    while (startedCount < options.requests) {
+      startedCount++;
       records.push(
         ...await sendRandomRequest(caller, options.deployment, random),
       );
     }
   };
-  await Promise.all(Array.from({ length: options.concurrency }, worker));
+  await Promise.all(Array.from({ length: options.concurrency }, runWorker));
   await caller.close();
   return records;
 }
 
-/** How long readings are. */
+/** Maximum lengths of generations. */
 export interface GenerationSizes {
   readonly maxPromptTokens: number;
   readonly maxOutputTokens: number;
 }
 
-/** Neither long prompts nor long outputs prevail. */
+/** Sizes with neither mostly long prompts nor mostly long outputs. */
 export const BALANCED_SIZES: GenerationSizes = {
   maxPromptTokens: 1500,
   maxOutputTokens: 80,
 };
 
-/** Sends one request, or a booking and its repeat through another VM. */
+/** Sends one random request, or a booking and its duplicate through another VM. */
 export async function sendRandomRequest(
   caller: Caller,
   deployment: Deployment,
   random: Random,
-  mix: GenerationSizes = BALANCED_SIZES,
+  sizes: GenerationSizes = BALANCED_SIZES,
 ): Promise<LoadRecord[]> {
   const url = `http://${random.drawItem(deployment.vms).callers}`;
   const services = deployment.fleet.services;
@@ -89,24 +89,24 @@
       body: JSON.stringify({ passenger: key }),
     };
     const first = caller.callService(call);
-    const other = `http://${random.drawItem(deployment.vms).callers}`;
-    const repeat = random.drawUnit() < 0.5
-      ? [caller.callService({ ...call, url: other })]
+    const otherUrl = `http://${random.drawItem(deployment.vms).callers}`;
+    const duplicates = random.drawUnit() < 0.5
+      ? [caller.callService({ ...call, url: otherUrl })]
       : [];
-    const results = await Promise.all([first, ...repeat]);
+    const results = await Promise.all([first, ...duplicates]);
     return results.map((result) => ({ what: "booking", key, result }));
   }
   const result = await caller.generate({
     url,
     model: model?.kind === "model" ? model.models[0] : "",
-    prompt: buildPrompt(random, random.drawInteger(20, mix.maxPromptTokens)),
-    maxTokens: random.drawInteger(4, mix.maxOutputTokens),
+    prompt: buildPrompt(random, random.drawInteger(20, sizes.maxPromptTokens)),
+    maxTokens: random.drawInteger(4, sizes.maxOutputTokens),
     stream: random.drawUnit() < 0.8,
   });
   return [{ what: "reading", key: "", result }];
 }
 
-/** A prompt of about `tokens` tokens, some of which it shares with other prompts. */
+/** Builds a prompt of about `tokens` tokens, some of which are shared with other prompts. */
 export function buildPrompt(
   random: Random,
   tokens: number,
--- a/packages/heatherarch-lab/mod.ts
+++ b/packages/heatherarch-lab/mod.ts
@@ -1,5 +1,5 @@
 /**
- * Embedded start, load tool, benchmarks and proofs under failure.
+ * Clusters on the loopback interface, a load tool, benchmarks, and proofs under failure.
  *
  * @module
  */
--- a/packages/heatherarch-lab/mutations.ts
+++ b/packages/heatherarch-lab/mutations.ts
@@ -1,23 +1,23 @@
 /**
- * Shows that each proof notices the absence of each guard: first every proof passes with all
- * guards on, then every guard is switched off in turn and some seed must catch it.
+ * Mutation test of the proofs. Each proof must pass with all guards enabled. When any one of its
+ * guards is disabled, it must fail for some schedule.
  *
  * @module
  */
 import { PROOFS, runProof } from "./proofs/mod.ts";
 
-/** One guard and the schedule that caught its absence. */
+/** Result of a proof with one disabled guard. */
 export interface MutationResult {
   readonly proof: string;
   readonly guard: string;
   readonly caught: boolean;
   readonly seed: number;
-  /** Schedules tried until then. */
+  /** Number of schedules that were run. */
   readonly runs: number;
   readonly reason: string;
 }
 
-/** Runs all mutations; `print` gets a line each. Returns whether all were caught. */
+/** Runs all mutations, and prints a line for each. `passed` is whether all were caught. */
 export async function runMutations(
   seed: number,
   print: (line: string) => void,
@@ -25,13 +25,13 @@
   let passed = true;
   const results: MutationResult[] = [];
   for (const { proof, testRuns, mutationRuns } of PROOFS) {
-    const whole = await runProof(proof, { seed, runs: testRuns * 5 });
+    const baseline = await runProof(proof, { seed, runs: testRuns * 5 });
     print(
-      `${proof.name}: all guards on, ${whole.runs} schedules: ${
-        whole.failed ? `RED ${whole.reason}` : "green"
+      `${proof.name}: all guards on, ${baseline.runs} schedules: ${
+        baseline.failed ? `RED ${baseline.reason}` : "green"
       }`,
     );
-    if (whole.failed) passed = false;
+    if (baseline.failed) passed = false;
     for (const guard of proof.guards) {
       const result = await runProof(proof, {
         seed,
--- a/packages/heatherarch-lab/summary.ts
+++ b/packages/heatherarch-lab/summary.ts
@@ -1,12 +1,12 @@
 /**
- * Sums up a load against what the stand-ins saw.
+ * Summarizes a load and compares it with the runs that the stand-ins recorded.
  *
  * @module
  */
 import type { StandinLedger } from "heatherarch-standins";
 import type { LoadRecord } from "./mixed_load.ts";
 
-/** Counts of a load. */
+/** Summary of a load. */
 export interface LoadSummary {
   readonly requests: number;
   readonly wholeAnswers: number;
@@ -15,12 +15,12 @@
   readonly refused: number;
   readonly failed: number;
   readonly keysRunTwice: number;
-  /** Requests that were refused as not run and yet ran. */
+  /** Bookings that were reported as not run, although they ran. */
   readonly notRunButRun: number;
   readonly errorKinds: Record<string, number>;
 }
 
-/** Sums up `records`. */
+/** Summarizes `records`. */
 export function summarizeLoad(
   records: readonly LoadRecord[],
   ledger: Pick<StandinLedger, "runs">,
@@ -46,7 +46,7 @@
   };
 }
 
-/** Keys under which more than one booking ran. */
+/** Counts the keys for which more than one booking ran. */
 export function countKeysRunTwice(ledger: Pick<StandinLedger, "runs">): number {
   const runs = new Map<string, number>();
   for (const { key } of ledger.runs) {
@@ -55,13 +55,13 @@
   return [...runs.values()].filter((count) => count > 1).length;
 }
 
-/** Bookings whose caller was told `run: "no"` and that ran all the same. */
+/** Counts the bookings that were reported to the caller with `run: "no"`, although they ran. */
 export function countNotRunButRun(
   records: readonly LoadRecord[],
   ledger: Pick<StandinLedger, "runs">,
 ): number {
-  const ran = new Set(ledger.runs.map((run) => run.requestId));
+  const ranRequestIds = new Set(ledger.runs.map((run) => run.requestId));
   return records
     .filter(({ what, result }) => what === "booking" && result.run === "no")
-    .filter(({ result }) => ran.has(result.requestId)).length;
+    .filter(({ result }) => ranRequestIds.has(result.requestId)).length;
 }
--- a/packages/heatherarch-lab/tests/unit/overload_simulation_test.ts
+++ b/packages/heatherarch-lab/tests/unit/overload_simulation_test.ts
@@ -9,18 +9,19 @@
   simulateOverload,
 } from "../../bench/overload_simulation.ts";
 
-// Guards against starvation of the largest prompts in an overload. With bursts of long and short prompts
-// in turn, at up to three times the mean rate of the long ones, the largest tenth of the long prompts
-// was served a third as often as all long prompts.
+// Guards against starvation of the largest prompts in an overload. With bursts of long and short
+// prompts in turn, at up to three times the mean rate of the long ones, the largest tenth of the
+// long prompts was served a third as often as all long prompts.
 //
-// A prompt that could not be on time was served last, and only by an idle engine. This was decided by its
-// estimated cost, which grew with its size and was 1.3 s and more for the largest prompts. Priority thus
-// followed size, and nothing counted the share that each size received. The cost also included waits
-// behind short prompts, so that most of the largest prompts appeared unable to be on time.
+// A prompt that could not be on time was served last, and only by an idle engine. This was decided
+// by its estimated cost, which grew with its size and was 1.3 s and more for the largest prompts.
+// Priority thus followed size, and nothing counted the share that each size received. The cost also
+// included waits behind short prompts, so that most of the largest prompts appeared unable to be on
+// time.
 //
-// With exact costs, and with one work tracker for all VMs, the largest prompts starved all the same.
-// They are served with all seeds since shares are counted by size, underserved sizes get their turn, and
-// prompts are judged by their prefill time on an unloaded engine.
+// With exact costs, and with one work tracker for all VMs, the largest prompts starved all the
+// same. They are served with all seeds since shares are counted by size, underserved sizes get
+// their turn, and prompts are judged by their prefill time on an unloaded engine.
 
 const LONG: OverloadRequestKind = {
   name: "long",
@@ -52,7 +53,10 @@
 };
 const BURST_S = 2.8;
 
-/** Builds fourteen seconds of long prompts above their mean rate, then fourteen of short ones, in bursts. */
+/**
+ * Builds fourteen seconds of long prompts above their mean rate, then fourteen of short ones, in
+ * bursts.
+ */
 function buildPhases(): OverloadPhase[] {
   const phases: OverloadPhase[] = [{ seconds: 3, load: { long: 1, short: 1 } }];
   for (const [long, short] of [[1.7, 0.47], [0.37, 1.8]]) {
@@ -70,12 +74,18 @@
   return phases;
 }
 
-/** Slowdown factors of the engines. There are two kinds of engine, and in one fleet one of four has failed. */
+/**
+ * Slowdown factors of the engines. There are two kinds of engine, and in one fleet one of four has
+ * failed.
+ */
 const FLEETS: Readonly<Record<string, readonly number[]>> = {
   "four engines": [1, 1, 1.3, 1.3],
   "three engines": [1, 1, 1.3],
 };
-/** Minimum served share of the large prompts of a kind, relative to the served share of all of its prompts. */
+/**
+ * Minimum served share of the large prompts of a kind, relative to the served share of all of its
+ * prompts.
+ */
 const MIN_RELATIVE_SHARE = 0.5;
 
 function assertFair({ served, largestTenth, fifthBelow }: KindResult): void {
--- a/packages/heatherarch-lab/tests/unit/placement_simulation_test.ts
+++ b/packages/heatherarch-lab/tests/unit/placement_simulation_test.ts
@@ -34,9 +34,9 @@
   });
 }
 
-// Guards against VMs that all choose the same engine because they have the same digests, a tenth of a
-// second old, while the engines are busy for a third of the time. With 195 VMs, a third of the short
-// prompts were late while engines were idle.
+// Guards against VMs that all choose the same engine because they have the same digests, a tenth of
+// a second old, while the engines are busy for a third of the time. With 195 VMs, a third of the
+// short prompts were late while engines were idle.
 test("jitter keeps many VMs with stale digests from queueing short prompts on the same engines", () => {
   const noJitter = simulate(60, {});
   const jitter = simulate(60, { maxJitterMs: 40 });
