--- a/packages/heatherarch-forward/fleet/fleet_mesh.ts
+++ b/packages/heatherarch-forward/fleet/fleet_mesh.ts
@@ -1,5 +1,5 @@
 /**
- * What the VMs of a fleet tell each other: work in progress, and newer configurations.
+ * The mesh between the VMs of a fleet, which shares work in progress, gossip and configurations.
  *
  * @module
  */
@@ -45,9 +45,9 @@
   readonly silenceMs: number;
   readonly hubHeartbeatMs: number;
   readonly idleHeartbeatMs: number;
-  /** Links to each other availability zone where there are no hubs. */
+  /** Links to each other availability zone if there are no hubs. */
   readonly linksPerZone: number;
-  /** Known VMs from which on links run over hubs. */
+  /** Number of known VMs from which on links run over hubs. */
   readonly hubsFromVms: number;
   readonly hubsPerZone: number;
   readonly vms: WritableTopicPort<VmRecord>;
@@ -58,43 +58,43 @@
   readonly quarantine: RequestQuarantine;
   readonly activeConfig: ActiveConfig;
   readonly configReadTiming: ConfigReadTiming;
-  /** Reads the configuration from the store, once. */
+  /** Reads the configuration from the store once. */
   readonly loadConfig: () => Promise<void>;
   /** Called when the number of VMs that share the fleet's limits has changed. */
   readonly onLiveVms: (count: number) => void;
-  /** Called with engines that a peer has ordered to change. */
+  /** Called with engines that a peer has ordered to change their role. */
   readonly onChangingRole: (targets: readonly string[]) => void;
-  /** Monotonic time at which this VM itself last read the list of targets without fault. */
+  /** Returns the monotonic time of this VM's own last successful read of the target list. */
   readonly getListReadAtMs: () => number;
-  /** A peer has read the list of targets at this monotonic time. */
+  /** Called with the monotonic time at which a peer has read the target list. */
   readonly onPeerListRead: (atMs: number) => void;
-  /** This process stood still for so many milliseconds. */
+  /** Called with the duration of a stall of this process, milliseconds. */
   readonly onLoopStall: (lateMs: number) => void;
-  /** Whether this VM could give orders now. */
+  /** Whether this VM could send orders to engines now. */
   readonly mayOrder: () => boolean;
 }
 
 const MAX_FRAME_BYTES = 4 * 1024 * 1024;
 
-/** The mesh of one VM, with what it carries. */
+/** The mesh of one VM and the protocols that run over it. */
 export class FleetMesh {
   readonly #options: FleetMeshOptions;
   readonly #membership: Membership;
   readonly #node: MeshNode;
   readonly #hubs: HubExchange;
-  readonly #news: FleetGossip;
-  readonly #list: VmListFollower;
-  readonly #configs: ConfigExchange;
-  /** Prompt notes told on each link so far. */
-  readonly #told = new WeakMap<Link, number>();
-  /** Time of the reading of the list that was last told on each link. */
-  readonly #toldReadAtMs = new WeakMap<Link, number>();
-  /** Peers that could give orders when they were last heard. */
-  readonly #orderers = new Set<string>();
-  #listed = 0;
-  #hasList = false;
-  #liveVms = 0;
-  #leaving = false;
+  readonly #gossip: FleetGossip;
+  readonly #vmList: VmListFollower;
+  readonly #configExchange: ConfigExchange;
+  /** Position in the prefix updates up to which each link has been sent them. */
+  readonly #prefixCursors = new WeakMap<Link, number>();
+  /** Time of the target list read that was last announced on each link. */
+  readonly #sentReadAtMs = new WeakMap<Link, number>();
+  /** Peers that could send orders to engines according to their last heartbeat. */
+  readonly #orderCandidates = new Set<string>();
+  #listedCount = 0;
+  #hasVmList = false;
+  #vmCount = 0;
+  #isLeaving = false;
   readonly #undoListeners: (() => void)[] = [];
 
   constructor(options: FleetMeshOptions) {
@@ -115,14 +115,14 @@
           live: this.#membership.listLive(self.availabilityZone).length,
         }),
     });
-    this.#news = new FleetGossip(options);
-    this.#list = new VmListFollower({
+    this.#gossip = new FleetGossip(options);
+    this.#vmList = new VmListFollower({
       self,
       vms: options.vms,
       clock: options.clock,
       hasFreshFeed: () => !this.mustReadStore(),
-      onList: (listed) => this.#applyList(listed),
-      onFault: (error) => this.#noteListFault(error),
+      onList: (listed) => this.#applyVmList(listed),
+      onError: (error) => this.#logVmListError(error),
     });
     this.#node = new MeshNode({
       self,
@@ -139,11 +139,11 @@
       translate: (address) => address,
       onRound: () => this.#hubs.beginRound(),
       buildHeartbeat: (link, peer) => this.#buildHeartbeat(link, peer),
-      onLoopStall: (standstill) => this.#noteStandstill(standstill),
+      onLoopStall: (stall) => this.#handleStall(stall),
       onLinkClosed: (fault) =>
         options.log.write("debug", "meshLinkEnded", { fault }),
     });
-    this.#configs = new ConfigExchange({
+    this.#configExchange = new ConfigExchange({
       ...options,
       node: this.#node,
       mustReadStore: () => this.mustReadStore(),
@@ -152,63 +152,61 @@
 
   async start(): Promise<void> {
     this.#node.registerHeartbeatListener((heartbeat, from, waitedMs) =>
-      this.#takeHeartbeat(heartbeat, from, waitedMs)
+      this.#handleHeartbeat(heartbeat, from, waitedMs)
     );
-    this.#configs.start();
+    this.#configExchange.start();
     await this.#node.start();
-    const {
-      workTracker,
-    } = this.#options;
+    const { workTracker } = this.#options;
     this.#undoListeners.push(
       workTracker.registerOwnWorkListener(() => {
-        // A hub tells sums of many VMs, which change all the time.
+        // A hub's digests cover many VMs and change all the time.
         if (!this.#membership.isHub) this.#node.requestRound();
       }),
-      this.#news.registerListener(() => this.#node.requestRound()),
+      this.#gossip.registerListener(() => this.#node.requestRound()),
     );
-    this.#list.start();
+    this.#vmList.start();
   }
 
-  /** Tells peers that this VM is leaving. */
+  /** Announces to peers that this VM is leaving and removes it from the VM list. */
   async leave(): Promise<void> {
-    this.#leaving = true;
+    this.#isLeaving = true;
     this.#node.sendHeartbeats();
-    await this.#list.leave();
+    await this.#vmList.leave();
   }
 
   stop(): void {
     for (const undo of this.#undoListeners) undo();
-    this.#list.stop();
+    this.#vmList.stop();
     this.#node.stop();
   }
 
-  /** Ids of the VMs that answer, this one included. */
+  /** Lists the ids of the live VMs, this one included. */
   listLive(): string[] {
     return this.#membership.listLive();
   }
 
-  /** Whether the list of VMs has been read: from then on duties are known. */
+  /** Whether the VM list has been read, from which the coordinators are known. */
   get hasVmList(): boolean {
-    return this.#hasList;
+    return this.#hasVmList;
   }
 
-  /** Whether this VM has to read the store's topics by itself. */
+  /** Whether this VM must read the store's topics itself. */
   mustReadStore(): boolean {
     if (!this.#membership.hasHubs) return true;
     return !this.#hubs.hasFreshFeed(this.#options.clock.readMonotonicMs());
   }
 
-  /** Monotonic time for which a hub's word on the list of targets held. */
+  /** Monotonic time as of which a hub's feed of the target list is valid. */
   get feedValidAtMs(): number {
     return this.#hubs.feedValidAtMs;
   }
 
-  /** Whether this VM is one of those that do what one VM has to do for the fleet. */
+  /** Whether this VM takes part in fleet-wide tasks that a single VM performs at a time. */
   get isCoordinator(): boolean {
     return !this.#membership.hasHubs || this.#membership.isHub;
   }
 
-  /** Ids of the live VMs that share what is done for the whole fleet, this one included. */
+  /** Lists the ids of the live VMs that share fleet-wide tasks, this one included. */
   listCoordinators(): string[] {
     const live = this.listLive();
     if (!this.#membership.hasHubs) return live;
@@ -217,92 +215,82 @@
     return live.filter((id) => id === self || hubs.has(id));
   }
 
-  /** Ids of the live VMs that could give orders, this one included. */
+  /** Lists the ids of the live VMs that could send orders to engines, this one included. */
   listOrderCandidates(): string[] {
     const { self } = this.#options;
     return this.listLive().filter((id) =>
-      id === self.id || this.#orderers.has(id)
+      id === self.id || this.#orderCandidates.has(id)
     );
   }
 
-  /** To be called some times a second: counts VMs, and looks at their list when it is time. */
+  /** Updates the VM count and polls the VM list when due. To be called several times a second. */
   tick(): void {
     this.updateVmCount();
-    this.#list.tick();
+    this.#vmList.tick();
   }
 
-  #applyList(listed: readonly VmRecord[]): void {
-    this.#listed = listed.length;
+  #applyVmList(listed: readonly VmRecord[]): void {
+    this.#listedCount = listed.length;
     this.#membership.recordListing(listed);
-    this.#hasList = true;
+    this.#hasVmList = true;
     this.updateVmCount();
   }
 
-  /** VMs that are listed but do not answer may still spend of what all share. */
+  /** Counts also VMs that are listed but not live, as they may still use the shared limits. */
   updateVmCount(): void {
     const live = this.#membership.hasHubs
       ? this.#hubs.liveVms
       : this.listLive().length;
-    const count = Math.max(this.#listed, live);
-    if (count === this.#liveVms) return;
+    const count = Math.max(this.#listedCount, live);
+    if (count === this.#vmCount) return;
     this.#options.log.write("info", "vmsCounted", {
-      listed: this.#listed,
+      listed: this.#listedCount,
       live,
-      before: this.#liveVms,
+      before: this.#vmCount,
     });
-    this.#liveVms = count;
+    this.#vmCount = count;
     this.#options.onLiveVms(count);
   }
 
   #buildHeartbeat(link: Link, peer: LinkIdentity): Heartbeat | undefined {
-    const {
-      activeConfig,
-      mayOrder,
-    } = this.#options;
-    const parts = this.#membership.hasHubs
+    const { activeConfig, mayOrder } = this.#options;
+    const fields = this.#membership.hasHubs
       ? this.#hubs.buildFields(link, peer)
-      : this.#buildMeshParts(link);
-    const news = this.#news.buildFields(link);
-    const isEmpty = parts === undefined && Object.keys(news).length === 0;
-    if (isEmpty && !this.#leaving) return undefined;
+      : this.#buildMeshFields(link);
+    const gossipFields = this.#gossip.buildFields(link);
+    const isEmpty = fields === undefined &&
+      Object.keys(gossipFields).length === 0;
+    if (isEmpty && !this.#isLeaving) return undefined;
     return {
       kind: "heartbeat",
       configOffset: activeConfig.version,
       controlOffset: -1,
       intervalMs: Math.round(this.#node.intervalMs),
-      leaving: this.#leaving,
+      leaving: this.#isLeaving,
       mayOrder: mayOrder(),
       ...this.#buildListAge(link),
-      ...news,
-      ...parts,
+      ...gossipFields,
+      ...fields,
     };
   }
 
-  /** Peers learn from each new reading that the store is there. */
+  /** Announces each new read of the target list once, so that peers know the store is reachable. */
   #buildListAge(link: Link): Pick<Heartbeat, "listAgeMs"> {
     const { clock, getListReadAtMs } = this.#options;
     const readAtMs = getListReadAtMs();
-    if (readAtMs <= (this.#toldReadAtMs.get(link) ?? -Infinity)) return {};
-    this.#toldReadAtMs.set(link, readAtMs);
+    if (readAtMs <= (this.#sentReadAtMs.get(link) ?? -Infinity)) return {};
+    this.#sentReadAtMs.set(link, readAtMs);
     return { listAgeMs: Math.round(clock.readMonotonicMs() - readAtMs) };
   }
 
-  /** What is told on a link of two VMs without hubs: own work, and notes since the last time. */
-  #buildMeshParts(link: Link): Partial<Heartbeat> {
-    const {
-      workTracker,
-      prefixIndex,
-      clock,
-      listChangingRole,
-    } = this.#options;
+  /** Builds the fields for a link without hubs: own work, and the prefix updates not yet sent. */
+  #buildMeshFields(link: Link): Partial<Heartbeat> {
+    const { workTracker, prefixIndex, clock, listChangingRole } = this.#options;
     const changing = listChangingRole();
-    const {
-      updates,
-      cursor,
-    } = prefixIndex.listUpdates(
-      this.#told.get(link) ?? 0,
+    const { updates, cursor } = prefixIndex.listUpdates(
+      this.#prefixCursors.get(link) ?? 0,
     );
-    this.#told.set(link, cursor);
+    this.#prefixCursors.set(link, cursor);
     return {
       work: workTracker.listOwnRows(clock.readMonotonicMs())
         .map((row): [string, number, number, ...number[]] => [...row]),
@@ -313,16 +301,16 @@
     };
   }
 
-  #takeHeartbeat(
+  #handleHeartbeat(
     heartbeat: Heartbeat,
     from: LinkIdentity,
     waitedMs: number,
   ): void {
     if (this.#membership.hasHubs) this.#hubs.handle(heartbeat, from, waitedMs);
-    else this.#takeMeshParts(heartbeat, from);
-    this.#news.handle(heartbeat, waitedMs);
-    if (heartbeat.mayOrder) this.#orderers.add(from.id);
-    else this.#orderers.delete(from.id);
+    else this.#handleMeshFields(heartbeat, from);
+    this.#gossip.handle(heartbeat, waitedMs);
+    if (heartbeat.mayOrder) this.#orderCandidates.add(from.id);
+    else this.#orderCandidates.delete(from.id);
     if (heartbeat.listAgeMs !== undefined) {
       const { clock, onPeerListRead } = this.#options;
       onPeerListRead(clock.readMonotonicMs() - heartbeat.listAgeMs - waitedMs);
@@ -330,15 +318,11 @@
     if (heartbeat.changing !== undefined) {
       this.#options.onChangingRole(heartbeat.changing[1]);
     }
-    this.#configs.handlePeerVersion(from.id, heartbeat.configOffset);
+    this.#configExchange.handlePeerVersion(from.id, heartbeat.configOffset);
   }
 
-  #takeMeshParts(heartbeat: Heartbeat, from: LinkIdentity): void {
-    const {
-      workTracker,
-      prefixIndex,
-      clock,
-    } = this.#options;
+  #handleMeshFields(heartbeat: Heartbeat, from: LinkIdentity): void {
+    const { workTracker, prefixIndex, clock } = this.#options;
     const nowMs = clock.readMonotonicMs();
     if (heartbeat.prompts !== undefined) {
       prefixIndex.applyPeerUpdates(heartbeat.prompts, nowMs);
@@ -348,8 +332,8 @@
     }
   }
 
-  /** What was known before a standstill is older by the time that the clock did not count. */
-  #noteStandstill({ lateMs, uncountedMs }: LoopStall): void {
+  /** Ages the feed by the part of a stall that the monotonic clock did not count. */
+  #handleStall({ lateMs, uncountedMs }: LoopStall): void {
     this.#hubs.addUncountedMs(uncountedMs);
     this.#options.onLoopStall(lateMs);
     this.#options.log.write("warn", "loopLate", {
@@ -358,7 +342,7 @@
     });
   }
 
-  #noteListFault(error: unknown): void {
+  #logVmListError(error: unknown): void {
     this.#options.log.write("warn", "vmListFault", {
       reason: (error as Error).message,
     });
--- a/packages/heatherarch-forward/tasks/role_controller.ts
+++ b/packages/heatherarch-forward/tasks/role_controller.ts
@@ -1,9 +1,9 @@
 /**
- * Keeps the engines in the roles of the plan. Any VM may do it; at a time one does, under a
- * lease in the platform's log, and only while there is something to change.
+ * Orders engines to change to their planned roles. Any VM may do so, but only one at a time, under
+ * a lease in the platform's log that is held only while there are changes to make.
  *
- * The VMs take turns by rendezvous hashing: the first one acts at once, each next one only when
- * the change is still wanted some seconds later. The lease decides where two act at once.
+ * Rendezvous hashing ranks the VMs. The first one acts at once, and each next one only if the
+ * change is still due some seconds later. If two act at once, the lease decides.
  *
  * @module
  */
@@ -44,62 +44,62 @@
   readonly codec: CallCodec;
   readonly events: EventLog;
   readonly metrics: ForwardMetrics;
-  /** Ids of the live VMs that could give orders, this one included. */
+  /** Lists the ids of the live VMs that could send orders, this one included. */
   readonly listOrderCandidates: () => readonly string[];
-  /** Whether the platform's list is being read without fault. */
+  /** Whether this VM reads the platform's target list itself and its last read succeeded. */
   readonly isListCurrent: () => boolean;
-  /** Whether this VM is one of those that usually give orders. */
+  /** Whether this VM is one of those that usually send orders. */
   readonly isCoordinator?: () => boolean;
 }
 
 const CONTROL_STREAM = "control.roles";
-/** Pause between looks at the plan, milliseconds. */
-const LOOK_MS = 300;
-/** The same for a VM that usually gives no orders: it waits some seconds for those that do. */
-const IDLE_LOOK_MS = 1000;
+/** Pause between evaluations of the plan, milliseconds. */
+const POLL_INTERVAL_MS = 300;
+/** The same for a VM that is no coordinator, which waits seconds for the coordinators anyway. */
+const SPARE_POLL_INTERVAL_MS = 1000;
 /**
- * No engine has come for this long before orders are given: each one reports every 1.2 s, so the
- * list fills up for that long.
+ * Time without a new engine before orders are sent, milliseconds. Each engine reports every 1.2 s,
+ * so the list is incomplete for that long.
  */
-const SETTLE_MS = 1500;
+const LIST_SETTLE_MS = 1500;
 /**
- * A VM leaves this much time to each VM before it: a look, a claim, the orders, and a heartbeat
- * that tells of them. Should two act at once, the lease decides.
+ * Time that a VM leaves to each VM ranked before it, milliseconds: an evaluation of the plan, a
+ * claim, the orders, and a heartbeat that announces them. If two act at once, the lease decides.
  */
 const TURN_MS = 1500;
-/** Further wait of a VM that usually gives no orders: all that do must have failed. */
+/** Additional wait of a VM that is no coordinator, until all coordinators must have failed. */
 const SPARE_TURN_MS = 6000;
-/** A lease without anything to do is given up after this time, milliseconds. */
-const IDLE_MS = 2000;
-/** Two reports of a target, so that its new role has been listed. */
-const REPORT_MS = 2600;
-/** Drift of monotonic clocks within a lease, milliseconds. */
+/** A lease without changes to make is released after this time, milliseconds. */
+const MAX_IDLE_LEASE_MS = 2000;
+/** Time of two reports of a target, after which its new role is listed, milliseconds. */
+const REPORT_WAIT_MS = 2600;
+/** Bound on the drift between monotonic clocks within one lease, milliseconds. */
 const DRIFT_MS = 200;
-/** Wall and monotonic time that part by more than this hint at a suspended machine. */
-const MAX_CLOCK_PART_MS = 150;
+/** Wall and monotonic clocks that diverge by more than this suggest a suspended machine. */
+const MAX_CLOCK_DIVERGENCE_MS = 150;
 const HTTP_OK = 200;
 const HTTP_FENCED = 412;
 
-interface Campaign {
+interface LeaseSession {
   readonly machine: LeaseStateMachine;
   readAtMs: number;
   idleSinceMs: number;
 }
 
-/** The task that gives orders to engines. */
+/** The task that sends role orders to engines. */
 export class RoleController {
   readonly #options: RoleControllerOptions;
-  /** Engines whose change has been ordered, with the role and the end of the wait for it. */
+  /** Ordered changes by engine, with the new role and the time until which it is awaited. */
   readonly #pending = new Map<string, { role: TargetRole; untilMs: number }>();
   #state = EMPTY_CONTROL_STATE;
-  #campaign: Campaign | undefined;
-  #wantedSinceMs = Infinity;
+  #session: LeaseSession | undefined;
+  #changesDueSinceMs = Infinity;
   #engineCount = -1;
-  #countSinceMs = 0;
+  #countGrewAtMs = 0;
   #stopped = false;
-  #campaigns = 0;
-  /** Wall minus monotonic time when the campaign began. */
-  #clockPartMs = 0;
+  #sessionCount = 0;
+  /** Wall minus monotonic time at the start of the session, milliseconds. */
+  #clockOffsetMs = 0;
 
   constructor(options: RoleControllerOptions) {
     this.#options = options;
@@ -109,15 +109,15 @@
     void this.#run();
   }
 
-  /** Ends the task and gives the lease up. */
+  /** Ends the task and releases the lease. */
   async stop(): Promise<void> {
     this.#stopped = true;
-    await this.#resign("stopping").catch((error) => this.#noteFault(error));
+    await this.#resign("stopping").catch((error) => this.#logError(error));
   }
 
   /**
-   * Engines that are changing their role by an order of this VM. A change ends in its time also
-   * while the list can't be read: until it ends no VM gives them work.
+   * Lists engines that are changing their role on an order of this VM. No VM gives them work
+   * meanwhile, so a change expires in time even if the target list can't be read.
    */
   listChangingRole(): string[] {
     const nowMs = this.#nowMs;
@@ -131,12 +131,10 @@
       try {
         await this.#step();
       } catch (error) {
-        this.#noteFault(error);
+        this.#logError(error);
       }
-      const {
-        isCoordinator = () => true,
-      } = this.#options;
-      await sleep(isCoordinator() ? LOOK_MS : IDLE_LOOK_MS);
+      const { isCoordinator = () => true } = this.#options;
+      await sleep(isCoordinator() ? POLL_INTERVAL_MS : SPARE_POLL_INTERVAL_MS);
     }
   }
 
@@ -144,29 +142,24 @@
     const nowMs = this.#nowMs;
     const changes = this.#plan(nowMs);
     if (changes.length === 0) {
-      this.#wantedSinceMs = Infinity;
-      await this.#restIfIdle(nowMs);
+      this.#changesDueSinceMs = Infinity;
+      await this.#resignIfIdle(nowMs);
       return;
     }
-    this.#wantedSinceMs = Math.min(this.#wantedSinceMs, nowMs);
-    if (nowMs - this.#wantedSinceMs < this.#computeTurnMs()) return;
-    const campaign = this.#campaign ?? this.#begin();
-    campaign.idleSinceMs = nowMs;
-    await this.#readControl(campaign);
-    await this.#appendAll(campaign);
-    await this.#readControl(campaign);
+    this.#changesDueSinceMs = Math.min(this.#changesDueSinceMs, nowMs);
+    if (nowMs - this.#changesDueSinceMs < this.#computeTurnDelayMs()) return;
+    const session = this.#session ?? this.#beginSession();
+    session.idleSinceMs = nowMs;
+    await this.#readControlStream(session);
+    await this.#appendLeaseRecords(session);
+    await this.#readControlStream(session);
     for (const change of changes) {
-      if (!(await this.#order(campaign, change))) return;
+      if (!(await this.#sendOrder(session, change))) return;
     }
   }
 
   #plan(nowMs: number): RoleChange[] {
-    const {
-      activeConfig,
-      directory,
-      health,
-      isListCurrent,
-    } = this.#options;
+    const { activeConfig, directory, health, isListCurrent } = this.#options;
     const { table } = activeConfig;
     if (table === undefined || !isListCurrent()) return [];
     const changes: RoleChange[] = [];
@@ -182,15 +175,15 @@
         slots: service.engine.slots,
       }));
     }
-    // Engines that go are replaced at once; those that come may be followed by more.
-    if (count > this.#engineCount) this.#countSinceMs = nowMs;
+    // Departed engines are replaced at once, while after an arrival more may follow.
+    if (count > this.#engineCount) this.#countGrewAtMs = nowMs;
     this.#engineCount = count;
-    return nowMs - this.#countSinceMs < SETTLE_MS ? [] : changes;
+    return nowMs - this.#countGrewAtMs < LIST_SETTLE_MS ? [] : changes;
   }
 
   #applyPending(target: Target, nowMs: number): Target {
     const pending = this.#pending.get(target.id);
-    if (pending === undefined) return this.#applyChanging(target, nowMs);
+    if (pending === undefined) return this.#applyPeerOrder(target, nowMs);
     if (target.role === pending.role || nowMs > pending.untilMs) {
       this.#pending.delete(target.id);
       return target;
@@ -198,8 +191,8 @@
     return { ...target, role: pending.role };
   }
 
-  /** An engine that another VM has ordered to change counts in its new role. */
-  #applyChanging(target: Target, nowMs: number): Target {
+  /** Counts an engine that another VM has ordered to change in its new role. */
+  #applyPeerOrder(target: Target, nowMs: number): Target {
     if (!this.#options.directory.hasRoleChange(target.id, nowMs)) return target;
     return {
       ...target,
@@ -207,48 +200,48 @@
     };
   }
 
-  /** Time to wait for the VMs whose turn comes first. */
-  #computeTurnMs(): number {
+  /** Computes the time to wait for the VMs ranked first. */
+  #computeTurnDelayMs(): number {
     const { vmId, listOrderCandidates, isCoordinator = () => true } =
       this.#options;
     const ownWeight = computeRendezvousWeight(CONTROL_STREAM, vmId);
-    const before = listOrderCandidates().filter((id) =>
+    const rankedFirst = listOrderCandidates().filter((id) =>
       computeRendezvousWeight(CONTROL_STREAM, id) > ownWeight
     );
-    return before.length * TURN_MS + (isCoordinator() ? 0 : SPARE_TURN_MS);
+    return rankedFirst.length * TURN_MS + (isCoordinator() ? 0 : SPARE_TURN_MS);
   }
 
-  #begin(): Campaign {
+  #beginSession(): LeaseSession {
     const { vmId, incarnation, leaseMs } = this.#options;
-    this.#clockPartMs = this.#readClockPart();
+    this.#clockOffsetMs = this.#computeClockOffsetMs();
     const machine = new LeaseStateMachine({
       vm: vmId,
-      // A claim of an earlier campaign is another's claim, whose silence is waited for.
-      incarnation: `${incarnation}.${this.#campaigns++}`,
+      // A claim of an earlier session counts as another VM's claim, whose lease must expire.
+      incarnation: `${incarnation}.${this.#sessionCount++}`,
       durationMs: leaseMs,
       driftMs: DRIFT_MS,
       renewMs: leaseMs / 3,
       createId: () => createId("order"),
     });
     machine.loadState(this.#state, this.#nowMs);
-    const campaign = { machine, readAtMs: -Infinity, idleSinceMs: this.#nowMs };
-    this.#campaign = campaign;
+    const session = { machine, readAtMs: -Infinity, idleSinceMs: this.#nowMs };
+    this.#session = session;
     this.#options.events.write("info", "leaseSought", {
       stream: CONTROL_STREAM,
       offset: this.#state.offset,
     });
-    return campaign;
+    return session;
   }
 
-  async #readControl(campaign: Campaign): Promise<void> {
-    const { machine } = campaign;
+  async #readControlStream(session: LeaseSession): Promise<void> {
+    const { machine } = session;
     while (true) {
       const sentAtMs = this.#nowMs;
       const from = machine.state.offset + 1;
       const slice = await this.#options.log.read(CONTROL_STREAM, from);
       const verdict = classifySlice(from, slice);
       if (verdict.kind === "gap") {
-        // What expired is older than any lease; the claims that follow tell the rest.
+        // Expired records are older than any lease, and later claims contain the current state.
         machine.loadState(
           { ...EMPTY_CONTROL_STATE, offset: verdict.first - 1 },
           this.#nowMs,
@@ -260,13 +253,13 @@
       }
       this.#state = machine.state;
       if (!verdict.isCurrent) continue;
-      campaign.readAtMs = sentAtMs;
+      session.readAtMs = sentAtMs;
       return;
     }
   }
 
-  async #appendAll(campaign: Campaign): Promise<void> {
-    const actions = campaign.machine.tick(this.#nowMs, campaign.readAtMs);
+  async #appendLeaseRecords(session: LeaseSession): Promise<void> {
+    const actions = session.machine.tick(this.#nowMs, session.readAtMs);
     for (const { record } of actions) await this.#append(record);
   }
 
@@ -274,28 +267,31 @@
     await this.#options.log.append(CONTROL_STREAM, record);
   }
 
-  /** Gives one order; false where no further one may be given now. */
-  async #order(campaign: Campaign, change: RoleChange): Promise<boolean> {
+  /** Sends one order; returns false if no further one may be sent now. */
+  async #sendOrder(
+    session: LeaseSession,
+    change: RoleChange,
+  ): Promise<boolean> {
     const { target, role } = change;
     const { codec, vmId, activeConfig } = this.#options;
     const report = await this.#readReport(target);
     if (report === undefined || report.isChangingRole) return true;
-    // The list is older than the engine's start: its count of orders is not this life's.
-    if (isOtherLife(report, target)) return true;
+    // The list predates the engine's restart, so its role is not that of this incarnation.
+    if (isOtherIncarnation(report, target)) return true;
     if (report.role === role) return true;
-    if (!this.#hasAuthority(campaign)) return false;
-    const { fencing } = campaign.machine;
+    if (!this.#hasAuthority(session)) return false;
+    const { fencing } = session.machine;
     const { ordersTaken } = report;
     const order = { target, role, holder: vmId, fencing, ordersTaken };
     const traits = activeConfig.table?.findService(target.service)?.engine;
-    const untilMs = this.#nowMs + (traits?.roleChangeMs ?? 0) + REPORT_MS;
+    const untilMs = this.#nowMs + (traits?.roleChangeMs ?? 0) + REPORT_WAIT_MS;
     this.#pending.set(target.id, { role, untilMs });
     const request = codec.encodeRoleOrder(order);
-    const answer = await sendEngineRequest(this.#options, target, request);
-    // Without an answer it may have been accepted: the expected count makes a repetition harmless.
-    this.#noteOrder(order, answer?.status ?? "unanswered");
-    if (answer?.status !== HTTP_FENCED) return true;
-    // Another VM holds the lease now; this token is never used again.
+    const response = await sendEngineRequest(this.#options, target, request);
+    // Without a response the order may have been accepted. `ordersTaken` makes a repeat harmless.
+    this.#logOrder(order, response?.status ?? "unanswered");
+    if (response?.status !== HTTP_FENCED) return true;
+    // Another VM holds the lease now, so this fencing token is never used again.
     this.#pending.delete(target.id);
     await this.#resign("fenced");
     return false;
@@ -303,16 +299,16 @@
 
   async #readReport(target: Target): Promise<EngineReport | undefined> {
     const { codec } = this.#options;
-    const answer = await sendEngineRequest(
+    const response = await sendEngineRequest(
       this.#options,
       target,
       codec.encodeReportRequest(target),
     );
-    if (answer?.status !== HTTP_OK) return undefined;
-    return codec.decodeReport(answer.body);
+    if (response?.status !== HTTP_OK) return undefined;
+    return codec.decodeReport(response.body);
   }
 
-  #noteOrder(order: RoleOrder, outcome: number | string): void {
+  #logOrder(order: RoleOrder, outcome: number | string): void {
     this.#options.metrics.orders.inc({ outcome: String(outcome) });
     this.#options.events.write("info", "roleOrdered", {
       target: order.target.id,
@@ -323,41 +319,43 @@
     });
   }
 
-  /** A suspended machine's monotonic clock stands still, so a lease could outlive its time. */
-  #hasAuthority(campaign: Campaign): boolean {
-    const parted = Math.abs(this.#readClockPart() - this.#clockPartMs);
-    if (parted > MAX_CLOCK_PART_MS) {
-      this.#campaign = undefined;
+  /** Checks the lease, which could outlive its duration if a suspension stopped the clock. */
+  #hasAuthority(session: LeaseSession): boolean {
+    const divergenceMs = Math.abs(
+      this.#computeClockOffsetMs() - this.#clockOffsetMs,
+    );
+    if (divergenceMs > MAX_CLOCK_DIVERGENCE_MS) {
+      this.#session = undefined;
       this.#options.events.write("warn", "leaseDropped", {
-        reason: "wall and monotonic time parted",
-        partedMs: Math.round(parted),
+        reason: "wall and monotonic clocks diverged",
+        partedMs: Math.round(divergenceMs),
       });
       return false;
     }
-    return campaign.machine.hasAuthority(this.#nowMs);
+    return session.machine.hasAuthority(this.#nowMs);
   }
 
-  async #restIfIdle(nowMs: number): Promise<void> {
-    const campaign = this.#campaign;
-    if (campaign === undefined) return;
-    if (nowMs - campaign.idleSinceMs < IDLE_MS) return;
+  async #resignIfIdle(nowMs: number): Promise<void> {
+    const session = this.#session;
+    if (session === undefined) return;
+    if (nowMs - session.idleSinceMs < MAX_IDLE_LEASE_MS) return;
     await this.#resign("nothing to change");
   }
 
   async #resign(reason: string): Promise<void> {
-    const campaign = this.#campaign;
-    if (campaign === undefined) return;
-    this.#campaign = undefined;
+    const session = this.#session;
+    if (session === undefined) return;
+    this.#session = undefined;
     this.#options.events.write("info", "leaseGivenUp", {
       reason,
-      fencing: campaign.machine.fencing,
+      fencing: session.machine.fencing,
     });
-    for (const { record } of campaign.machine.resign()) {
+    for (const { record } of session.machine.resign()) {
       await this.#append(record);
     }
   }
 
-  #readClockPart(): number {
+  #computeClockOffsetMs(): number {
     const { clock } = this.#options;
     return clock.readWallMs() - clock.readMonotonicMs();
   }
@@ -366,15 +364,15 @@
     return this.#options.clock.readMonotonicMs();
   }
 
-  #noteFault(error: unknown): void {
+  #logError(error: unknown): void {
     this.#options.events.write("warn", "roleKeeperFault", {
       reason: (error as Error).message,
     });
   }
 }
 
-/** Whether an engine's report is of another life than the list's; unknown starts tell nothing. */
-function isOtherLife(report: EngineReport, target: Target): boolean {
+/** Whether a report is from another incarnation than listed; false if a start is unknown. */
+function isOtherIncarnation(report: EngineReport, target: Target): boolean {
   const isKnown = report.startedAtMs !== undefined &&
     target.startedAtMs !== undefined;
   return isKnown && report.startedAtMs !== target.startedAtMs;
--- a/packages/heatherarch-forward/tasks/status_server.ts
+++ b/packages/heatherarch-forward/tasks/status_server.ts
@@ -1,5 +1,5 @@
 /**
- * Readiness for the platform's balancer; metrics and the quarantine for operators.
+ * HTTP endpoints for readiness (the platform's load balancer), metrics and quarantine (operators).
  *
  * @module
  */
@@ -24,7 +24,7 @@
 
 const QUARANTINE_PATH = "/quarantine";
 
-/** A small HTTP server for those who watch this VM. */
+/** HTTP server for monitoring and operating this VM. */
 export class StatusServer {
   readonly #options: StatusServerOptions;
   readonly #app = new Koa();
@@ -33,11 +33,11 @@
 
   constructor(options: StatusServerOptions) {
     this.#options = options;
-    this.#app.use((context) => this.#answer(context));
+    this.#app.use((context) => this.#handleRequest(context));
     this.#app.silent = true;
   }
 
-  /** Listens; operators may lift quarantines on ports that are for them. */
+  /** Starts listening. The quarantine is accessible only on ports for operators. */
   async listen(
     host: string,
     port: number,
@@ -58,7 +58,7 @@
     }
   }
 
-  async #answer(context: Context): Promise<void> {
+  async #handleRequest(context: Context): Promise<void> {
     const { metrics, readinessPath, metricsPath, isReady } = this.#options;
     const isForOperators = this.#operatorPorts.has(
       context.req.socket.localPort,
@@ -70,34 +70,38 @@
       context.type = metrics.registry.contentType;
       context.body = await metrics.registry.metrics();
     } else if (isForOperators && context.path.startsWith(QUARANTINE_PATH)) {
-      this.#answerQuarantine(context);
+      this.#handleQuarantine(context);
     }
   }
 
-  #answerQuarantine(context: Context): void {
+  #handleQuarantine(context: Context): void {
     const { quarantine, clock } = this.#options;
     const nowMs = clock.readMonotonicMs();
     const request = context.path.slice(QUARANTINE_PATH.length + 1);
     if (context.method === "GET" && request === "") {
-      const unixMs = clock.readWallMs() - nowMs;
-      const held = quarantine.listQuarantined(nowMs);
-      context.body = { quarantined: held.map((one) => describe(one, unixMs)) };
+      const unixOffsetMs = clock.readWallMs() - nowMs;
+      const entries = quarantine.listQuarantined(nowMs);
+      context.body = {
+        quarantined: entries.map((entry) =>
+          formatQuarantined(entry, unixOffsetMs)
+        ),
+      };
     } else if (context.method === "DELETE" && request !== "") {
       context.status = quarantine.clear(request, nowMs) ? 204 : 404;
     }
   }
 }
 
-/** A quarantine with its times as a clock on the wall shows them. */
-function describe(
+/** Formats a quarantine with its monotonic times converted to wall-clock times. */
+function formatQuarantined(
   { request, account, lives, sinceMs, untilMs }: QuarantinedRequest,
-  unixMs: number,
+  unixOffsetMs: number,
 ) {
   return {
     request,
     account,
     endedTargets: lives,
-    since: new Date(unixMs + sinceMs).toISOString(),
-    until: new Date(unixMs + untilMs).toISOString(),
+    since: new Date(unixOffsetMs + sinceMs).toISOString(),
+    until: new Date(unixOffsetMs + untilMs).toISOString(),
   };
 }
