--- a/packages/heatherarch-lab/bench/claims_bench.ts
+++ b/packages/heatherarch-lab/bench/claims_bench.ts
@@ -95,8 +95,8 @@
     maxBatch,
     callers,
     claimsPerSecond: Math.round(latenciesMs.length / DURATION_S),
-    appendsPerSecond: Math.round(log.appends / DURATION_S),
-    claimsPerAppend: roundTo(latenciesMs.length / log.appends, 1),
+    appendsPerSecond: Math.round(log.appendCount / DURATION_S),
+    claimsPerAppend: roundTo(latenciesMs.length / log.appendCount, 1),
     addedLatencyMs: computeQuantiles(latenciesMs),
     cpuMicrosecondsPerClaim: roundTo(
       (cpu.user + cpu.system) / latenciesMs.length,
