--- a/packages/heatherarch-lab/proofs/claims_proof.ts
+++ b/packages/heatherarch-lab/proofs/claims_proof.ts
@@ -1,6 +1,6 @@
 /**
- * Proof of at-most-once claims: several owners of one shard, late and repeated appends,
- * restarts, trimming, old keys. The oracle is the list of keys that ran.
+ * Proof of at-most-once claims under several owners of one shard, delayed and duplicate appends,
+ * restarts, log trimming and expired keys. The oracle counts the runs of each key.
  *
  * @module
  */
@@ -22,7 +22,10 @@
 const START_MS = 1_000_000;
 const KEY_AGES = [0, 5000];
 
-/** Guard of the owner, not of the fold: nothing is granted before the own claim is read. */
+/**
+ * Guard of the owner rather than of the fold: an owner grants a claim only after it has read the
+ * claim's own record.
+ */
 const READ_OWN_CLAIM = "readUpToOwnClaim";
 
 type Operation =
@@ -53,21 +56,21 @@
 
 interface Owner {
   fold: ClaimFold;
-  /** Claims that wait for their verdict. */
+  /** Claims without a verdict, by claim id. */
   pendingClaims: Map<string, PendingClaim>;
-  /** Granted claims that have neither run out nor been released. */
+  /** Granted claims that are neither concluded nor released. */
   heldClaims: PendingClaim[];
 }
 
-/** The stream of one shard and its owners. */
+/** The claims stream of one shard, its owners and the oracles. */
 class ClaimSimulation {
   readonly #disabledGuard: string | undefined;
   readonly #log: TimedRecord[] = [];
   readonly #delayed: ClaimRecord[] = [];
   readonly #owners: Owner[] = [];
-  /** Runs by key: the oracle. */
+  /** First oracle: number of runs by key. */
   readonly #runs = new Map<string, number>();
-  /** Which claim holds each key, by the order of the log: the second oracle. */
+  /** Second oracle: the claim that holds each key, by the order of the log. */
   readonly #holders = new Map<string, string>();
   readonly #seenIds = new Set<string>();
   #oldestOffset = 0;
@@ -114,7 +117,7 @@
   #claim(operation: Extract<Operation, { kind: "claim" }>): void {
     const owner = this.#owners[operation.owner];
     const claimId = `claim${this.#idCount++}`;
-    // A key's time is part of it, so the same key always carries the same time.
+    // The time is part of the key's text, so a key always has the same time.
     const { text: key, madeAtMs } = buildKey(operation.key, operation.ageMs);
     const entry: ClaimEntry = {
       op: "claim",
@@ -129,7 +132,7 @@
     if (this.#disabledGuard === READ_OWN_CLAIM) this.#grantNow(owner, claimId);
   }
 
-  /** What an owner would do that trusts an acknowledged append. */
+  /** Grants a claim as soon as its append is sent, as an owner without the guard would. */
   #grantNow(owner: Owner, claimId: string): void {
     const pending = owner.pendingClaims.get(claimId) as PendingClaim;
     owner.pendingClaims.delete(claimId);
@@ -171,7 +174,7 @@
     return ageMs < KEY_WINDOW_MS && ageMs >= -1000;
   }
 
-  /** An owner that has read everything agrees with the log's order. */
+  /** Checks that an owner that has read the whole log agrees with it on the holders. */
   #checkHolders(owner: Owner): void {
     if (owner.fold.offset !== this.#oldestOffset + this.#log.length - 1) return;
     for (let number = 0; number < KEYS; number++) {
@@ -182,7 +185,7 @@
         const holder = this.#holders.get(key.text);
         assertProperty(
           known === holder,
-          "the first claim holds",
+          "the first claim of a key holds it",
           `${known}, not ${holder}`,
         );
       }
@@ -205,17 +208,17 @@
   }
 
   #read(owner: Owner, limit: number): void {
-    const from = owner.fold.offset + 1;
-    if (from < this.#oldestOffset) {
-      // Trimmed: a snapshot must bridge the gap, else the owner grants nothing.
+    const nextOffset = owner.fold.offset + 1;
+    if (nextOffset < this.#oldestOffset) {
+      // The log is trimmed. Without a snapshot that covers the gap, the owner grants nothing.
       owner.pendingClaims.clear();
       owner.fold.loadSnapshot(this.#log);
       return;
     }
     for (
       const record of this.#log.slice(
-        from - this.#oldestOffset,
-        from - this.#oldestOffset + limit,
+        nextOffset - this.#oldestOffset,
+        nextOffset - this.#oldestOffset + limit,
       )
     ) {
       for (const [claimId, verdict] of owner.fold.apply(record)) {
@@ -235,19 +238,19 @@
     assertProperty(runs <= 1, "a key runs at most once", pending.key);
   }
 
-  /** A snapshot by an owner that has read all, then everything before it goes. */
+  /** Lets an owner that has read the whole log append a snapshot and trim the records before it. */
   #trim(owner: Owner): void {
     this.#read(owner, Infinity);
     if (owner.fold.offset !== this.#oldestOffset + this.#log.length - 1) return;
     const parts = owner.fold.buildSnapshot(() => `snap${this.#idCount++}`);
-    const keepFrom = this.#log.length;
+    const trimCount = this.#log.length;
     for (const part of parts) this.#append(part);
-    this.#log.splice(0, keepFrom);
-    this.#oldestOffset += keepFrom;
+    this.#log.splice(0, trimCount);
+    this.#oldestOffset += trimCount;
   }
 }
 
-/** A key and the time that is part of it. */
+/** Builds a key and the time that is part of it. */
 function buildKey(
   number: number,
   ageMs: number,
@@ -306,7 +309,7 @@
   },
 );
 
-/** Claims under random schedules. */
+/** The claim fold under random schedules. */
 export const CLAIMS_PROOF: Proof = {
   name: "claims",
   guards: [...CLAIM_GUARDS, READ_OWN_CLAIM],
--- a/packages/heatherarch-lab/proofs/config_proof.ts
+++ b/packages/heatherarch-lab/proofs/config_proof.ts
@@ -1,6 +1,6 @@
 /**
- * Proof of the configuration: racing operators, repeated appends, trimming, stale peers.
- * The oracle is a plain table of revisions.
+ * Proof of the configuration view under concurrent operators, duplicate appends, log trimming and
+ * peers that lag behind. The oracle is a table of the accepted revisions.
  *
  * @module
  */
@@ -51,7 +51,7 @@
   };
 }
 
-/** The stream, the processes that follow it, and the oracle. */
+/** The configuration stream, the views that follow it, and the oracle. */
 class ConfigSimulation {
   readonly #disabledGuard: string | undefined;
   readonly #log: LogRecord[] = [];
@@ -60,7 +60,7 @@
   readonly #appliedOffsets: number[] = [];
   readonly #expectedProfiles = new Map<string, ExpectedProfile>();
   readonly #seenIds = new Set<string>();
-  /** What the oracle held after each offset. */
+  /** Expected profiles after the record at each offset. */
   readonly #expectedByOffset: ReadonlyMap<string, ExpectedProfile>[] = [];
   #oldestOffset = 0;
   #idCount = 0;
@@ -141,12 +141,12 @@
 
   #read(index: number, limit: number): void {
     const view = this.#views[index];
-    const from = view.state.offset + 1;
-    if (from < this.#oldestOffset) {
+    const nextOffset = view.state.offset + 1;
+    if (nextOffset < this.#oldestOffset) {
       const state = loadConfigSnapshot(this.#log);
       if (state !== undefined) view.loadState(state);
     } else {
-      const start = from - this.#oldestOffset;
+      const start = nextOffset - this.#oldestOffset;
       view.applyRecords(this.#log.slice(start, start + limit));
     }
     this.#check(index);
@@ -154,7 +154,7 @@
 
   #fetchFromPeer(index: number, peer: number): void {
     const view = this.#views[index];
-    // A peer may answer late: what it says was asked for long ago.
+    // A response may be delayed, so the update starts at offset 0, which the view has long passed.
     const update = this.#views[peer].buildUpdate(0);
     if (update.kind === "records") view.applyRecords(update.records);
     else view.loadState(update.state);
@@ -165,7 +165,7 @@
     this.#read(index, Infinity);
     const { state } = this.#views[index];
     if (state.offset !== this.#oldestOffset + this.#log.length - 1) return;
-    const keepFrom = this.#log.length;
+    const trimCount = this.#log.length;
     const id = `snap${this.#idCount++}`;
     this.#append({
       type: "snapshot",
@@ -174,21 +174,21 @@
       coversOffset: state.offset,
       state,
     });
-    this.#log.splice(0, keepFrom);
-    this.#oldestOffset += keepFrom;
+    this.#log.splice(0, trimCount);
+    this.#oldestOffset += trimCount;
   }
 
   #check(index: number): void {
     const { state } = this.#views[index];
     assertProperty(
       state.offset >= this.#appliedOffsets[index],
-      "the configuration never reverts",
+      "the configuration offset never decreases",
       `${state.offset} after ${this.#appliedOffsets[index]}`,
     );
     this.#appliedOffsets[index] = state.offset;
     assertProperty(
       this.#isExpected(state),
-      "the same offset gives the same state",
+      "the state at an offset is the expected one",
       `offset ${state.offset}`,
     );
   }
--- a/packages/heatherarch-lab/proofs/config_reads_proof.ts
+++ b/packages/heatherarch-lab/proofs/config_reads_proof.ts
@@ -1,6 +1,6 @@
 /**
- * Proof of the reads that bring a newer configuration: a store goes silent several times, and a
- * change comes as it returns.
+ * Proof of the timing of configuration reads. A store stops responding several times, and the
+ * configuration changes right after its last recovery.
  *
  * @module
  */
@@ -17,9 +17,9 @@
 const GUARDS = ["holdFromBound", "limitFromBound", "pauseFromBound"] as const;
 
 const BOUND_MS = 2000;
-/** Part of the bound in which a reader has the change; the rest is for hubs. */
+/** Share of the bound within which a reader gets the change. The rest is for hubs to forward it. */
 const READER_BOUND_SHARE = 0.75;
-/** Times as they are where they don't follow from the bound, milliseconds. */
+/** Timings that are not derived from the bound, by the guard that they disable. */
 const FIXED_TIMINGS: Readonly<
   Record<typeof GUARDS[number], Partial<ConfigReadTiming>>
 > = {
@@ -29,7 +29,7 @@
 };
 
 interface Schedule {
-  /** Pauses and silences in turn, milliseconds. */
+  /** Silent periods of the store, each after a time in which it responds. */
   readonly periods: readonly {
     readonly afterMs: number;
     readonly forMs: number;
@@ -66,12 +66,12 @@
   });
   assertProperty(
     delayMs <= BOUND_MS * READER_BOUND_SHARE + 5 * TICK_MS,
-    "a change is read in time",
-    `${delayMs} ms after the store's return`,
+    "a change is read within the bound",
+    `${delayMs} ms after the store recovered`,
   );
 }
 
-/** Stores that go silent. */
+/** Configuration reads from a store with random silent periods. */
 export const CONFIG_READS_PROOF: Proof = {
   name: "config-reads",
   guards: GUARDS,
--- a/packages/heatherarch-lab/proofs/config_reads_simulation.ts
+++ b/packages/heatherarch-lab/proofs/config_reads_simulation.ts
@@ -1,5 +1,5 @@
 /**
- * Readers of the configuration before stores that go silent, on a paused clock.
+ * Simulation, on a manual clock, of configuration reads from stores that stop responding at times.
  *
  * @module
  */
@@ -11,7 +11,10 @@
   type TopicSlice,
 } from "heatherarch-forward";
 
-/** When a store is silent: what reaches it then, or is held as it begins, is never answered. */
+/**
+ * Time in which a store does not respond. Requests that arrive in this time, or are waiting when it
+ * begins, never get a response.
+ */
 export interface SilentPeriod {
   readonly fromMs: number;
   readonly untilMs: number;
@@ -20,23 +23,24 @@
 /** Options of {@linkcode measureDelays}. */
 export interface ConfigReadsSimulationOptions {
   readonly reads: ConfigReadTiming;
-  /** Silences of each reader's store, in the order of their times. */
+  /** Silent periods of each reader's store, in order of time. */
   readonly stores: readonly (readonly SilentPeriod[])[];
-  /** Time for which a reader is followed after the last silence, milliseconds. */
+  /** Time for which readers are observed after the last silent period. */
   readonly observationMs: number;
-  /** Uniform in [0, 1). */
+  /** Returns a number in [0, 1). */
   readonly drawUnit: () => number;
 }
 
+/** Step of the simulated clock. */
 export const TICK_MS = 10;
-/** Longest wait for an answer of a store, milliseconds. */
+/** Timeout of a request to a store. */
 export const REQUEST_TIMEOUT_MS = 1500;
-/** Time that a store takes over an answer, milliseconds. */
+/** Latency of a store's response. */
 const RESPONSE_DELAY_MS = 10;
-/** A change is acknowledged so long after the store is back, milliseconds. */
+/** Time from the recovery of a store until it acknowledges a change. */
 const ACK_DELAY_MS = 50;
 
-/** A store that is changed right after its last silence, and serves one reader. */
+/** A store with one reader, whose configuration changes right after its last silent period. */
 class SilentStoreSimulation {
   readonly recoveredAtMs: number;
   readonly changedAtMs: number;
@@ -91,8 +95,8 @@
 }
 
 /**
- * Times from each store's return until its reader has the change, milliseconds; Infinity for a
- * reader that does not have it in the time for which it is followed.
+ * Measures the time in milliseconds from each store's recovery until its reader has the change, or
+ * Infinity if the reader does not get it within the observation time.
  */
 export async function measureDelays(
   { reads, stores, observationMs, drawUnit }: ConfigReadsSimulationOptions,
--- a/packages/heatherarch-lab/proofs/fake_host.ts
+++ b/packages/heatherarch-lab/proofs/fake_host.ts
@@ -1,5 +1,5 @@
 /**
- * A gateway host over fake engines, whose answers the test delivers by hand.
+ * Fake gateway host. Its engines send nothing by themselves: the test delivers their responses.
  *
  * @module
  */
@@ -34,7 +34,7 @@
   ServiceCall,
 } from "heatherarch-targets";
 
-/** One try that a fake engine was given. */
+/** An attempt that was sent to a fake engine. */
 export interface FakeAttempt {
   readonly target: string;
   readonly call: EngineCall;
@@ -46,25 +46,27 @@
 export interface FakeHostOptions {
   readonly engines: readonly string[];
   readonly clock?: Clock;
-  /** Answers calls on plain services. */
+  /** Responds to calls of plain services. */
   readonly handleServiceCall?: (
     target: string,
     call: ServiceCall,
   ) => Promise<BufferedResponse>;
+  /** Decides claims of idempotency keys; by default every claim is refused. */
   readonly handleClaim?: () => Promise<ClaimResult>;
+  /** Whether the engines can resume a response. */
   readonly supportsResume?: boolean;
 }
 
-/** A host and what it was asked. */
+/** A fake host and what it recorded. */
 export interface FakeHost {
   readonly host: GatewayHost;
   readonly attempts: FakeAttempt[];
   readonly results: RequestResult[];
-  /** Targets that get no new work. */
+  /** Targets that are not candidates for new requests. */
   readonly unavailableTargets: Set<string>;
 }
 
-/** A request that nothing is known of. */
+/** An admitted request that may always be retried and records nothing. */
 export const STUB_ADMITTED_REQUEST: AdmittedRequest = {
   recordLoss: () => undefined,
   mayRetry: () => true,
@@ -74,7 +76,7 @@
 const PROMPT_TOKENS = 7;
 const TIMEOUT_MS = 60_000;
 
-/** A generation that a fake host is asked for; its engines answer what the prompt gives. */
+/** Builds the options of a generation on a fake host. */
 export function buildGenerationOptions(
   { clock }: GatewayHost,
   maxTokens: number,
@@ -92,7 +94,7 @@
   };
 }
 
-/** Settings of a process with all defaults. */
+/** Builds process settings in which everything optional has its default. */
 export function buildTestSettings(): ProcessSettings {
   const settings = parseProcessSettings({
     vm: { id: "vm1", availabilityZone: "zone-a" },
@@ -106,7 +108,7 @@
   return settings.unwrap() as ProcessSettings;
 }
 
-/** Creates a host whose engines do nothing by themselves. */
+/** Creates a host whose engines respond only through the sinks of the recorded attempts. */
 export function createFakeHost(options: FakeHostOptions): FakeHost {
   const attempts: FakeAttempt[] = [];
   const results: RequestResult[] = [];
--- a/packages/heatherarch-lab/proofs/generation_proof.ts
+++ b/packages/heatherarch-lab/proofs/generation_proof.ts
@@ -1,6 +1,7 @@
 /**
- * Proof of the life of a generation: engines that break off, end early, refuse, go silent, or
- * go on sending after their try was abandoned. The oracle is the text that the prompt gives.
+ * Proof of the generation state machine under engines that disconnect, end early, refuse, stop
+ * responding, or continue to send after their attempt was abandoned. The oracle is the completion
+ * that the stand-in engine computes from the prompt.
  *
  * @module
  */
@@ -34,7 +35,7 @@
     readonly failure: EngineFailure;
   };
 
-/** Picks a try; high numbers mean the newest one. */
+/** Picks an attempt. Numbers from 2 on select the newest one. */
 function pickAttemptIndex(
   attempts: readonly FakeAttempt[],
   attempt: number,
@@ -61,11 +62,19 @@
         text += texts.join("");
       },
       onEnd: () => {
-        assertProperty(outcome === "running", "one final answer", outcome);
+        assertProperty(
+          outcome === "running",
+          "a generation has one final result",
+          outcome,
+        );
         outcome = "ended";
       },
       onError: () => {
-        assertProperty(outcome === "running", "one final answer", outcome);
+        assertProperty(
+          outcome === "running",
+          "a generation has one final result",
+          outcome,
+        );
         outcome = "failed";
       },
     },
@@ -82,17 +91,17 @@
       const expected = computeCompletion(options.prompt, MAX_TOKENS);
       assertProperty(
         expected.startsWith(text),
-        "the answer is the request's own",
+        "the text belongs to the request",
         text,
       );
       assertProperty(
         attempts.every(({ call }) => call.maxTokens > 0),
-        "no engine is asked for nothing",
+        "every attempt asks for at least one token",
       );
       const isComplete = text === expected;
       assertProperty(
         outcome !== "ended" || isComplete,
-        "an ended answer is whole",
+        "a generation that ended is complete",
         text,
       );
     }
@@ -101,7 +110,7 @@
   }
 }
 
-/** What a try's engine does; it always generates what its own prompt gives. */
+/** Applies an operation to an attempt. Its engine always generates the completion of its prompt. */
 function applyToAttempt(
   attempt: FakeAttempt,
   sentTokenCounts: number[],
@@ -164,7 +173,7 @@
   },
 );
 
-/** Generations under random engines. */
+/** Generations on engines that fail at random. */
 export const GENERATION_PROOF: Proof = {
   name: "generation",
   guards: GENERATION_GUARDS,
--- a/packages/heatherarch-lab/proofs/lease_proof.ts
+++ b/packages/heatherarch-lab/proofs/lease_proof.ts
@@ -1,6 +1,6 @@
 /**
- * Proof of the lease: several processes with drifting clocks, pauses, lost, late and repeated
- * appends. An order under a replaced claim must never follow one under its successor.
+ * Proof of the lease under processes with clock drift and pauses, and under lost, delayed and
+ * duplicate appends. An order under a claim must never follow an order under a later claim.
  *
  * @module
  */
@@ -17,7 +17,7 @@
 const DURATION_MS = 1000;
 const MAX_DRIFT_MS = 520;
 const RENEW_INTERVAL_MS = 250;
-/** Clock rates that drift apart by less than the bound within one lease. */
+/** Clock rates. Within one lease, the clocks drift apart by less than `MAX_DRIFT_MS`. */
 const CLOCK_RATES = [1.2, 0.8];
 
 type Operation =
@@ -40,7 +40,7 @@
   lastReadSentMs: number;
 }
 
-/** The log, the processes and the one engine of a schedule. */
+/** The log, the processes and one engine. */
 class LeaseSimulation {
   readonly #disabledGuards: ReadonlySet<LeaseGuard>;
   readonly #log: unknown[] = [];
@@ -120,7 +120,7 @@
     }
   }
 
-  /** A claim never displaces a holder whose renewal the claimant had not read. */
+  /** Checks that a claim displaces no holder whose last renewal the claimant had not read. */
   #checkDisplacement(
     before: { lastSignOffset: number } | null,
     after: { claimOffset: number } | null,
@@ -130,11 +130,11 @@
       return;
     }
     const id = (this.#log[offset] as { id: string }).id;
-    const readUpTo = this.#readOffsetAtClaim.get(id) ?? Infinity;
+    const readOffset = this.#readOffsetAtClaim.get(id) ?? Infinity;
     assertProperty(
-      before.lastSignOffset <= readUpTo,
-      "no live holder is displaced unseen",
-      `sign at ${before.lastSignOffset}, read up to ${readUpTo}`,
+      before.lastSignOffset <= readOffset,
+      "no holder is displaced before its last renewal is read",
+      `last renewal at ${before.lastSignOffset}, read up to ${readOffset}`,
     );
   }
 
@@ -156,19 +156,19 @@
     if (fate !== "late") this.#log.push(record);
   }
 
-  /** Check and write are one step, as the executor's guard makes them. */
+  /** Checks the authority and sends an order in one step, as the order executor's guard does. */
   #sendOrder(index: number): void {
     const { machine, incarnation } = this.#processes[index];
     if (!machine.hasAuthority(this.#readClock(index))) return;
     const claim = this.#log[machine.fencing] as { incarnation?: string };
     assertProperty(
       claim.incarnation === incarnation,
-      "only the claimant orders under its claim",
+      "only the claimant sends orders under its claim",
       `${incarnation} under the claim of ${claim.incarnation}`,
     );
     assertProperty(
       machine.fencing >= this.#highestOrderToken,
-      "lapsed authority has no effect",
+      "no order is sent under an expired authority",
       `order under ${machine.fencing} after one under ${this.#highestOrderToken}`,
     );
     this.#highestOrderToken = machine.fencing;
--- a/packages/heatherarch-lab/proofs/leaving_proof.ts
+++ b/packages/heatherarch-lab/proofs/leaving_proof.ts
@@ -1,5 +1,5 @@
 /**
- * Proof of the leaving set: marks spread in any order between peers, restores come through
+ * Proof of the leaving set. Marks propagate between peers in any order, and restores are read from
  * the log. The oracle compares the highest mark with the last restore.
  *
  * @module
@@ -28,7 +28,7 @@
     readonly messageIndex: number;
   };
 
-/** Peers with messages in flight between them. */
+/** Peers, their messages in flight, and the oracle. */
 class LeavingSimulation {
   readonly #sets: LeavingSet[] = [];
   readonly #offsets: number[] = [];
@@ -85,7 +85,7 @@
     }
   }
 
-  /** Everything that was ever sent arrives everywhere, in any order: all must agree. */
+  /** Delivers all messages to all peers and checks that the peers agree with the oracle. */
   finish(): void {
     for (let peer = 0; peer < PEERS; peer++) this.#read(peer);
     for (const set of this.#sets) this.#inFlight.push(set.listMarks());
@@ -103,7 +103,7 @@
     for (const set of this.#sets) {
       assertProperty(
         set.has(TARGET) === expected,
-        "leaving converges",
+        "all peers agree on whether the target is leaving",
         `expected ${expected}`,
       );
       const [mark] = set.listMarks();
--- a/packages/heatherarch-lab/proofs/membership_proof.ts
+++ b/packages/heatherarch-lab/proofs/membership_proof.ts
@@ -1,6 +1,6 @@
 /**
- * Proof of the membership view: answers, restarts, silence, lagging lists. The oracle keeps
- * only when each peer was last heard, under which incarnation, and how far it had come.
+ * Proof of the membership view under contacts, restarts, silent peers and outdated VM lists. The
+ * oracle keeps for each peer the time and the incarnation of the last contact and its progress.
  *
  * @module
  */
@@ -35,7 +35,7 @@
   leaving: boolean;
 }
 
-/** One view, its peers and the oracle. */
+/** One membership view, its peers and the oracle. */
 class MembershipSimulation {
   readonly #membership: Membership;
   readonly #expected: ExpectedMember[] = [];
@@ -108,7 +108,7 @@
     expected.lastContactMs = this.#nowMs;
   }
 
-  /** Progress comes with a heartbeat, and so with an answer. */
+  /** Progress is reported in heartbeats, so it implies a contact. */
   #recordProgress(operation: Extract<Operation, { kind: "progress" }>): void {
     this.#recordContact(operation.peer);
     const { offset, leaving } = operation;
@@ -129,13 +129,13 @@
       const shouldBeLive = isInContact && !expected.leaving;
       assertProperty(
         live.includes(`vm${peer}`) === shouldBeLive,
-        "a peer is live by what it answers",
+        "a peer is live only after a recent contact",
         `vm${peer} expected ${shouldBeLive}`,
       );
       const member = this.#membership.getMember(`vm${peer}`);
       assertProperty(
         !isInContact || member?.configOffset === expected.offset,
-        "progress is that of the present incarnation and never lower",
+        "progress belongs to the current incarnation and never decreases",
         `${member?.configOffset}, not ${expected.offset}`,
       );
     });
--- a/packages/heatherarch-lab/proofs/mod.ts
+++ b/packages/heatherarch-lab/proofs/mod.ts
@@ -1,5 +1,5 @@
 /**
- * Proofs of the decision machines.
+ * Proofs of the state machines that make the system's decisions.
  *
  * @module
  */
@@ -19,7 +19,7 @@
 export * from "./fake_host.ts";
 export * from "./proof.ts";
 
-/** All proofs, with the number of schedules that a test run and a mutation run try. */
+/** All proofs, with the number of schedules that a test run and a mutation run execute. */
 export const PROOFS: readonly {
   proof: Proof;
   testRuns: number;
--- a/packages/heatherarch-lab/proofs/order_write_proof.ts
+++ b/packages/heatherarch-lab/proofs/order_write_proof.ts
@@ -1,6 +1,6 @@
 /**
- * Proof of the last check before a write, over real sockets: the lease lapses between the
- * decision to give an order and the moment its bytes are written.
+ * Proof of the authority check right before an order is written, over real sockets. The lease
+ * expires between the decision to send the order and the write of its bytes.
  *
  * @module
  */
@@ -13,7 +13,7 @@
 
 interface Schedule {
   readonly dialect: "sse" | "ndjson";
-  /** Times that the authority is still seen to hold. */
+  /** Number of checks that still find the authority valid. */
   readonly checksLeft: number;
 }
 
@@ -49,12 +49,12 @@
     const hasLapsed = schedule.checksLeft < 2;
     assertProperty(
       !hasLapsed || server.ledger.ordersObeyed === 0,
-      "lapsed authority has no effect",
+      "no order is obeyed under an expired authority",
       `${server.ledger.ordersObeyed} orders obeyed by a ${dialect} engine`,
     );
     assertProperty(
       hasLapsed || server.ledger.ordersObeyed === 1,
-      "a valid order arrives",
+      "an order under a valid authority is obeyed",
     );
   } finally {
     await engine.close();
@@ -62,7 +62,7 @@
   }
 }
 
-/** Orders whose authority lapses on the way. */
+/** Orders whose authority expires before they are written. */
 export const ORDER_WRITE_PROOF: Proof = {
   name: "order-write",
   guards: [CHECK_BEFORE_WRITE],
--- a/packages/heatherarch-lab/proofs/parser_proof.ts
+++ b/packages/heatherarch-lab/proofs/parser_proof.ts
@@ -1,6 +1,6 @@
 /**
- * Proof of the answer parsers: bytes cut anywhere, parts of another try mixed in, answers
- * broken off. The oracle is the text that was really sent for this try.
+ * Proof of the response parsers. Bytes are split at any point, parts of another attempt's response
+ * are mixed in, and responses are truncated. The oracle is the text sent for this attempt.
  *
  * @module
  */
@@ -60,11 +60,11 @@
   if (dialect === "ndjson") {
     return `${JSON.stringify({ tag: CALL.tryId, end: "length" })}\n`;
   }
-  const last = {
+  const finalEvent = {
     id: CALL.tryId,
     choices: [{ text: "", finish_reason: "length" }],
   };
-  return `data: ${JSON.stringify(last)}\n\ndata: [DONE]\n\n`;
+  return `data: ${JSON.stringify(finalEvent)}\n\ndata: [DONE]\n\n`;
 }
 
 function checkSchedule(
@@ -105,23 +105,23 @@
   ) => part.text);
   assertProperty(
     ownTexts.join("").startsWith(text),
-    "only own tokens are delivered",
+    "only tokens of this attempt are delivered",
     text,
   );
   const isIntact = ownTexts.length === schedule.parts.length;
   if (endCount > 0) {
     assertProperty(
       isIntact && schedule.hasEndMarker,
-      "an answer is whole when its end marker came",
+      "a response is complete only if it is intact and has its end marker",
     );
     assertProperty(
       text === ownTexts.join(""),
-      "a whole answer has all its tokens",
+      "a complete response has all its tokens",
     );
   } else {
     assertProperty(
       !(isIntact && schedule.hasEndMarker),
-      "a whole answer is taken",
+      "an intact response with its end marker is complete",
     );
   }
 }
@@ -157,7 +157,7 @@
   splitPoints: fc.array(fc.nat({ max: 5000 }), { maxLength: 10 }),
 });
 
-/** Answer parsers under random bytes. */
+/** The response parsers under random parts and splits. */
 export const PARSER_PROOF: Proof = {
   name: "parser",
   guards: PARSER_GUARDS,
--- a/packages/heatherarch-lab/proofs/proof.ts
+++ b/packages/heatherarch-lab/proofs/proof.ts
@@ -1,29 +1,29 @@
 /**
- * What a proof of a decision machine is: a property over random schedules that a seed
- * replays, with a guard of the machine switched off on demand.
+ * Proofs of state machines. A proof is a property that is checked under random schedules, which a
+ * seed replays. One guard of the state machine can be disabled to show that the proof notices.
  *
  * @module
  */
 import fc from "fast-check";
 
-/** One machine under random schedules. */
+/** A property test of one state machine. */
 export interface Proof {
   readonly name: string;
-  /** Guards whose absence the proof must notice. */
+  /** Names of the guards. The property must fail when one of them is disabled. */
   readonly guards: readonly string[];
-  /** Builds the property; `off` names the guard that is switched off, if any. */
+  /** Builds the property with all guards enabled, or all but one. */
   readonly build: (
     disabledGuard: string | undefined,
   ) => fc.IRawProperty<unknown>;
 }
 
-/** Result of a proof. */
+/** Result of a run of a proof. */
 export interface ProofResult {
   readonly failed: boolean;
   readonly seed: number;
   readonly path: string;
   readonly runs: number;
-  /** First line of the broken property. */
+  /** First line of the error that the violated property threw. */
   readonly reason: string;
 }
 
@@ -34,7 +34,7 @@
   readonly disabledGuard?: string;
 }
 
-/** Runs a proof. */
+/** Checks the property of a proof under `runs` random schedules. */
 export async function runProof(
   proof: Proof,
   options: RunProofOptions,
@@ -58,14 +58,14 @@
   };
 }
 
-/** The set with one guard, or none. */
+/** Builds the set of disabled guards: one guard, or none. */
 export function buildGuardSet<T extends string>(
   disabledGuard: string | undefined,
 ): ReadonlySet<T> {
   return new Set(disabledGuard === undefined ? [] : [disabledGuard as T]);
 }
 
-/** Throws with a message naming the promise that a schedule broke. */
+/** Throws an error that names the property if a schedule violated it. */
 export function assertProperty(
   isSatisfied: boolean,
   property: string,
--- a/packages/heatherarch-lab/proofs/quarantine_proof.ts
+++ b/packages/heatherarch-lab/proofs/quarantine_proof.ts
@@ -1,6 +1,6 @@
 /**
- * Proof of the quarantine: VMs that send a request which ends each target, and a popular one
- * beside it, over links that delay, reorder and are cut.
+ * Proof of the request quarantine. VMs send a poison request, which crashes every target, beside a
+ * popular request that succeeds. The links between VMs delay and reorder messages and have outages.
  *
  * @module
  */
@@ -17,25 +17,27 @@
 const TARGET_COUNT = 4;
 const STEP_MS = 100;
 const MAX_CRASHES = 3;
-/** Longest delay of a message, time after which all VMs know, and until a target is back, steps. */
+/** Longest delay of a message. */
 const MAX_DELAY_STEPS = 3;
+/** Time within which all VMs know of a crash. */
 const PROPAGATION_STEPS = 10;
+/** Time from the crash of a target until its next incarnation is available. */
 const RESTART_STEPS = 5;
 const POISON = "poison";
 const POPULAR = "popular";
 const ACCOUNT = "account";
 
-/** A request that a VM is sent, and the place of the target that it picks. */
+/** A request that a VM receives, and the target that the VM selects. */
 interface ScheduledRequest {
   readonly step: number;
   readonly vm: number;
   readonly request: typeof POISON | typeof POPULAR;
   readonly targetIndex: number;
-  /** Steps for which it runs. */
+  /** Duration of the run. */
   readonly durationSteps: number;
 }
 
-/** A link that carries nothing for some steps. */
+/** An outage of a link in one direction. */
 interface LinkOutage {
   readonly from: number;
   readonly to: number;
@@ -64,13 +66,13 @@
   readonly step: number;
 }
 
-/** The VMs, their links and the targets, in steps of equal length. */
+/** The VMs, their links and the targets, simulated in steps of equal length. */
 class QuarantineSimulation {
   readonly #schedule: Schedule;
   readonly #vms: RequestQuarantine[];
   readonly #cursors = new Map<string, number>();
   readonly #incarnations = Array.from({ length: TARGET_COUNT }, () => 1);
-  /** Step from which on a place has a target. */
+  /** Step from which on a target is available. */
   readonly #availableFromStep = Array.from({ length: TARGET_COUNT }, () => 0);
   readonly #crashSteps: number[] = [];
   #runs: ActiveRun[] = [];
@@ -78,10 +80,10 @@
   #step = 0;
   #lateArrivalCount = 0;
   #delayCount = 0;
-  /** VMs at which a run of the popular request went well. */
+  /** VMs at which a run of the popular request succeeded. */
   readonly #vmsWithSuccess = new Set<number>();
   #isHealed = false;
-  /** A run of the popular request went well after its latest loss. */
+  /** Whether a run of the popular request succeeded after its latest loss, if any. */
   #hasPopularSucceeded = true;
 
   constructor(schedule: Schedule, disabledGuard: string | undefined) {
@@ -95,15 +97,15 @@
   }
 
   run(): void {
-    const last = Math.max(
+    const lastStep = Math.max(
       0,
       ...this.#schedule.requests.map(({ step }) => step),
     );
-    for (; this.#step <= last + PROPAGATION_STEPS; this.#step++) {
+    for (; this.#step <= lastStep + PROPAGATION_STEPS; this.#step++) {
       this.#completeRuns();
       this.#exchangeReports();
-      for (const send of this.#schedule.requests) {
-        if (send.step === this.#step) this.#send(send);
+      for (const scheduled of this.#schedule.requests) {
+        if (scheduled.step === this.#step) this.#send(scheduled);
       }
     }
     this.#deliverPendingMessages();
@@ -111,7 +113,7 @@
   }
 
   #send(
-    { vm, request, targetIndex, durationSteps: takes }: ScheduledRequest,
+    { vm, request, targetIndex, durationSteps }: ScheduledRequest,
   ): void {
     if (this.#step < this.#availableFromStep[targetIndex]) return;
     const quarantine = this.#vms[vm];
@@ -125,15 +127,18 @@
     );
     assertProperty(
       !isTrial || !activeCopies.some((run) => run.endTrial !== endWithoutTrial),
-      "copies of a last trial go one at a time",
+      "copies of a request on trial run one at a time",
     );
     if (request === POISON) this.#recordPoisonArrival(vm);
     const endTrial = isTrial ? admission.end : endWithoutTrial;
-    const endStep = this.#step + takes;
+    const endStep = this.#step + durationSteps;
     this.#runs.push({ vm, request, targetIndex, endStep, endTrial });
   }
 
-  /** VMs that were cut off lately are not in touch. */
+  /**
+   * Counts poison requests that run after the quarantine should have stopped them. VMs with a recent
+   * link outage are not counted, since crash reports may not have reached them.
+   */
   #recordPoisonArrival(vm: number): void {
     const thirdCrashStep = this.#crashSteps[MAX_CRASHES - 1];
     if (
@@ -144,14 +149,14 @@
     this.#lateArrivalCount++;
     assertProperty(
       this.#lateArrivalCount <= MAX_CRASHES,
-      "a request that ended three targets reaches others three times at most",
+      "a request that crashed three targets runs at most three more times",
     );
   }
 
   #wasRecentlyDisconnected(vm: number, step: number): boolean {
-    return this.#schedule.linkOutages.some((cut) =>
-      (cut.from === vm || cut.to === vm) && cut.atStep <= this.#step &&
-      cut.atStep + cut.steps >= step - PROPAGATION_STEPS
+    return this.#schedule.linkOutages.some((outage) =>
+      (outage.from === vm || outage.to === vm) && outage.atStep <= this.#step &&
+      outage.atStep + outage.steps >= step - PROPAGATION_STEPS
     );
   }
 
@@ -164,7 +169,7 @@
     }
   }
 
-  /** A target ends under a request: all that ran there is lost. */
+  /** Crashes a target. All requests that run there are lost. */
   #crashTarget(targetIndex: number): void {
     const incarnation = `${targetIndex}/${this.#incarnations[targetIndex]++}`;
     this.#availableFromStep[targetIndex] = this.#step + RESTART_STEPS;
@@ -180,7 +185,7 @@
       assertProperty(
         request === POISON || !this.#vmsWithSuccess.has(vm) ||
           this.#vms[vm].countCrashes(POPULAR) === 0,
-        "crashes do not add up against a request that succeeds",
+        "crashes do not add up for a request that succeeds",
       );
     }
     const crashCount = new Set(this.#crashSteps).size;
@@ -188,7 +193,7 @@
       assertProperty(
         quarantine.countCrashes(POISON) <=
           Math.max(crashCount, this.#countCrashedIncarnations()),
-        "a life counts once",
+        "the crash of an incarnation counts once",
       );
     }
   }
@@ -206,13 +211,13 @@
     this.#vms[run.vm].markSuccess(run.request, this.#nowMs);
     assertProperty(
       this.#vms[run.vm].countCrashes(run.request) === 0,
-      "a success clears",
+      "a success clears the crashes of a request",
     );
     this.#vmsWithSuccess.add(run.vm);
     this.#hasPopularSucceeded = true;
   }
 
-  /** Each VM tells each other one what is new since the last time, or all after a cut. */
+  /** Each VM sends each other VM its new crash reports, or all of them after a link outage. */
   #exchangeReports(): void {
     for (let from = 0; from < VMS; from++) {
       for (let to = 0; to < VMS; to++) {
@@ -221,17 +226,18 @@
     }
     const due = this.#messages.filter(({ step }) => step <= this.#step);
     this.#messages = this.#messages.filter(({ step }) => step > this.#step);
-    for (const { to, reports: notes, sentStep } of due) {
-      this.#vms[to].mergePeerReports(notes, sentStep * STEP_MS);
+    for (const { to, reports, sentStep } of due) {
+      this.#vms[to].mergePeerReports(reports, sentStep * STEP_MS);
     }
   }
 
   #sendReports(from: number, to: number): void {
     const link = `${from}-${to}`;
     const isDown = !this.#isHealed &&
-      this.#schedule.linkOutages.some((cut) =>
-        cut.from === from && cut.to === to && this.#step >= cut.atStep &&
-        this.#step < cut.atStep + cut.steps
+      this.#schedule.linkOutages.some((outage) =>
+        outage.from === from && outage.to === to &&
+        this.#step >= outage.atStep &&
+        this.#step < outage.atStep + outage.steps
       );
     if (isDown) {
       this.#cursors.delete(link);
@@ -250,7 +256,7 @@
     this.#messages.push({ to, reports: page.reports, sentStep, step });
   }
 
-  /** All links work, until nothing is on its way. */
+  /** Ends all link outages and delivers messages until none is in flight. */
   #deliverPendingMessages(): void {
     this.#isHealed = true;
     this.#cursors.clear();
@@ -264,7 +270,7 @@
       const counts = this.#vms.map((vm) => vm.countCrashes(request));
       assertProperty(
         new Set(counts).size === 1,
-        "VMs that have heard all agree",
+        "VMs that received all reports agree",
         `${request}: ${counts}`,
       );
     }
@@ -272,7 +278,7 @@
       this.#vms[0].findQuarantined(POPULAR, this.#nowMs) !== undefined;
     assertProperty(
       !this.#hasPopularSucceeded || !isQuarantined,
-      "a request of which a run goes well is not held back",
+      "a request of which a run succeeds is not quarantined",
     );
   }
 
@@ -282,7 +288,7 @@
 }
 
 function endWithoutTrial(): void {
-  // No trial goes on.
+  // The run is not a trial.
 }
 
 const SCHEDULED_REQUEST = fc.record<ScheduledRequest>({
@@ -299,7 +305,7 @@
   steps: fc.integer({ min: 1, max: 25 }),
 });
 
-/** The quarantine over random schedules. */
+/** The request quarantine under random schedules. */
 export const QUARANTINE_PROOF: Proof = {
   name: "quarantine",
   guards: QUARANTINE_GUARDS,
--- a/packages/heatherarch-lab/proofs/target_list_proof.ts
+++ b/packages/heatherarch-lab/proofs/target_list_proof.ts
@@ -1,6 +1,6 @@
 /**
- * Proof of the list of targets: VMs that read a store which goes away, turns single VMs away and
- * drops entries of silent targets, while targets leave, live on and start again.
+ * Proof of the target list. VMs read it from a store that has outages, refuses single VMs and drops
+ * the entries of targets that stop writing, while targets leave, stay and restart.
  *
  * @module
  */
@@ -16,21 +16,21 @@
 
 const VMS = 3;
 const STEP_MS = 100;
-/** Between readings of the list, as VMs with a bound of two seconds read it. */
+/** Interval between list reads of a VM whose bound is two seconds. */
 const POLL_INTERVAL_MS = 700;
 const RETRY_DELAY_MS = 200;
 const HEARTBEAT_MS = 1000;
-/** Silence after which the store drops an entry. */
+/** Time without a heartbeat after which the store drops an entry. */
 const ENTRY_TIMEOUT_MS = 3 * HEARTBEAT_MS;
-/** Entries of living targets are back this long after an outage. */
-const PAUSE_GRACE_MS = 2000;
+/** Time after an outage within which the entries of live targets are back in the store. */
+const RECOVERY_GRACE_MS = 2000;
 const SERVICE = "s";
 const LIVE_TARGET = "living";
 const LEAVING_TARGET = "leaver";
 const EARLIER_INCARNATIONS_GUARD = "laterLifeHolds";
 const OLDER_UPDATES_GUARD = "newerReadingHolds";
 
-/** What goes wrong from some step on, for some steps. */
+/** A fault. `storeAway`: the store is down; `turnedAway`: it refuses one VM; `paused`: a VM stalls. */
 interface Fault {
   readonly kind: "storeAway" | "turnedAway" | "paused";
   readonly vm: number;
@@ -38,12 +38,12 @@
   readonly steps: number;
 }
 
-/** One schedule. */
+/** The faults and changes of one run. */
 interface Schedule {
   readonly faults: readonly Fault[];
   readonly leavesAtStep: number;
   readonly restartsAtSteps: readonly number[];
-  /** Steps at which a VM is told what the list said at the start. */
+  /** Steps at which a VM receives an update with the list's content at the start. */
   readonly staleUpdates: readonly {
     readonly vm: number;
     readonly atStep: number;
@@ -55,13 +55,16 @@
   readonly directory: TargetDirectory;
   nextReadMs: number;
   readAtMs: number;
-  /** Whether it has stood still since its last reading. */
+  /** Whether the VM was paused since its last list read. */
   wasPaused: boolean;
-  /** Until when it may use what left while it stood still: it can't tell that from an outage. */
+  /**
+   * Until this time the VM may use targets that left while it was paused, since it cannot
+   * distinguish its pause from an outage.
+   */
   graceUntilMs: number;
 }
 
-/** The store, the targets and the VMs, in steps of equal length. */
+/** The store, the targets and the VMs, simulated in steps of equal length. */
 class TargetListSimulation {
   readonly #schedule: Schedule;
   readonly #vms: SimulatedVm[];
@@ -100,7 +103,7 @@
     }
   }
 
-  /** A store that turns everybody away can't be told from one that is away. */
+  /** Whether no VM can read the list. VMs cannot distinguish this from an outage of the store. */
   #isUnreadable(step: number): boolean {
     if (this.#isFaultActive("storeAway", step)) return true;
     return this.#vms.every((_, i) =>
@@ -117,7 +120,7 @@
     );
   }
 
-  /** A target writes with each heartbeat, and one heartbeat after the store is back. */
+  /** Targets write their entries at each heartbeat, and one heartbeat after an outage. */
   #updateTargets(step: number): void {
     const { leavesAtStep, restartsAtSteps } = this.#schedule;
     if (restartsAtSteps.includes(step)) this.#incarnation++;
@@ -173,10 +176,10 @@
     }
   }
 
-  /** A hub's word that is as old as the day. */
+  /** Applies a hub's update that is as old as the simulation. */
   #receiveStaleUpdate(vm: SimulatedVm, i: number, step: number): void {
-    const isScheduled = this.#schedule.staleUpdates.some((word) =>
-      word.vm === i && word.atStep === step
+    const isScheduled = this.#schedule.staleUpdates.some((update) =>
+      update.vm === i && update.atStep === step
     );
     const known = vm.directory.listAll().find((target) =>
       target.instance === LIVE_TARGET
@@ -186,7 +189,7 @@
     this.#receiveDatedUpdate(vm, known);
   }
 
-  /** A hub that takes its word for younger than it is. */
+  /** Applies an update of the first incarnation that its hub dates later than it is. */
   #receiveMisdatedUpdate(
     { directory, readAtMs }: SimulatedVm,
     known: Target,
@@ -202,10 +205,14 @@
       readAtMs,
     );
     const after = directory.findTarget(known.id);
-    assertProperty(after !== undefined, "the later life holds", known.id);
+    assertProperty(
+      after !== undefined,
+      "no earlier incarnation replaces a later one",
+      known.id,
+    );
   }
 
-  /** A hub that has read nothing since the start, and says so. */
+  /** Applies a full update that its hub correctly dates to the start. */
   #receiveDatedUpdate({ directory }: SimulatedVm, known: Target): void {
     const before = [...listInstances(directory)].sort().join();
     const leavingTarget = {
@@ -220,7 +227,11 @@
       0,
     );
     const after = [...listInstances(directory)].sort().join();
-    assertProperty(after === before, "a newer reading holds", after);
+    assertProperty(
+      after === before,
+      "no older update replaces a newer list read",
+      after,
+    );
   }
 
   #read(vm: SimulatedVm): void {
@@ -234,24 +245,24 @@
     vm.directory.applyList(entries, this.#nowMs);
     vm.readAtMs = this.#nowMs;
     vm.wasPaused = wasPaused && !this.#entries.has(LIVE_TARGET);
-    if (wasPaused) vm.graceUntilMs = this.#nowMs + PAUSE_GRACE_MS;
+    if (wasPaused) vm.graceUntilMs = this.#nowMs + RECOVERY_GRACE_MS;
     const isInGrace = this.#outageEndMs > -Infinity ||
       this.#nowMs <= vm.graceUntilMs;
     const instances = listInstances(vm.directory);
     assertProperty(
       isInGrace ||
         instances.has(LEAVING_TARGET) === this.#entries.has(LEAVING_TARGET),
-      "what leaves is dropped with the first reading",
+      "a target that left is dropped at the next list read",
       `at ${this.#nowMs} ms`,
     );
   }
 
-  /** A target that lives is known for all of the day to a VM that did not stand still. */
+  /** Checks that a VM that was not paused knows the live target at all times. */
   #check(vm: SimulatedVm, i: number): void {
     if (vm.readAtMs === -Infinity || vm.wasPaused) return;
     assertProperty(
       listInstances(vm.directory).has(LIVE_TARGET),
-      "a living target stays known",
+      "a live target stays known",
       `vm ${i} at ${this.#nowMs} ms`,
     );
   }
@@ -266,7 +277,10 @@
 const AT_STEP = fc.integer({ min: 10, max: MAX_STEPS });
 const VM = fc.integer({ min: 0, max: VMS - 1 });
 
-/** Shorter outages of the store are not told from failed readings, and no lapse is expected. */
+/**
+ * Shorter outages of the store are indistinguishable from failed reads, and no entry expires in
+ * them.
+ */
 const MIN_OUTAGE_STEPS = HEARTBEAT_MS / STEP_MS;
 
 const FAULT: fc.Arbitrary<Fault> = fc.oneof(
@@ -294,7 +308,7 @@
   steps: fc.constant(MAX_STEPS),
 });
 
-/** The list of targets under random schedules. */
+/** The target directory under random schedules. */
 export const TARGET_LIST_PROOF: Proof = {
   name: "target list",
   guards: [
