--- a/packages/heatherarch-lab/chaos/chaos_network.ts
+++ b/packages/heatherarch-lab/chaos/chaos_network.ts
@@ -1,13 +1,13 @@
 /**
- * The network of a deployment as links that can be cut: from each availability zone to the
- * platform, to every target, and to every entry VM.
+ * Network of a deployment, as links that can be cut. Each availability zone has a link to the
+ * platform, to every target and to every entry VM.
  *
  * @module
  */
 import { CuttableLink, type LinkMode } from "heatherarch-standins";
 import type { Deployment } from "../deployment.ts";
 
-/** One link of one zone. */
+/** A link from one zone. `toZone` is undefined for a link to the platform. */
 interface ZoneLink {
   readonly from: string;
   readonly toZone: string | undefined;
@@ -25,7 +25,7 @@
     this.#deployment = deployment;
   }
 
-  /** Opens all links. */
+  /** Creates all links. */
   async open(): Promise<void> {
     const { fleet, vms, platform } = this.#deployment;
     for (const from of fleet.availabilityZones) {
@@ -43,7 +43,7 @@
     await Promise.all(this.#links.map(({ link }) => link.close()));
   }
 
-  /** Published addresses to the addresses of the links, for a VM of `zone`. */
+  /** Maps published addresses to the addresses of the links that a VM of `zone` uses. */
   buildAddressTranslation(zone: string): Record<string, string> {
     const own = this.#links.filter((entry) => entry.from === zone);
     return Object.fromEntries(
@@ -51,12 +51,12 @@
     );
   }
 
-  /** Address of the platform for a VM of `zone`. */
+  /** Returns the address at which a VM of `zone` reaches the platform. */
   getPlatformAddress(zone: string): string {
     return this.buildAddressTranslation(zone)[this.#deployment.platform];
   }
 
-  /** Cuts or heals a zone from the platform alone. */
+  /** Sets the mode of a zone's links to the platform. */
   setPlatformLinks(zone: string, mode: LinkMode): void {
     for (const entry of this.#links) {
       if (entry.from === zone && entry.toZone === undefined) {
@@ -65,7 +65,7 @@
     }
   }
 
-  /** Cuts or heals a zone from the platform and from all other zones. */
+  /** Sets the mode of all links that cross the boundary of a zone, including to the platform. */
   setZoneLinks(zone: string, mode: LinkMode): void {
     for (const { from, toZone, link } of this.#links) {
       const isCrossZone = from === zone ? toZone !== zone : toZone === zone;
@@ -73,7 +73,10 @@
     }
   }
 
-  /** Silences connections that are open now, of the `index`-th link that has any. */
+  /**
+   * Silences the open connections of one link: the first one with open connections, starting at
+   * `index`. Returns a description of the link.
+   */
   silenceConnections(
     index: number,
     direction: "silentForward" | "silentBack",
--- a/packages/heatherarch-lab/chaos/chaos_report.ts
+++ b/packages/heatherarch-lab/chaos/chaos_report.ts
@@ -1,6 +1,6 @@
 /**
- * The report of a randomised run: what was broken, by what callers got, what the stand-ins' ledgers
- * hold, and what was watched meanwhile.
+ * Builds the report of a chaos run from the results that clients got, the stand-ins' ledgers and
+ * the measurements taken during the run.
  *
  * @module
  */
@@ -11,7 +11,7 @@
 import type { ViolationEntry } from "./violation_list.ts";
 import type { DrainRecord } from "./fault_driver.ts";
 
-/** What a run found. */
+/** Result of a chaos run. */
 export interface ChaosReport {
   readonly seed: number;
   readonly requests: number;
@@ -44,7 +44,7 @@
   ignoresFencing: number;
 }
 
-/** A request and its time. */
+/** The result of a request with its start and end. */
 export interface TimedRecord {
   readonly record: LoadRecord;
   readonly startMs: number;
@@ -53,33 +53,33 @@
 
 type EngineLedger = StandinLedger["engines"][string];
 
-/** What a run has gathered. */
+/** Measurements of a run, from which the report is built. */
 export interface ChaosFindings {
   readonly seed: number;
-  /** Start of the run, on the clock of the records' times. */
+  /** Start of the run, on the same clock as the records. */
   readonly startMs: number;
   readonly ledger: StandinLedger;
   readonly records: readonly TimedRecord[];
-  /** Broken requests that no unplanned fault touched. */
+  /** Failed requests that overlap no unplanned fault. */
   readonly cutByPlannedChange: readonly TimedRecord[];
   readonly cutByFailure: number;
   readonly drains: readonly DrainRecord[];
   readonly faults: Record<string, number>;
   readonly roleChanges: number;
-  /** Violated invariants that the VMs count. */
+  /** Number of violated invariants in the VMs' metrics. */
   readonly invariantViolations: number;
   readonly violationList: readonly ViolationEntry[];
   readonly raceWinnersMax: number;
-  /** Longest time in which a change of the configuration reached all VMs. */
+  /** Longest time that a configuration change took to reach all VMs. */
   readonly maxPropagationMs: number;
   readonly configReverts: number;
-  /** Offsets of the configuration at the VMs at the end. */
+  /** Configuration offset of each VM at the end of the run. */
   readonly configOffsets: readonly (number | undefined)[];
 }
 
-/** New work that a target may get after its drain was accepted. */
+/** Time after the acceptance of a drain in which the target may still begin work. */
 const MAX_NEW_WORK_DELAY_MS = 5000;
-/** Errors that say truthfully that nothing was run, or ask to come again. */
+/** Refusals that are allowed at any time: the request was not run, or the client may retry it. */
 const RETRYABLE_REFUSALS = [
   "keyInProgress",
   "overloaded",
@@ -90,14 +90,14 @@
 
 const MAX_EXAMPLES = 10;
 
-/** Cut, failed, or refused in a way that a planned change must not cause. */
+/** Whether a request was cut, failed, or was refused for a reason that planned changes exclude. */
 export function isUnexpectedFailure({ record }: TimedRecord): boolean {
   const { outcome, kind } = record.result;
   if (outcome === "whole" || outcome === "wrong") return false;
   return !(outcome === "refused" && RETRYABLE_REFUSALS.includes(kind));
 }
 
-/** Judges what a run has gathered. */
+/** Builds the report of a run. */
 export function buildChaosReport(findings: ChaosFindings): ChaosReport {
   const { ledger, records, cutByPlannedChange } = findings;
   const summary = summarizeLoad(records.map(({ record }) => record), ledger);
@@ -151,7 +151,7 @@
     configReverts: findings.configReverts,
     configDisagrees: isConsistent ? 0 : 1,
     raceHadTwoWinners: findings.raceWinnersMax > 1 ? 1 : 0,
-    // A VM that was killed took its count along, and one that lagged was not asked in time.
+    // The metrics miss the violations of VMs that were killed or that did not respond in time.
     invariants: Math.max(
       findings.invariantViolations,
       findings.violationList.length,
@@ -159,7 +159,7 @@
   };
 }
 
-/** Times after a drain at which its target still began work, milliseconds. */
+/** Returns the times after each drain at which its target last began work. */
 function listNewWorkDelaysMs({ drains }: ChaosFindings): number[] {
   return drains.map(({ lastWorkAtMs, atMs }) => lastWorkAtMs - atMs);
 }
--- a/packages/heatherarch-lab/chaos/chaos_run.ts
+++ b/packages/heatherarch-lab/chaos/chaos_run.ts
@@ -1,6 +1,6 @@
 /**
- * The randomised run over real processes: mixed requests flow while scheduled failures come
- * and go, and every answer and every ledger is checked.
+ * Chaos run over real processes. Clients send a mix of requests while scheduled faults are injected,
+ * and every response and every ledger is checked.
  *
  * @module
  */
@@ -31,7 +31,7 @@
 export interface ChaosOptions {
   readonly seed: number;
   readonly seconds: number;
-  /** Requests begun a second. */
+  /** Mean rate at which requests are sent. */
   readonly requestsPerSecond?: number;
   readonly print?: (line: string) => void;
 }
@@ -42,7 +42,7 @@
   endMs: number;
 }
 
-/** After an unplanned fault its effects may last this long. */
+/** Time after an unplanned fault in which requests may still fail because of it. */
 const FAULT_RECOVERY_MS = 6000;
 const MAX_IN_FLIGHT = 150;
 const SETTLE_MS = 5000;
@@ -59,14 +59,14 @@
   claims: { permissionMs: 1500 },
 };
 
-/** The mix swings, so that roles change while failures come. */
+/** The request mix alternates, so that engines change roles while faults are injected. */
 const MIX_PERIOD_MS = 5000;
 const LONG_PROMPT_MIX = { maxPromptTokens: 5000, maxOutputTokens: 24 };
 const LONG_OUTPUT_MIX = { maxPromptTokens: 200, maxOutputTokens: 160 };
 
 const PLANNING = { policy: "greedy", intervalMs: 1200, changeMs: 500 } as const;
 
-/** Runs a schedule. */
+/** Starts a cluster, runs the schedule of the seed and returns the report. */
 export async function runChaos(options: ChaosOptions): Promise<ChaosReport> {
   const deployment = await buildDeployment({
     name: "chaos",
@@ -245,7 +245,7 @@
     if (!done) this.#faultWindows.splice(this.#faultWindows.indexOf(window), 1);
   }
 
-  /** Whether an unplanned fault or its aftermath touches the time span. */
+  /** Whether an unplanned fault or the recovery from one overlaps the time span. */
   #overlapsUnplannedFault(startMs: number, endMs: number): boolean {
     return this.#faultWindows.some((window) =>
       isUnplanned(window.fault.kind) &&
--- a/packages/heatherarch-lab/chaos/config_monitor.ts
+++ b/packages/heatherarch-lab/chaos/config_monitor.ts
@@ -1,6 +1,6 @@
 /**
- * Watches the configuration offset of every VM: it may only grow within one process, and an
- * accepted change must reach all that can be reached.
+ * Monitors the configuration offset of every VM. The offset must never decrease within one process,
+ * and an accepted change must reach all VMs in time.
  *
  * @module
  */
@@ -9,10 +9,10 @@
 import type { AcceptedChange } from "./fault_driver.ts";
 
 const POLL_INTERVAL_MS = 100;
-/** Longest time that a change may take everywhere (the users' figure). */
+/** Longest time that an accepted change may take to reach all VMs. The users set this bound. */
 export const MAX_PROPAGATION_MS = 14_000;
 
-/** Watches a cluster. */
+/** Monitors the configuration offsets of a cluster. */
 export class ConfigMonitor {
   readonly #cluster: Cluster;
   readonly #offsets = new Map<string, { pid: number; offset: number }>();
@@ -33,7 +33,7 @@
     return this.#revertCount;
   }
 
-  /** Offset that each VM had applied when it was last asked. */
+  /** Returns the offset that each VM had applied when it last reported. */
   listOffsets(): number[] {
     return [...this.#offsets.values()].map((entry) => entry.offset);
   }
@@ -46,13 +46,13 @@
     this.#isStopped = true;
   }
 
-  /** A change was accepted: every VM is to apply it. */
+  /** Measures the time until every VM has applied an accepted change. */
   expectPropagation(change: AcceptedChange): void {
     const ids = this.#cluster.deployment.vms.map((vm) => vm.id);
     this.#vmsWithoutChange.set(change, new Set(ids));
   }
 
-  /** Counts no spread time for changes that an unplanned fault may have held up. */
+  /** Stops measuring the pending changes, as an unplanned fault may delay them. */
   dropPendingChanges(): void {
     this.#vmsWithoutChange.clear();
   }
--- a/packages/heatherarch-lab/chaos/fault_driver.ts
+++ b/packages/heatherarch-lab/chaos/fault_driver.ts
@@ -1,5 +1,5 @@
 /**
- * Carries out scheduled faults on a running cluster, and undoes them.
+ * Injects scheduled faults into a running cluster and reverts them.
  *
  * @module
  */
@@ -10,21 +10,21 @@
 import type { ChaosNetwork } from "./chaos_network.ts";
 import type { FaultKind, ScheduledFault } from "./fault_schedule.ts";
 
-/** A change of configuration that was accepted during the run. */
+/** A configuration change that was accepted during the run. */
 export interface AcceptedChange {
   readonly offset: number;
-  /** Wall-clock time at which it was handed in, milliseconds since the Unix epoch. */
+  /** Wall-clock time at which the change was submitted, milliseconds since the Unix epoch. */
   readonly atMs: number;
 }
 
-/** A drain and what the target did after it. */
+/** A drain or withdrawal, and the last time at which the target began work. */
 export interface DrainRecord {
   readonly target: string;
   readonly atMs: number;
   readonly lastWorkAtMs: number;
 }
 
-/** What the driver tells the run. */
+/** Receives events from the driver. */
 export interface FaultListener {
   onChangeAccepted(change: AcceptedChange): void;
   onDrainChecked(record: DrainRecord): void;
@@ -42,12 +42,12 @@
 const FAULT_PROBABILITY = 0.3;
 const EXIT_TIMEOUT_MS = 30_000;
 
-/** Drives faults. */
+/** Injects faults. */
 export class FaultDriver {
   readonly #cluster: Cluster;
   readonly #network: ChaosNetwork;
   readonly #listener: FaultListener;
-  /** VMs and targets that a fault has in hand; another one leaves them alone. */
+  /** VMs, targets and links that a fault is using. Other faults skip them. */
   readonly #lockedIds = new Set<string>();
 
   constructor(
@@ -60,7 +60,7 @@
     this.#listener = listener;
   }
 
-  /** Carries out one fault from its start to its end; false where nothing was done. */
+  /** Runs one fault from start to end. Returns false if nothing was injected. */
   async run(fault: ScheduledFault): Promise<boolean> {
     const handlers: Record<
       FaultKind,
@@ -149,7 +149,7 @@
     }
   }
 
-  /** At most one VM of a zone is stopped at a time, as a careful operator would. */
+  /** Stops and restarts a VM. At most one VM of a zone is stopped at a time. */
   #stopVm(
     fault: ScheduledFault,
     signal: "SIGKILL" | "SIGTERM",
@@ -281,7 +281,7 @@
     });
   }
 
-  /** Drains or withdraws a target, watches what it still gets, and restores it. */
+  /** Drains or withdraws a target, reports when it last began work, and restores it. */
   #testDirective(
     fault: ScheduledFault,
     directive: "drain" | "withdraw",
@@ -322,7 +322,7 @@
     );
   }
 
-  /** Publishes through a VM that answers, against the present revision. */
+  /** Publishes a change against the current revision, through a VM that responds. */
   async #publish(
     change: unknown,
     getBaseRevision: (config: ConfigResponse) => number,
@@ -344,14 +344,14 @@
           return accepted;
         }
       } catch {
-        // That VM is down; another one takes it.
+        // This VM is unavailable. The next attempt uses another one.
       }
       await sleep(300);
     }
     return undefined;
   }
 
-  /** Two operators change the same thing from the same base through two VMs. */
+  /** Two operators change one profile from the same base revision through two VMs. */
   async #raceOperators(fault: ScheduledFault): Promise<boolean> {
     const first = this.#pickVm(fault.selector);
     const second = this.#pickVm(fault.selector + 1);
--- a/packages/heatherarch-lab/chaos/fault_schedule.ts
+++ b/packages/heatherarch-lab/chaos/fault_schedule.ts
@@ -1,11 +1,11 @@
 /**
- * The schedule of failures of a run: fixed by the seed, so that a run can be replayed.
+ * Schedule of the faults of a chaos run. The seed determines it, so a run can be replayed.
  *
  * @module
  */
 import { Random } from "heatherarch-core";
 
-/** Failures nobody planned. */
+/** Unplanned faults. */
 export const UNPLANNED_FAULTS = [
   "killVm",
   "pauseVm",
@@ -27,7 +27,7 @@
   "serviceCrash",
 ] as const;
 
-/** Changes that operators make; they must cut nothing. */
+/** Changes that operators make. They must not interrupt any request. */
 export const PLANNED_CHANGES = [
   "terminateVm",
   "drainTarget",
@@ -37,7 +37,7 @@
   "listLag",
 ] as const;
 
-/** Name of a failure or change. */
+/** Name of an unplanned fault or planned change. */
 export type FaultKind =
   | typeof UNPLANNED_FAULTS[number]
   | typeof PLANNED_CHANGES[number];
@@ -48,21 +48,21 @@
   /** Time from the start of the run, milliseconds. */
   readonly atMs: number;
   readonly durationMs: number;
-  /** Which VM, zone, target or link: taken modulo their number. */
+  /** Selects the VM, zone, target or link, modulo their number. */
   readonly selector: number;
 }
 
-/** Length of a phase, milliseconds; unplanned and planned phases take turns. */
+/** Length of a phase. Phases of planned changes and of unplanned faults alternate. */
 const PHASE_MS = 12_000;
-/** Quiet time at the end of a phase, in which all heals. */
+/** Time at the end of a phase in which no fault starts, so that the system recovers. */
 const PHASE_RECOVERY_MS = 3500;
 
-/** Whether a fault is one that nobody planned. */
+/** Whether a fault is unplanned. */
 export function isUnplanned(kind: FaultKind): boolean {
   return (UNPLANNED_FAULTS as readonly string[]).includes(kind);
 }
 
-/** Builds the schedule of a run. */
+/** Builds the schedule of a run from its seed. */
 export function buildFaultSchedule(
   seed: number,
   totalMs: number,
--- a/packages/heatherarch-lab/chaos/load_balancer.ts
+++ b/packages/heatherarch-lab/chaos/load_balancer.ts
@@ -1,6 +1,6 @@
 /**
- * What the platform's balancer does: asks each VM whether it is ready, and sends callers to
- * one that is.
+ * Stand-in for the platform's load balancer: polls the readiness of each VM and routes clients to
+ * ready VMs.
  *
  * @module
  */
@@ -9,7 +9,7 @@
 
 const POLL_INTERVAL_MS = 150;
 
-/** Knows which VMs are ready. */
+/** Selects ready VMs. */
 export class LoadBalancer {
   readonly #vms: readonly DeployedVm[];
   readonly #readyIds = new Set<string>();
@@ -27,7 +27,7 @@
     this.#isStopped = true;
   }
 
-  /** A ready VM, or any where none is. */
+  /** Returns a random ready VM, or any VM if none is ready. */
   pickVm(random: Random): DeployedVm {
     const ready = this.#vms.filter((vm) => this.#readyIds.has(vm.id));
     return random.drawItem(ready.length > 0 ? ready : this.#vms);
--- a/packages/heatherarch-lab/chaos/recovery.ts
+++ b/packages/heatherarch-lab/chaos/recovery.ts
@@ -1,5 +1,5 @@
 /**
- * Times of recovery, on a small deployment with the default lease and mesh settings.
+ * Measures recovery times on a small deployment with the default lease and mesh settings.
  *
  * @module
  */
@@ -10,7 +10,7 @@
 import { type LoadRecord, sendOne } from "../mixed_load.ts";
 import { ChaosNetwork } from "./chaos_network.ts";
 
-/** Times in seconds, and the share of requests that a cut zone answered. */
+/** Recovery times in seconds, and the share of requests that a partitioned zone answered. */
 export interface RecoveryReport {
   readonly holderKilledToNextOrder: number;
   readonly holderStoppedToNextOrder: number;
@@ -23,7 +23,7 @@
     readonly readingsAnsweredShare: number;
     readonly lookupsAnsweredShare: number;
     readonly bookingsAnsweredShare: number;
-    /** Bookings refused as not run, in so many words. */
+    /** Share of bookings whose error says that they were not run. */
     readonly bookingsRefusedShare: number;
   };
 }
@@ -33,7 +33,7 @@
 const PARTITION_MS = 8000;
 const OUTAGE_MS = 8000;
 
-/** Measures all times once. */
+/** Measures every recovery time once. */
 export async function measureRecovery(
   print: (line: string) => void,
 ): Promise<RecoveryReport> {
@@ -99,7 +99,7 @@
     this.#zones = cluster.deployment.fleet.availabilityZones;
   }
 
-  /** Publishes a model version and waits until the first zone's engines were all ordered to it. */
+  /** Publishes a model version and waits until the first zone's engines have obeyed its orders. */
   async publishAndWaitForOrders(version: string): Promise<void> {
     const { vms } = this.#cluster.deployment;
     const before = await this.#countOrders();
@@ -139,7 +139,7 @@
         status.config.staleMs ?? Infinity
       );
       const limit = performance.now() - startMs;
-      // A VM that is no relay is current through its peers; relays must have read.
+      // The relays must have read the log. The other VMs are up to date through their peers.
       return stale.filter((ms) => ms < limit).length >= this.#zones.length;
     });
     return computeSecondsSince(startMs);
@@ -223,7 +223,7 @@
     this.#fleetRevision = answer.body.offset;
   }
 
-  /** Orders that engines of the first zone have obeyed. */
+  /** Returns the number of orders that engines of the first zone have obeyed. */
   async #countOrders(): Promise<number> {
     const { engines } = await this.#cluster.readLedger();
     return Object.entries(engines)
@@ -256,7 +256,7 @@
     const untilMs = performance.now() + TIMEOUT_MS;
     while (!(await check().catch(() => false))) {
       if (performance.now() > untilMs) {
-        throw new Error("recovery took too long");
+        throw new Error("the system did not recover in time");
       }
       await sleep(POLL_INTERVAL_MS);
     }
--- a/packages/heatherarch-lab/chaos/violation_list.ts
+++ b/packages/heatherarch-lab/chaos/violation_list.ts
@@ -1,5 +1,5 @@
 /**
- * Violated invariants as the VMs' logs tell them, with the lines that led there.
+ * Finds violated invariants in the logs of the VMs, with the log lines that precede each.
  *
  * @module
  */
@@ -14,23 +14,23 @@
   readonly detail: string;
   /** Time since the start of the run, milliseconds. */
   readonly atMs: number;
-  /** Lines of the VM up to the violation. */
+  /** Last log lines of the VM, up to and including the violation. */
   readonly lines: readonly string[];
 }
 
 /** Options of {@linkcode listViolations}. */
 export interface ViolationListOptions {
-  /** Folder of the VMs' logs. */
+  /** Folder with the log files of the VMs. */
   readonly folder: string;
   readonly vms: readonly string[];
-  /** Start of the run, Unix milliseconds. */
+  /** Start of the run, milliseconds since the Unix epoch. */
   readonly startedAtUnixMs: number;
 }
 
-/** Lines that are kept of each VM. */
+/** Number of log lines that are listed with a violation. */
 const CONTEXT_LINES = 20;
 
-/** Reads the violations of all VMs, in the order of their times. */
+/** Lists the violations of all VMs in order of time. */
 export function listViolations(
   { folder, vms, startedAtUnixMs }: ViolationListOptions,
 ): ViolationEntry[] {
@@ -64,7 +64,7 @@
   });
 }
 
-/** Processes may write other text than lines of their logger, such as warnings of the runtime. */
+/** Parses a log line. Other output, such as warnings of the runtime, is ignored. */
 function parseLine(line: string): Record<string, unknown> | undefined {
   if (!line.startsWith("{")) return undefined;
   try {
--- a/packages/heatherarch-lab/proofs/config_proof.ts
+++ b/packages/heatherarch-lab/proofs/config_proof.ts
@@ -154,7 +154,7 @@
 
   #fetchFromPeer(index: number, peer: number): void {
     const view = this.#views[index];
-    // A response may be delayed, so the update starts at offset 0, which the view has long passed.
+    // A peer's response may be delayed. Offset 0 stands for a request that was sent long ago.
     const update = this.#views[peer].buildUpdate(0);
     if (update.kind === "records") view.applyRecords(update.records);
     else view.loadState(update.state);
--- a/packages/heatherarch-lab/proofs/quarantine_proof.ts
+++ b/packages/heatherarch-lab/proofs/quarantine_proof.ts
@@ -136,8 +136,8 @@
   }
 
   /**
-   * Counts poison requests that run after the quarantine should have stopped them. VMs with a recent
-   * link outage are not counted, since crash reports may not have reached them.
+   * Counts poison requests that run after the crash reports should have reached all VMs. VMs with a
+   * recent link outage are exempt, since the reports may not have reached them.
    */
   #recordPoisonArrival(vm: number): void {
     const thirdCrashStep = this.#crashSteps[MAX_CRASHES - 1];
--- a/packages/heatherarch-lab/proofs/target_list_proof.ts
+++ b/packages/heatherarch-lab/proofs/target_list_proof.ts
@@ -30,7 +30,7 @@
 const EARLIER_INCARNATIONS_GUARD = "laterLifeHolds";
 const OLDER_UPDATES_GUARD = "newerReadingHolds";
 
-/** A fault. `storeAway`: the store is down; `turnedAway`: it refuses one VM; `paused`: a VM stalls. */
+/** A fault: the store is down, the store refuses one VM, or a VM is paused. */
 interface Fault {
   readonly kind: "storeAway" | "turnedAway" | "paused";
   readonly vm: number;
