--- a/packages/heatherarch-lab/chaos/recovery.ts
+++ b/packages/heatherarch-lab/chaos/recovery.ts
@@ -7,7 +7,7 @@
 import { Caller } from "../caller.ts";
 import { Cluster } from "../cluster.ts";
 import { buildDeployment, type DeployedVm, SHAPES } from "../deployment.ts";
-import { type LoadRecord, sendOne } from "../mixed_load.ts";
+import { type LoadRecord, sendRandomRequest } from "../mixed_load.ts";
 import { ChaosNetwork } from "./chaos_network.ts";
 
 /** Recovery times in seconds, and the share of requests that a partitioned zone answered. */
@@ -50,7 +50,7 @@
       speeds: { changeMs: 300 },
       log: { appendMs: { low: 5, high: 50 } },
     },
-    settingsOf: (vm) => ({
+    vmSettings: (vm) => ({
       platform: {
         log: `http://${network.getPlatformAddress(vm.availabilityZone)}`,
         vmList: `http://${network.getPlatformAddress(vm.availabilityZone)}/vms`,
@@ -130,9 +130,9 @@
   }
 
   async measureOutageRecovery(): Promise<number> {
-    await this.#cluster.command({ kind: "log", faults: { down: true } });
+    await this.#cluster.sendCommand({ kind: "log", faults: { down: true } });
     await sleep(OUTAGE_MS);
-    await this.#cluster.command({ kind: "log", faults: { down: false } });
+    await this.#cluster.sendCommand({ kind: "log", faults: { down: false } });
     const startMs = performance.now();
     await this.#waitUntil(async () => {
       const stale = await this.#readFromAllVms((status) =>
@@ -150,7 +150,7 @@
     this.#cluster.signalVm(vm.id, "SIGTERM");
     await this.#cluster.waitExit(vm.id);
     if (isPlatformDown) {
-      await this.#cluster.command({ kind: "log", faults: { down: true } });
+      await this.#cluster.sendCommand({ kind: "log", faults: { down: true } });
     }
     await sleep(500);
     const startMs = performance.now();
@@ -158,7 +158,7 @@
     await this.#cluster.waitReady([vm]);
     const seconds = computeSecondsSince(startMs);
     if (isPlatformDown) {
-      await this.#cluster.command({ kind: "log", faults: { down: false } });
+      await this.#cluster.sendCommand({ kind: "log", faults: { down: false } });
     }
     await sleep(3000);
     return seconds;
@@ -201,7 +201,7 @@
     const sent: Promise<LoadRecord[]>[] = [];
     const untilMs = performance.now() + ms;
     while (performance.now() < untilMs) {
-      sent.push(sendOne(caller, deployment, random));
+      sent.push(sendRandomRequest(caller, deployment, random));
       await sleep(30);
     }
     const records = (await Promise.all(sent)).flat();
