--- a/packages/heatherarch-lab/chaos/chaos_run.ts
+++ b/packages/heatherarch-lab/chaos/chaos_run.ts
@@ -60,9 +60,9 @@
 };
 
 /** The request mix alternates, so that engines change roles while faults are injected. */
-const MIX_PERIOD_MS = 5000;
-const LONG_PROMPT_MIX = { maxPromptTokens: 5000, maxOutputTokens: 24 };
-const LONG_OUTPUT_MIX = { maxPromptTokens: 200, maxOutputTokens: 160 };
+const SIZES_PERIOD_MS = 5000;
+const LONG_PROMPT_SIZES = { maxPromptTokens: 5000, maxOutputTokens: 24 };
+const LONG_OUTPUT_SIZES = { maxPromptTokens: 200, maxOutputTokens: 160 };
 
 const PLANNING = { policy: "greedy", intervalMs: 1200, changeMs: 500 } as const;
 
@@ -188,10 +188,10 @@
     const startMs = performance.now();
     const vms = [balancer.pickVm(random), balancer.pickVm(random)];
     const deployment = { ...this.#cluster.deployment, vms };
-    const mix = Math.floor(startMs / MIX_PERIOD_MS) % 2 === 0
-      ? LONG_PROMPT_MIX
-      : LONG_OUTPUT_MIX;
-    const records = await sendRandomRequest(caller, deployment, random, mix);
+    const sizes = Math.floor(startMs / SIZES_PERIOD_MS) % 2 === 0
+      ? LONG_PROMPT_SIZES
+      : LONG_OUTPUT_SIZES;
+    const records = await sendRandomRequest(caller, deployment, random, sizes);
     const endMs = performance.now();
     for (const record of records) {
       this.#records.push({ record, startMs, endMs });
--- a/packages/heatherarch-lab/tests/integration/at_most_once_test.ts
+++ b/packages/heatherarch-lab/tests/integration/at_most_once_test.ts
@@ -22,8 +22,8 @@
   await cluster.stop();
 });
 
-function book(at: number, key: string, passenger = key) {
-  const url = `http://${cluster.deployment.vms[at].callers}`;
+function sendBooking(vmIndex: number, key: string, passenger = key) {
+  const url = `http://${cluster.deployment.vms[vmIndex].callers}`;
   const body = JSON.stringify({ passenger });
   return caller.callService({
     url,
@@ -37,14 +37,18 @@
 
 test("a key sent through every VM at once runs once, and repeats get its answer", async () => {
   const key = `${Date.now()}-everywhere`;
-  const first = await Promise.all([0, 1, 2, 3].map((at) => book(at, key)));
+  const first = await Promise.all(
+    [0, 1, 2, 3].map((at) => sendBooking(at, key)),
+  );
   assert.deepEqual(
     first.map((result) => result.outcome),
     Array(4).fill("whole"),
     first.map((result) => result.detail).join("; "),
   );
   await sleep(500);
-  const repeats = await Promise.all([0, 1, 2, 3].map((at) => book(at, key)));
+  const repeats = await Promise.all(
+    [0, 1, 2, 3].map((at) => sendBooking(at, key)),
+  );
   assert.deepEqual(
     repeats.map((result) => result.outcome),
     Array(4).fill("whole"),
@@ -55,8 +59,8 @@
 
 test("a key used for another call is refused", async () => {
   const key = `${Date.now()}-reused`;
-  assert.equal((await book(0, key)).outcome, "whole");
-  assert.equal((await book(1, key, "someone else")).kind, "keyReused");
+  assert.equal((await sendBooking(0, key)).outcome, "whole");
+  assert.equal((await sendBooking(1, key, "someone else")).kind, "keyReused");
 });
 
 test("a call whose answer was lost is never run again and never called not run", async () => {
@@ -67,13 +71,13 @@
     await cluster.sendCommand({ kind: "loseAnswers", target: id, on: true });
   }
   const key = `${Date.now()}-lost`;
-  const first = await book(0, key);
+  const first = await sendBooking(0, key);
   assert.equal(first.run, "unknown");
   for (const { id } of services) {
     await cluster.sendCommand({ kind: "loseAnswers", target: id, on: false });
   }
   for (let at = 0; at < 4; at++) {
-    const repeat = await book(at, key);
+    const repeat = await sendBooking(at, key);
     assert.equal(repeat.outcome, "refused");
     assert.equal(repeat.run, "unknown");
   }
@@ -89,7 +93,7 @@
   for (const { id } of services) {
     await cluster.sendCommand({ kind: "crossAnswers", target: id, on: true });
   }
-  const result = await book(0, `${Date.now()}-crossed`);
+  const result = await sendBooking(0, `${Date.now()}-crossed`);
   assert.equal(result.kind, "answerIncomplete");
   for (const { id } of services) {
     await cluster.sendCommand({ kind: "crossAnswers", target: id, on: false });
--- a/packages/heatherarch-lab/tests/integration/bad_input_test.ts
+++ b/packages/heatherarch-lab/tests/integration/bad_input_test.ts
@@ -33,7 +33,7 @@
 
 after(() => cluster.stop());
 
-interface Answer {
+interface ErrorSummary {
   readonly status: number;
   readonly kind: string;
   readonly run: string;
@@ -43,7 +43,7 @@
   path: string,
   body: string,
   headers: Record<string, string> = {},
-): Promise<Answer> {
+): Promise<ErrorSummary> {
   const answer = await request(url + path, { method: "POST", body, headers });
   const { error } = await answer.body.json() as {
     error: { kind: string; run: string };
@@ -51,7 +51,7 @@
   return { status: answer.statusCode, kind: error.kind, run: error.run };
 }
 
-function buildChat(fields: object): string {
+function buildChatBody(fields: object): string {
   return JSON.stringify({
     model: "reader-7b",
     messages: [{ role: "user", content: "hello" }],
@@ -60,7 +60,7 @@
 }
 
 /** Sends raw bytes and returns all that comes back. */
-function sendRaw(bytes: string, close: boolean): Promise<string> {
+function sendRaw(bytes: string, halfCloses: boolean): Promise<string> {
   return new Promise((resolve) => {
     const socket = connect(address);
     let text = "";
@@ -68,13 +68,13 @@
     socket.on("close", () => resolve(text));
     socket.on("error", () => resolve(text));
     socket.write(bytes);
-    if (close) socket.end();
+    if (halfCloses) socket.end();
   });
 }
 
 const CASES: readonly {
   name: string;
-  send: () => Promise<Answer>;
+  send: () => Promise<ErrorSummary>;
   status: number;
   kind: string;
 }[] = [
@@ -86,45 +86,46 @@
   },
   {
     name: "no messages",
-    send: () => post("/v1/chat/completions", buildChat({ messages: [] })),
+    send: () => post("/v1/chat/completions", buildChatBody({ messages: [] })),
     status: 400,
     kind: "badRequest",
   },
   {
     name: "unknown model",
-    send: () => post("/v1/chat/completions", buildChat({ model: "x" })),
+    send: () => post("/v1/chat/completions", buildChatBody({ model: "x" })),
     status: 404,
     kind: "unknownModel",
   },
   {
     name: "unknown profile",
-    send: () => post("/v1/chat/completions", buildChat({ profile: "x" })),
+    send: () => post("/v1/chat/completions", buildChatBody({ profile: "x" })),
     status: 400,
     kind: "unknownProfile",
   },
   {
     name: "absurd max_tokens",
-    send: () => post("/v1/chat/completions", buildChat({ max_tokens: 1e9 })),
+    send: () =>
+      post("/v1/chat/completions", buildChatBody({ max_tokens: 1e9 })),
     status: 400,
     kind: "badRequest",
   },
   {
     name: "negative max_tokens",
-    send: () => post("/v1/chat/completions", buildChat({ max_tokens: -1 })),
+    send: () => post("/v1/chat/completions", buildChatBody({ max_tokens: -1 })),
     status: 400,
     kind: "badRequest",
   },
   {
     name: "oversized body",
     send: () =>
-      post("/v1/chat/completions", buildChat({ user: "x".repeat(5000) })),
+      post("/v1/chat/completions", buildChatBody({ user: "x".repeat(5000) })),
     status: 413,
     kind: "payloadTooLarge",
   },
   {
     name: "bad deadline",
     send: () =>
-      post("/v1/completions", buildChat({}), { "x-deadline-ms": "soon" }),
+      post("/v1/completions", buildChatBody({}), { "x-deadline-ms": "soon" }),
     status: 400,
     kind: "badRequest",
   },
@@ -158,7 +159,7 @@
   },
   {
     name: "a model that is no string",
-    send: () => post("/v1/chat/completions", buildChat({ model: 7 })),
+    send: () => post("/v1/chat/completions", buildChatBody({ model: 7 })),
     status: 400,
     kind: "badRequest",
   },
@@ -183,11 +184,11 @@
 });
 
 test("oversized and malformed heads are answered and closed", async () => {
-  const huge = await sendRaw(
+  const oversizedHead = await sendRaw(
     `GET / HTTP/1.1\r\nhost: x\r\nbig: ${"a".repeat(60_000)}\r\n\r\n`,
     false,
   );
-  assert.match(huge, /^HTTP\/1\.1 431 .*headersTooLarge/s);
+  assert.match(oversizedHead, /^HTTP\/1\.1 431 .*headersTooLarge/s);
   assert.match(
     await sendRaw("NONSENSE\r\n\r\n", false),
     /^HTTP\/1\.1 400 .*badRequest/s,
@@ -203,13 +204,13 @@
     "POST /v1/completions HTTP/1.1\r\nhost: x\r\ncontent-length: 100\r\n\r\n{",
     false,
   );
-  const half = sendRaw(
+  const halfClosed = sendRaw(
     "POST /v1/completions HTTP/1.1\r\nhost: x\r\ncontent-length: 100\r\n\r\n{",
     true,
   );
-  const quick = await post("/v1/chat/completions", "{");
-  assert.equal(quick.status, 400);
+  const otherRequest = await post("/v1/chat/completions", "{");
+  assert.equal(otherRequest.status, 400);
   assert.match(await slowBody, /408 .*requestTimeout/s);
-  await half;
+  await halfClosed;
   assert.match(await slowHead, /408/);
 });
--- a/packages/heatherarch-lab/tests/integration/mesh_links_test.ts
+++ b/packages/heatherarch-lab/tests/integration/mesh_links_test.ts
@@ -5,7 +5,7 @@
 import { Membership, MeshNode } from "heatherarch-mesh";
 import { CuttableLink, findFreePorts } from "heatherarch-standins";
 
-interface Node {
+interface TestNode {
   readonly mesh: MeshNode;
   readonly membership: Membership;
   readonly address: string;
@@ -22,7 +22,7 @@
     heartbeatMs?: number;
     onHeartbeat?: () => void;
   },
-): Promise<Node> {
+): Promise<TestNode> {
   const address = `127.0.0.1:${options.port}`;
   const self = {
     id,
@@ -61,10 +61,13 @@
   return { mesh, membership, address, faults };
 }
 
-async function until(check: () => boolean, what: string): Promise<void> {
+async function waitUntil(
+  check: () => boolean,
+  description: string,
+): Promise<void> {
   const limit = performance.now() + 5000;
   while (!check()) {
-    assert.ok(performance.now() < limit, what);
+    assert.ok(performance.now() < limit, description);
     await sleep(10);
   }
 }
@@ -73,18 +76,18 @@
   const [portA, portB] = await findFreePorts(2);
   const b = await startNode("b", { port: portB });
   const link = new CuttableLink(b.address);
-  const via = await link.listen();
+  const linkAddress = await link.listen();
   const a = await startNode("a", {
     port: portA,
     peers: { b: b.address },
-    translate: { [b.address]: via },
+    translate: { [b.address]: linkAddress },
   });
   try {
-    await until(() => a.mesh.hasLink("b"), "linked");
+    await waitUntil(() => a.mesh.hasLink("b"), "linked");
     for (const direction of ["silentForward", "silentBack"] as const) {
       const before = a.mesh.resets;
       assert.ok(link.silenceOpenConnections(direction) > 0);
-      await until(() => a.mesh.resets > before, `${direction} is noticed`);
+      await waitUntil(() => a.mesh.resets > before, `${direction} is noticed`);
       assert.deepEqual(await a.mesh.call("b", "echo", { n: 1 }, 1000), {
         n: 1,
       });
@@ -106,7 +109,7 @@
     peers: { b: b.address },
   });
   try {
-    await until(
+    await waitUntil(
       () => b.faults.includes("badProof"),
       "the wrong key is refused",
     );
@@ -121,7 +124,7 @@
       const socket = connect(portB, "127.0.0.1");
       socket.on("error", () => undefined);
       socket.write(bytes);
-      await until(() => b.faults.length > before, "garbage is refused");
+      await waitUntil(() => b.faults.length > before, "garbage is refused");
       socket.destroy();
     }
     assert.ok(b.faults.includes("badFrame"));
@@ -143,10 +146,10 @@
 
 test("news are told at once, once for all of a turn, and not more often than the least gap", async () => {
   const [portA, portB] = await findFreePorts(2);
-  const heardAtMs: number[] = [];
+  const heartbeatTimesMs: number[] = [];
   const b = await startNode("b", {
     port: portB,
-    onHeartbeat: () => heardAtMs.push(performance.now()),
+    onHeartbeat: () => heartbeatTimesMs.push(performance.now()),
   });
   const a = await startNode("a", {
     port: portA,
@@ -155,16 +158,19 @@
   });
   try {
     // The first heartbeat comes with the link.
-    await until(() => heardAtMs.length === 1, "linked");
+    await waitUntil(() => heartbeatTimesMs.length === 1, "linked");
     await sleep(60);
     const startMs = performance.now();
     for (let i = 0; i < 20; i++) a.mesh.requestRound();
-    await until(() => heardAtMs.length === 2, "news are told");
-    assert.ok(heardAtMs[1] - startMs < 2000, "long before the next heartbeat");
+    await waitUntil(() => heartbeatTimesMs.length === 2, "news are told");
+    assert.ok(
+      heartbeatTimesMs[1] - startMs < 2000,
+      "long before the next heartbeat",
+    );
     for (let i = 0; i < 20; i++) a.mesh.requestRound();
-    await until(() => heardAtMs.length === 3, "later news are told");
+    await waitUntil(() => heartbeatTimesMs.length === 3, "later news are told");
     await sleep(150);
-    assert.equal(heardAtMs.length, 3);
+    assert.equal(heartbeatTimesMs.length, 3);
   } finally {
     a.mesh.stop();
     b.mesh.stop();
--- a/packages/heatherarch-lab/tests/integration/openai_client_test.ts
+++ b/packages/heatherarch-lab/tests/integration/openai_client_test.ts
@@ -6,7 +6,7 @@
 
 const MODEL = "reader-7b";
 const MESSAGES = [{ role: "user" as const, content: "what does the rule say" }];
-const RENDERED = "<|user|>\nwhat does the rule say\n<|assistant|>\n";
+const RENDERED_PROMPT = "<|user|>\nwhat does the rule say\n<|assistant|>\n";
 let cluster: Cluster;
 let client: OpenAI;
 
@@ -38,7 +38,7 @@
   });
   assert.equal(
     answer.choices[0].message.content,
-    computeCompletion(RENDERED, 12),
+    computeCompletion(RENDERED_PROMPT, 12),
   );
   assert.equal(answer.choices[0].finish_reason, "length");
   assert.equal(answer.usage?.completion_tokens, 12);
@@ -58,7 +58,7 @@
     text += chunk.choices[0]?.delta.content ?? "";
     usage = chunk.usage?.completion_tokens ?? usage;
   }
-  assert.equal(text, computeCompletion(RENDERED, 12));
+  assert.equal(text, computeCompletion(RENDERED_PROMPT, 12));
   assert.equal(usage, 12);
 });
 
--- a/packages/heatherarch-lab/tests/integration/operators_test.ts
+++ b/packages/heatherarch-lab/tests/integration/operators_test.ts
@@ -8,10 +8,11 @@
 import { stringify } from "smol-toml";
 import { buildDeployment, Cluster, SHAPES } from "../../mod.ts";
 
-const BINARY = fileURLToPath(import.meta.resolve("heatherarch-cli")).replace(
-  /mod\.js$/,
-  "bin/heatherarch.js",
-);
+const CLI_BINARY = fileURLToPath(import.meta.resolve("heatherarch-cli"))
+  .replace(
+    /mod\.js$/,
+    "bin/heatherarch.js",
+  );
 const TOKEN = "sesame";
 
 let cluster: Cluster;
@@ -23,17 +24,17 @@
 
 after(() => cluster.stop());
 
-interface Run {
+interface CliResult {
   readonly code: number;
   readonly out: string;
   readonly err: string;
 }
 
-function run(...args: string[]): Promise<Run> {
+function runCli(...args: string[]): Promise<CliResult> {
   const vm = `http://${cluster.deployment.vms[0].operators}`;
   return new Promise((resolve) => {
     execFile(process.execPath, [
-      BINARY,
+      CLI_BINARY,
       "--vm",
       vm,
       "--operator",
@@ -52,23 +53,34 @@
 }
 
 test("a profile is put, revised against its revision, and in force everywhere", async () => {
-  const put = await run("profile", "put", writeProfile(1000), "--wait");
-  assert.equal(put.code, 0, put.err);
-  assert.match(put.out, /in force everywhere/);
-  const revise = await run(
+  const putResult = await runCli(
+    "profile",
+    "put",
+    writeProfile(1000),
+    "--wait",
+  );
+  assert.equal(putResult.code, 0, putResult.err);
+  assert.match(putResult.out, /in force everywhere/);
+  const reviseResult = await runCli(
     "profile",
     "revise",
     "desk",
     "deadlineMs=2000",
     "--wait",
   );
-  assert.equal(revise.code, 0, revise.err);
-  const got = await run("profile", "get", "desk");
-  assert.equal(JSON.parse(got.out).profile.deadlineMs, 2000);
+  assert.equal(reviseResult.code, 0, reviseResult.err);
+  const getResult = await runCli("profile", "get", "desk");
+  assert.equal(JSON.parse(getResult.out).profile.deadlineMs, 2000);
 });
 
 test("of two operators with one base, one wins and the other is told by what", async () => {
-  const stale = await run("profile", "put", writeProfile(3000), "--base", "-1");
+  const stale = await runCli(
+    "profile",
+    "put",
+    writeProfile(3000),
+    "--base",
+    "-1",
+  );
   assert.equal(stale.code, 3);
   assert.match(stale.err, /stale.*by amihan \(put profile desk\)/);
 });
@@ -79,7 +91,7 @@
     file,
     stringify({ name: "Bad Name", deadlineMs: 1, extra: true }),
   );
-  const result = await run("profile", "put", file);
+  const result = await runCli("profile", "put", file);
   assert.equal(result.code, 2);
   for (const place of [/name: /, /deadlineMs: /, /extra/]) {
     assert.match(result.err, place);
@@ -88,10 +100,10 @@
 
 test("drain and restore show in the status and in the audit trail", async () => {
   const target = cluster.deployment.fleet.targets[0].id;
-  assert.equal((await run("drain", target, "--wait")).code, 0);
-  assert.match((await run("status")).out, new RegExp(`${target}.*draining`));
-  assert.equal((await run("restore", target, "--wait")).code, 0);
-  const audit = JSON.parse((await run("audit", "--json")).out) as {
+  assert.equal((await runCli("drain", target, "--wait")).code, 0);
+  assert.match((await runCli("status")).out, new RegExp(`${target}.*draining`));
+  assert.equal((await runCli("restore", target, "--wait")).code, 0);
+  const audit = JSON.parse((await runCli("audit", "--json")).out) as {
     author: string;
     what: string;
   }[];
@@ -108,9 +120,9 @@
   const old = fleet.targets[0];
   const file = join(cluster.directory, "replacement.json");
   writeFileSync(file, JSON.stringify({ ...old, id: "replacement" }));
-  const result = await run("replace", old.id, file, "--wait");
+  const result = await runCli("replace", old.id, file, "--wait");
   assert.equal(result.code, 0, result.err);
-  const config = JSON.parse((await run("config", "show")).out);
+  const config = JSON.parse((await runCli("config", "show")).out);
   assert.equal(config.directives[old.id].directive, "replacing");
   assert.ok(
     config.fleet.targets.some((entry: { id: string }) =>
@@ -123,17 +135,17 @@
   const file = join(cluster.directory, "fleet.json");
   const fleet = { ...cluster.deployment.fleet, allowAnonymous: false };
   writeFileSync(file, JSON.stringify(fleet));
-  assert.equal((await run("config", "check", file)).code, 0);
+  assert.equal((await runCli("config", "check", file)).code, 0);
   assert.match(
-    (await run("config", "diff", file)).out,
+    (await runCli("config", "diff", file)).out,
     /allowAnonymous: true -> false/,
   );
 });
 
 test("an unknown command and an unreachable VM have exit codes of their own", async () => {
-  assert.equal((await run("fly")).code, 2);
-  const far = await run("--vm", "http://127.0.0.1:1", "status");
-  assert.notEqual(far.code, 0);
+  assert.equal((await runCli("fly")).code, 2);
+  const unreachable = await runCli("--vm", "http://127.0.0.1:1", "status");
+  assert.notEqual(unreachable.code, 0);
 });
 
 test("operators are authenticated where any are configured", async () => {
--- a/packages/heatherarch-lab/tests/integration/outage_test.ts
+++ b/packages/heatherarch-lab/tests/integration/outage_test.ts
@@ -31,11 +31,16 @@
   await cluster.stop();
 });
 
-async function setLog(faults: Record<string, number | boolean>): Promise<void> {
+async function setLogFaults(
+  faults: Record<string, number | boolean>,
+): Promise<void> {
   await cluster.sendCommand({ kind: "log", faults });
 }
 
-async function until(check: () => Promise<boolean>, ms = 8000): Promise<void> {
+async function waitUntil(
+  check: () => Promise<boolean>,
+  ms = 8000,
+): Promise<void> {
   const limit = performance.now() + ms;
   while (!(await check().catch(() => false))) {
     assert.ok(performance.now() < limit, "took too long");
@@ -43,7 +48,7 @@
   }
 }
 
-function read(vm: DeployedVm, key?: string) {
+function sendRequest(vm: DeployedVm, key?: string) {
   const url = `http://${vm.callers}`;
   if (key === undefined) {
     return caller.generate({
@@ -65,20 +70,20 @@
 }
 
 test("during an outage readings go on and keyed bookings are refused as not run", async () => {
-  await setLog({ down: true });
+  await setLogFaults({ down: true });
   await sleep(300);
-  assert.equal((await read(vms[0])).outcome, "whole");
-  const booking = await read(vms[1], `${Date.now()}-outage`);
+  assert.equal((await sendRequest(vms[0])).outcome, "whole");
+  const booking = await sendRequest(vms[1], `${Date.now()}-outage`);
   assert.equal(booking.kind, "platformUnavailable");
   assert.equal(booking.run, "no");
   const ledger = await cluster.readLedger();
   assert.equal(ledger.runs.length, 0);
-  await setLog({ down: false });
+  await setLogFaults({ down: false });
 });
 
 test("a drain given during an outage reaches every VM by word of peers", async () => {
   const target = cluster.deployment.fleet.targets[1].id;
-  await setLog({ down: true });
+  await setLogFaults({ down: true });
   const answer = await cluster.publish(
     { kind: "directTarget", target, directive: "drain" },
     -1,
@@ -86,13 +91,13 @@
   );
   assert.equal(answer.body.verdict, "spreading");
   for (const vm of vms) {
-    await until(async () => {
+    await waitUntil(async () => {
       const { targets } = await cluster.readStatus(vm);
       return targets.some((entry) => entry.id === target && !entry.usable);
     });
   }
-  await setLog({ down: false });
-  await until(async () =>
+  await setLogFaults({ down: false });
+  await waitUntil(async () =>
     (await cluster.publish({
       kind: "directTarget",
       target,
@@ -106,15 +111,15 @@
   const [vm] = vms;
   cluster.signalVm(vm.id, "SIGKILL");
   await cluster.waitExit(vm.id);
-  await setLog({ down: true });
+  await setLogFaults({ down: true });
   cluster.startVm(vm);
   await cluster.waitReady([vm]);
-  assert.equal((await read(vm)).outcome, "whole");
-  await setLog({ down: false });
+  assert.equal((await sendRequest(vm)).outcome, "whole");
+  await setLogFaults({ down: false });
 });
 
 test("a trimmed log is read on from a snapshot, and lost answers publish once", async () => {
-  await setLog({ retainRecords: 25, loseAnswerShare: 0.4 });
+  await setLogFaults({ retainRecords: 25, loseAnswerShare: 0.4 });
   let base = -1;
   for (let i = 0; i < 60; i++) {
     const change = {
@@ -130,12 +135,12 @@
   await cluster.waitExit(vm.id);
   cluster.startVm(vm);
   await cluster.waitReady([vm]);
-  await setLog({ loseAnswerShare: 0 });
-  await until(async () => {
+  await setLogFaults({ loseAnswerShare: 0 });
+  await waitUntil(async () => {
     const all = await Promise.all(
       vms.map((entry) => cluster.readStatus(entry)),
     );
     return all.every((status) => status.config.offset >= base);
   });
-  assert.equal((await read(vm)).outcome, "whole");
+  assert.equal((await sendRequest(vm)).outcome, "whole");
 });
--- a/packages/heatherarch-lab/tests/integration/poison_request_test.ts
+++ b/packages/heatherarch-lab/tests/integration/poison_request_test.ts
@@ -12,9 +12,9 @@
 const POISON = "ends whoever runs it";
 /** Crashes after which a request is held back, and the time until all VMs know, milliseconds. */
 const MAX_CRASHES = 3;
-const KNOWN_AFTER_MS = 3000;
+const QUARANTINE_PROPAGATION_MS = 3000;
 /** Time after which a target that crashed is back and seen, milliseconds. */
-const BACK_MS = 1500;
+const RESTART_MS = 1500;
 
 let cluster: Cluster;
 const caller = new Caller();
@@ -38,19 +38,19 @@
 }
 
 /** Sends a request again and again, at one VM after the other. */
-async function repeat(
+async function sendRepeatedly(
   count: number,
   send: (url: string, i: number) => Promise<CallResult>,
 ): Promise<CallResult[]> {
   const results: CallResult[] = [];
   for (let i = 0; i < count; i++) {
     results.push(await send(pickUrl(i), i));
-    await sleep(BACK_MS);
+    await sleep(RESTART_MS);
   }
   return results;
 }
 
-function book(url: string, body: string): Promise<CallResult> {
+function sendBooking(url: string, body: string): Promise<CallResult> {
   return caller.callService({
     url,
     service: "bookings",
@@ -64,15 +64,21 @@
 // Guards against a call that crashes each target being handed to one after the other for ever.
 test("a call that crashes plain targets is held back on all VMs", async () => {
   const body = JSON.stringify({ passenger: POISON });
-  const crashed = await repeat(MAX_CRASHES, (url) => book(url, body));
+  const crashed = await sendRepeatedly(
+    MAX_CRASHES,
+    (url) => sendBooking(url, body),
+  );
   assert.ok(crashed.every(({ outcome }) => outcome !== "whole"));
-  await sleep(KNOWN_AFTER_MS);
+  await sleep(QUARANTINE_PROPAGATION_MS);
   const before = (await cluster.readLedger()).runs.length;
-  const held = await repeat(4, (url) => book(url, body));
+  const held = await sendRepeatedly(4, (url) => sendBooking(url, body));
   assert.deepEqual(held.map(({ kind }) => kind), Array(4).fill("quarantined"));
   assert.deepEqual(held.map(({ run }) => run), Array(4).fill("no"));
   assert.equal((await cluster.readLedger()).runs.length, before);
-  const other = await book(pickUrl(0), JSON.stringify({ passenger: "own" }));
+  const other = await sendBooking(
+    pickUrl(0),
+    JSON.stringify({ passenger: "own" }),
+  );
   assert.equal(other.outcome, "whole", other.detail);
 });
 
@@ -85,9 +91,9 @@
     )[0];
   const generate = (url: string, prompt: string) =>
     caller.generate({ url, model, prompt, maxTokens: 4 });
-  await repeat(MAX_CRASHES, (url) => generate(url, POISON));
-  await sleep(KNOWN_AFTER_MS);
-  const held = await repeat(4, (url) => generate(url, POISON));
+  await sendRepeatedly(MAX_CRASHES, (url) => generate(url, POISON));
+  await sleep(QUARANTINE_PROPAGATION_MS);
+  const held = await sendRepeatedly(4, (url) => generate(url, POISON));
   assert.deepEqual(held.map(({ kind }) => kind), Array(4).fill("quarantined"));
   const other = await generate(pickUrl(0), "a prompt of its own");
   assert.equal(other.outcome, "whole", other.detail);
--- a/packages/heatherarch-lab/tests/integration/streams_test.ts
+++ b/packages/heatherarch-lab/tests/integration/streams_test.ts
@@ -39,13 +39,15 @@
   );
 }
 
-async function checkWhole(
+async function assertAllComplete(
   streams: ReturnType<typeof startStreams>,
 ): Promise<void> {
   const results = await Promise.all(streams);
-  const broken = results.filter((result) => result.outcome !== "whole");
+  const incomplete = results.filter((result) => result.outcome !== "whole");
   assert.deepEqual(
-    broken.map((result) => `${result.outcome} ${result.kind} ${result.detail}`),
+    incomplete.map((result) =>
+      `${result.outcome} ${result.kind} ${result.detail}`
+    ),
     [],
   );
 }
@@ -56,14 +58,14 @@
   for (const target of engines.slice(1, 3)) {
     await cluster.sendCommand({ kind: "crash", target, downMs: 1000 });
   }
-  await checkWhole(streams);
+  await assertAllComplete(streams);
 });
 
 test("answers are continued when an engine goes silent with its connections open", async () => {
   const streams = startStreams(12);
   await sleep(400);
   await cluster.sendCommand({ kind: "freeze", target: engines[1], ms: 4000 });
-  await checkWhole(streams);
+  await assertAllComplete(streams);
 });
 
 test("an engine that ends answers early or crosses them can't make a wrong one", async () => {
@@ -73,7 +75,7 @@
     target: engines[2],
     on: true,
   });
-  await checkWhole(startStreams(12));
+  await assertAllComplete(startStreams(12));
   await cluster.sendCommand({ kind: "truncate", target: engines[1], after: 0 });
   await cluster.sendCommand({
     kind: "crossAnswers",
@@ -83,7 +85,7 @@
 });
 
 test("long prompts whose KV cache moves are answered as whole as short ones", async () => {
-  await checkWhole(startStreams(8, "long ".repeat(1200)));
+  await assertAllComplete(startStreams(8, "long ".repeat(1200)));
 });
 
 test("a withdrawn engine finishes what it has and gets nothing new", async () => {
@@ -98,7 +100,7 @@
   assert.equal(answer.status, 200);
   await sleep(200);
   const before = (await cluster.readLedger()).engines[target].tries;
-  await checkWhole([...streams, ...startStreams(8)]);
+  await assertAllComplete([...streams, ...startStreams(8)]);
   assert.equal((await cluster.readLedger()).engines[target].tries, before);
 });
 
--- a/packages/heatherarch-lab/tests/unit/config_reads_test.ts
+++ b/packages/heatherarch-lab/tests/unit/config_reads_test.ts
@@ -9,18 +9,21 @@
 } from "../../proofs/config_reads_simulation.ts";
 
 /** Part of the bound that is left for hubs to tell a change on. */
-const HUB_PART = 0.25;
+const HUB_BOUND_SHARE = 0.25;
 
 /** Silences of several lengths that begin and end at every phase of a reader's period. */
-function listSilences(configBoundMs: number): SilentPeriod[] {
+function listSilentPeriods(configBoundMs: number): SilentPeriod[] {
   const stepMs = configBoundMs / 40;
-  const silences: SilentPeriod[] = [];
-  for (const part of [0.02, 0.3, 0.8, 1.75]) {
+  const silentPeriods: SilentPeriod[] = [];
+  for (const boundShare of [0.02, 0.3, 0.8, 1.75]) {
     for (let fromMs = stepMs; fromMs < 1.6 * configBoundMs; fromMs += stepMs) {
-      silences.push({ fromMs, untilMs: fromMs + part * configBoundMs });
+      silentPeriods.push({
+        fromMs,
+        untilMs: fromMs + boundShare * configBoundMs,
+      });
     }
   }
-  return silences;
+  return silentPeriods;
 }
 
 // A change had to wait for a read that the store would never answer, longer than its bound.
@@ -34,13 +37,13 @@
     for (const unit of [0, 0.5]) {
       const delaysMs = await measureDelays({
         reads,
-        stores: listSilences(configBoundMs).map((silence) => [silence]),
+        stores: listSilentPeriods(configBoundMs).map((silence) => [silence]),
         observationMs: 3 * configBoundMs,
         drawUnit: () => unit,
       });
       const longestMs = Math.max(...delaysMs);
       assert.ok(
-        longestMs <= configBoundMs * (1 - HUB_PART) + 5 * TICK_MS,
+        longestMs <= configBoundMs * (1 - HUB_BOUND_SHARE) + 5 * TICK_MS,
         `${longestMs} ms`,
       );
     }
@@ -55,7 +58,7 @@
       requestTimeoutMs: REQUEST_TIMEOUT_MS,
     });
     assert.ok(
-      computeMaxConfigDelayMs(reads) <= configBoundMs * (1 - HUB_PART),
+      computeMaxConfigDelayMs(reads) <= configBoundMs * (1 - HUB_BOUND_SHARE),
       `${configBoundMs} ms`,
     );
   }
--- a/packages/heatherarch-lab/tests/unit/lost_end_test.ts
+++ b/packages/heatherarch-lab/tests/unit/lost_end_test.ts
@@ -7,7 +7,7 @@
 const MAX_TOKENS = 3;
 
 /** A generation whose engine sends all tokens and then breaks off; `ends` is what callers get. */
-function loseEnd(withResume: boolean) {
+function disconnectAfterLastToken(withResume: boolean) {
   const { host, attempts: tries } = createFakeHost({
     engines: ["e1", "e2"],
     supportsResume: withResume,
@@ -30,7 +30,7 @@
   return { generation, tries, ends };
 }
 
-const WHOLE = {
+const COMPLETE_RESULT = {
   reason: "length",
   promptTokens: 7,
   outputTokens: MAX_TOKENS,
@@ -39,17 +39,17 @@
 
 // An engine was asked for no tokens at all, and what it sent violated an invariant.
 test("an answer with all its tokens ends, where the engine breaks off before its end", () => {
-  const { generation, tries, ends } = loseEnd(false);
+  const { generation, tries, ends } = disconnectAfterLastToken(false);
   generation.cancel();
-  assert.deepEqual(ends, [WHOLE]);
+  assert.deepEqual(ends, [COMPLETE_RESULT]);
   assert.equal(tries.length, 1);
 });
 
 test("the end of an answer with all its tokens is asked for once where the engine resumes", () => {
-  const { generation, tries, ends } = loseEnd(true);
+  const { generation, tries, ends } = disconnectAfterLastToken(true);
   assert.equal(tries.length, 2);
   tries[1].sink.onFailure("broken", "");
   generation.cancel();
-  assert.deepEqual(ends, [WHOLE]);
+  assert.deepEqual(ends, [COMPLETE_RESULT]);
   assert.equal(tries.length, 2);
 });
--- a/packages/heatherarch-lab/tests/unit/plain_call_test.ts
+++ b/packages/heatherarch-lab/tests/unit/plain_call_test.ts
@@ -31,23 +31,23 @@
   body: Buffer.from("{}"),
 };
 
-interface Scene {
+interface Fixture {
   readonly sent: string[];
   readonly ended: string[];
   readonly call: (fields: Partial<PlainRequest>) => Promise<unknown>;
 }
 
 /** A host with two targets that answer as told, and a claim that may be used or not. */
-function createScene(
+function createFixture(
   answers: BufferedResponse[],
-  valid = true,
+  isClaimValid = true,
   host: Partial<FakeHostOptions> = {},
   renewal?: ClaimResult,
-): Scene {
+): Fixture {
   const sent: string[] = [];
   const ended: string[] = [];
   const claim: HeldClaim = {
-    isValid: () => valid,
+    isValid: () => isClaimValid,
     renew: () => {
       ended.push("renewed");
       return Promise.resolve(renewal ?? { kind: "granted", claim });
@@ -83,29 +83,32 @@
   return { sent, ended, call };
 }
 
-function isError(kind: string, run: string) {
+function matchesError(kind: string, run: string) {
   return (error: unknown) =>
     error instanceof ServeError && error.kind === kind && error.run === run;
 }
 
 test("a claim whose permission lapsed is dropped before the write, and given back", async () => {
-  const scene = createScene([], false);
+  const scene = createFixture([], false);
   await assert.rejects(
     scene.call({ key: KEY }),
-    isError("platformUnavailable", "no"),
+    matchesError("platformUnavailable", "no"),
   );
   assert.deepEqual(scene.sent, []);
   assert.deepEqual(scene.ended, ["renewed", "released"]);
 });
 
 test("a permission that lapsed unused is renewed once, and the call runs once", async () => {
-  const fresh: HeldClaim = {
+  const renewedClaim: HeldClaim = {
     isValid: () => true,
     renew: () => Promise.reject(new Error("not again")),
     conclude: () => scene.ended.push("concluded"),
     release: () => scene.ended.push("released"),
   };
-  const scene = createScene([], false, {}, { kind: "granted", claim: fresh });
+  const scene = createFixture([], false, {}, {
+    kind: "granted",
+    claim: renewedClaim,
+  });
   await scene.call({ key: KEY });
   assert.equal(scene.sent.length, 1);
   assert.deepEqual(scene.ended, ["renewed", "concluded"]);
@@ -113,10 +116,10 @@
 
 test("a call that may have run is never sent again, with a key or without", async () => {
   for (const key of [KEY, undefined]) {
-    const scene = createScene([{ kind: "broken", detail: "reset" }]);
+    const scene = createFixture([{ kind: "broken", detail: "reset" }]);
     await assert.rejects(
       scene.call({ key }),
-      isError("targetFailed", "unknown"),
+      matchesError("targetFailed", "unknown"),
     );
     assert.equal(scene.sent.length, 1);
     assert.deepEqual(scene.ended, []);
@@ -124,30 +127,36 @@
 });
 
 test("a call that was proven not sent goes to another target", async () => {
-  const scene = createScene([{ kind: "notSent", detail: "refused" }]);
+  const scene = createFixture([{ kind: "notSent", detail: "refused" }]);
   await scene.call({ key: KEY });
   assert.deepEqual(scene.sent, ["s1", "s2"]);
   assert.deepEqual(scene.ended, ["concluded"]);
 });
 
 test("where no target takes the call, it is not run and its key is free again", async () => {
-  const scene = createScene(
+  const scene = createFixture(
     Array(4).fill({ kind: "notSent", detail: "refused" }),
   );
-  await assert.rejects(scene.call({ key: KEY }), isError("noTarget", "no"));
+  await assert.rejects(
+    scene.call({ key: KEY }),
+    matchesError("noTarget", "no"),
+  );
   assert.deepEqual(scene.ended, ["released"]);
 });
 
 test("idempotent calls are retried after a break", async () => {
-  const scene = createScene([{ kind: "broken", detail: "reset" }]);
+  const scene = createFixture([{ kind: "broken", detail: "reset" }]);
   await scene.call({ method: "GET" });
   assert.deepEqual(scene.sent, ["s1", "s2"]);
 });
 
 test("a service that wants keys refuses calls without one", async () => {
-  const scene = createScene([]);
+  const scene = createFixture([]);
   const service = { ...SERVICE, keyRequired: true };
-  await assert.rejects(scene.call({ service }), isError("keyRequired", "no"));
+  await assert.rejects(
+    scene.call({ service }),
+    matchesError("keyRequired", "no"),
+  );
   assert.deepEqual(scene.sent, []);
 });
 
@@ -156,13 +165,13 @@
   const host = {
     handleClaim: () => Promise.resolve({ kind: "refused" as const, error }),
   };
-  const refused = createScene([], true, host);
+  const refused = createFixture([], true, host);
   await assert.rejects(
     refused.call({ key: KEY }),
-    isError("platformUnavailable", "no"),
+    matchesError("platformUnavailable", "no"),
   );
   assert.deepEqual(refused.sent, []);
-  const passed = createScene([], true, host);
+  const passed = createFixture([], true, host);
   await passed.call({ key: KEY, service: { ...SERVICE, honoursKey: true } });
   assert.equal(passed.sent.length, 1);
 });
