--- a/packages/heatherarch-lab/tests/integration/at_most_once_test.ts
+++ b/packages/heatherarch-lab/tests/integration/at_most_once_test.ts
@@ -35,7 +35,7 @@
   });
 }
 
-test("a key sent through every VM at once runs once, and repeats get its answer", async () => {
+test("a key sent through all VMs at once runs once, and repeated calls get the stored response", async () => {
   const key = `${Date.now()}-everywhere`;
   const first = await Promise.all(
     [0, 1, 2, 3].map((at) => sendBooking(at, key)),
@@ -57,13 +57,13 @@
   assert.equal(ledger.runs.filter((run) => run.key === key).length, 1);
 });
 
-test("a key used for another call is refused", async () => {
+test("a key that was used for another call is refused", async () => {
   const key = `${Date.now()}-reused`;
   assert.equal((await sendBooking(0, key)).outcome, "whole");
   assert.equal((await sendBooking(1, key, "someone else")).kind, "keyReused");
 });
 
-test("a call whose answer was lost is never run again and never called not run", async () => {
+test("a call whose response was lost is never run again and never reported as not run", async () => {
   const services = cluster.deployment.fleet.targets.filter((target) =>
     target.id.includes("service")
   );
@@ -86,7 +86,7 @@
   assert.equal(countKeysRunTwice(ledger), 0);
 });
 
-test("a crossed answer of a service goes to nobody", async () => {
+test("a service's response to another call is not delivered", async () => {
   const services = cluster.deployment.fleet.targets.filter((target) =>
     target.id.includes("service")
   );
--- a/packages/heatherarch-lab/tests/integration/bad_input_test.ts
+++ b/packages/heatherarch-lab/tests/integration/bad_input_test.ts
@@ -59,7 +59,7 @@
   });
 }
 
-/** Sends raw bytes and returns all that comes back. */
+/** Sends raw bytes and returns everything received until the connection closes. */
 function sendRaw(bytes: string, halfCloses: boolean): Promise<string> {
   return new Promise((resolve) => {
     const socket = connect(address);
@@ -103,7 +103,7 @@
     kind: "unknownProfile",
   },
   {
-    name: "absurd max_tokens",
+    name: "too large max_tokens",
     send: () =>
       post("/v1/chat/completions", buildChatBody({ max_tokens: 1e9 })),
     status: 400,
@@ -123,21 +123,21 @@
     kind: "payloadTooLarge",
   },
   {
-    name: "bad deadline",
+    name: "invalid deadline",
     send: () =>
       post("/v1/completions", buildChatBody({}), { "x-deadline-ms": "soon" }),
     status: 400,
     kind: "badRequest",
   },
   {
-    name: "undated key",
+    name: "key without a time",
     send: () =>
       post("/services/bookings/b", "{}", { "idempotency-key": "abc" }),
     status: 400,
     kind: "badIdempotencyKey",
   },
   {
-    name: "key from long ago",
+    name: "expired key",
     send: () =>
       post("/services/bookings/b", "{}", {
         "idempotency-key": "1000000000000-abcd",
@@ -158,7 +158,7 @@
     kind: "notFound",
   },
   {
-    name: "a model that is no string",
+    name: "model that is not a string",
     send: () => post("/v1/chat/completions", buildChatBody({ model: 7 })),
     status: 400,
     kind: "badRequest",
@@ -166,7 +166,7 @@
 ];
 
 for (const { name, send, status, kind } of CASES) {
-  test(`${name} gets a clear ${status}`, async () => {
+  test(`${name} is refused with status ${status}`, async () => {
     const answer = await send();
     assert.deepEqual({ status: answer.status, kind: answer.kind }, {
       status,
@@ -176,14 +176,14 @@
   });
 }
 
-test("a wrong method is told which one is right", async () => {
+test("a request with a wrong method is refused with the allowed method", async () => {
   const answer = await request(`${url}/v1/chat/completions`);
   await answer.body.dump();
   assert.equal(answer.statusCode, 405);
   assert.equal(answer.headers.allow, "POST");
 });
 
-test("oversized and malformed heads are answered and closed", async () => {
+test("oversized and malformed request heads get an error response and the connection is closed", async () => {
   const oversizedHead = await sendRaw(
     `GET / HTTP/1.1\r\nhost: x\r\nbig: ${"a".repeat(60_000)}\r\n\r\n`,
     false,
@@ -195,7 +195,7 @@
   );
 });
 
-test("slow and half-closed callers hold nothing up", async () => {
+test("slow and half-closed clients do not delay other requests", async () => {
   const slowHead = sendRaw(
     "POST /v1/completions HTTP/1.1\r\nhost: x\r\n",
     false,
--- a/packages/heatherarch-lab/tests/integration/mesh_links_test.ts
+++ b/packages/heatherarch-lab/tests/integration/mesh_links_test.ts
@@ -72,7 +72,7 @@
   }
 }
 
-test("a link that goes silent is replaced by one that works, and calls go on", async () => {
+test("a silent link is replaced by a working one, and calls succeed again", async () => {
   const [portA, portB] = await findFreePorts(2);
   const b = await startNode("b", { port: portB });
   const link = new CuttableLink(b.address);
@@ -83,11 +83,11 @@
     translate: { [b.address]: linkAddress },
   });
   try {
-    await waitUntil(() => a.mesh.hasLink("b"), "linked");
+    await waitUntil(() => a.mesh.hasLink("b"), "the link is established");
     for (const direction of ["silentForward", "silentBack"] as const) {
       const before = a.mesh.resets;
       assert.ok(link.silenceOpenConnections(direction) > 0);
-      await waitUntil(() => a.mesh.resets > before, `${direction} is noticed`);
+      await waitUntil(() => a.mesh.resets > before, `${direction} is detected`);
       assert.deepEqual(await a.mesh.call("b", "echo", { n: 1 }, 1000), {
         n: 1,
       });
@@ -100,7 +100,7 @@
   }
 });
 
-test("a peer with another key, garbage and oversized frames are refused and counted", async () => {
+test("a peer with another key, malformed bytes and oversized frames are refused and reported", async () => {
   const [portA, portB] = await findFreePorts(2);
   const b = await startNode("b", { port: portB });
   const a = await startNode("a", {
@@ -124,7 +124,10 @@
       const socket = connect(portB, "127.0.0.1");
       socket.on("error", () => undefined);
       socket.write(bytes);
-      await waitUntil(() => b.faults.length > before, "garbage is refused");
+      await waitUntil(
+        () => b.faults.length > before,
+        "malformed bytes are refused",
+      );
       socket.destroy();
     }
     assert.ok(b.faults.includes("badFrame"));
@@ -134,7 +137,7 @@
   }
 });
 
-test("a call to a peer that is gone fails, and says that its fate is unknown", async () => {
+test("a call to an unreachable peer fails and reports that its outcome is unknown", async () => {
   const [portA] = await findFreePorts(1);
   const a = await startNode("a", { port: portA });
   try {
@@ -144,7 +147,7 @@
   }
 });
 
-test("news are told at once, once for all of a turn, and not more often than the least gap", async () => {
+test("requested heartbeats are sent at once, one per tick, and at least the minimum interval apart", async () => {
   const [portA, portB] = await findFreePorts(2);
   const heartbeatTimesMs: number[] = [];
   const b = await startNode("b", {
@@ -157,18 +160,27 @@
     heartbeatMs: 10_000,
   });
   try {
-    // The first heartbeat comes with the link.
-    await waitUntil(() => heartbeatTimesMs.length === 1, "linked");
+    // The first heartbeat is sent when the link is established.
+    await waitUntil(
+      () => heartbeatTimesMs.length === 1,
+      "the link is established",
+    );
     await sleep(60);
     const startMs = performance.now();
     for (let i = 0; i < 20; i++) a.mesh.requestRound();
-    await waitUntil(() => heartbeatTimesMs.length === 2, "news are told");
+    await waitUntil(
+      () => heartbeatTimesMs.length === 2,
+      "the requested heartbeat arrives",
+    );
     assert.ok(
       heartbeatTimesMs[1] - startMs < 2000,
-      "long before the next heartbeat",
+      "the heartbeat was not sent ahead of its interval",
     );
     for (let i = 0; i < 20; i++) a.mesh.requestRound();
-    await waitUntil(() => heartbeatTimesMs.length === 3, "later news are told");
+    await waitUntil(
+      () => heartbeatTimesMs.length === 3,
+      "the next requested heartbeat arrives",
+    );
     await sleep(150);
     assert.equal(heartbeatTimesMs.length, 3);
   } finally {
--- a/packages/heatherarch-lab/tests/integration/openai_client_test.ts
+++ b/packages/heatherarch-lab/tests/integration/openai_client_test.ts
@@ -24,13 +24,13 @@
 
 after(() => cluster.stop());
 
-test("the stock client lists models", async () => {
+test("the OpenAI client lists models", async () => {
   const ids = [];
   for await (const model of client.models.list()) ids.push(model.id);
   assert.deepEqual(ids, [MODEL]);
 });
 
-test("the stock client gets a whole chat answer with its usage", async () => {
+test("the OpenAI client gets a complete chat response with its usage", async () => {
   const answer = await client.chat.completions.create({
     model: MODEL,
     messages: MESSAGES,
@@ -44,7 +44,7 @@
   assert.equal(answer.usage?.completion_tokens, 12);
 });
 
-test("the stock client streams a chat answer", async () => {
+test("the OpenAI client streams a chat response", async () => {
   const stream = await client.chat.completions.create({
     model: MODEL,
     messages: MESSAGES,
@@ -62,7 +62,7 @@
   assert.equal(usage, 12);
 });
 
-test("the stock client completes text", async () => {
+test("the OpenAI client gets a text completion", async () => {
   const answer = await client.completions.create({
     model: MODEL,
     prompt: "once",
@@ -71,7 +71,7 @@
   assert.equal(answer.choices[0].text, computeCompletion("once", 5));
 });
 
-test("the stock client understands an error", async () => {
+test("the OpenAI client recognizes an error response", async () => {
   const wrong = client.chat.completions.create({
     model: "none",
     messages: MESSAGES,
--- a/packages/heatherarch-lab/tests/integration/operators_test.ts
+++ b/packages/heatherarch-lab/tests/integration/operators_test.ts
@@ -52,7 +52,7 @@
   return file;
 }
 
-test("a profile is put, revised against its revision, and in force everywhere", async () => {
+test("a profile is created, revised against its revision, and applied on all VMs", async () => {
   const putResult = await runCli(
     "profile",
     "put",
@@ -73,7 +73,7 @@
   assert.equal(JSON.parse(getResult.out).profile.deadlineMs, 2000);
 });
 
-test("of two operators with one base, one wins and the other is told by what", async () => {
+test("of two changes with the same base revision, one is accepted and the refusal of the other names it", async () => {
   const stale = await runCli(
     "profile",
     "put",
@@ -85,7 +85,7 @@
   assert.match(stale.err, /stale.*by amihan \(put profile desk\)/);
 });
 
-test("a bad file is refused with every place and reason, and nothing is published", async () => {
+test("an invalid file is refused with the location and reason of every error, and not published", async () => {
   const file = join(cluster.directory, "bad.toml");
   writeFileSync(
     file,
@@ -98,7 +98,7 @@
   }
 });
 
-test("drain and restore show in the status and in the audit trail", async () => {
+test("a drain and a restore appear in the status and in the audit trail", async () => {
   const target = cluster.deployment.fleet.targets[0].id;
   assert.equal((await runCli("drain", target, "--wait")).code, 0);
   assert.match((await runCli("status")).out, new RegExp(`${target}.*draining`));
@@ -115,7 +115,7 @@
   );
 });
 
-test("replace adds the new target and drains the old one", async () => {
+test("replace adds the new target and drains the old target", async () => {
   const { fleet } = cluster.deployment;
   const old = fleet.targets[0];
   const file = join(cluster.directory, "replacement.json");
@@ -131,7 +131,7 @@
   );
 });
 
-test("config diff names what differs", async () => {
+test("config diff lists the differences", async () => {
   const file = join(cluster.directory, "fleet.json");
   const fleet = { ...cluster.deployment.fleet, allowAnonymous: false };
   writeFileSync(file, JSON.stringify(fleet));
@@ -142,13 +142,13 @@
   );
 });
 
-test("an unknown command and an unreachable VM have exit codes of their own", async () => {
+test("an unknown command and an unreachable VM exit with an error code", async () => {
   assert.equal((await runCli("fly")).code, 2);
   const unreachable = await runCli("--vm", "http://127.0.0.1:1", "status");
   assert.notEqual(unreachable.code, 0);
 });
 
-test("operators are authenticated where any are configured", async () => {
+test("operators are authenticated if any are configured", async () => {
   const tokenSha256 = createHash("sha256").update(TOKEN).digest("hex");
   const secured = new Cluster({
     deployment: await buildDeployment({
--- a/packages/heatherarch-lab/tests/integration/outage_test.ts
+++ b/packages/heatherarch-lab/tests/integration/outage_test.ts
@@ -43,7 +43,7 @@
 ): Promise<void> {
   const limit = performance.now() + ms;
   while (!(await check().catch(() => false))) {
-    assert.ok(performance.now() < limit, "took too long");
+    assert.ok(performance.now() < limit, "the condition was not met in time");
     await sleep(30);
   }
 }
@@ -69,7 +69,7 @@
   });
 }
 
-test("during an outage readings go on and keyed bookings are refused as not run", async () => {
+test("during an outage generations succeed and keyed bookings are refused as not run", async () => {
   await setLogFaults({ down: true });
   await sleep(300);
   assert.equal((await sendRequest(vms[0])).outcome, "whole");
@@ -81,7 +81,7 @@
   await setLogFaults({ down: false });
 });
 
-test("a drain given during an outage reaches every VM by word of peers", async () => {
+test("a drain published during an outage reaches every VM through its peers", async () => {
   const target = cluster.deployment.fleet.targets[1].id;
   await setLogFaults({ down: true });
   const answer = await cluster.publish(
@@ -107,7 +107,7 @@
   await cluster.waitTargetsUsable();
 });
 
-test("a fresh VM starts from its peers while the platform is out", async () => {
+test("a restarted VM gets ready from its peers during a platform outage", async () => {
   const [vm] = vms;
   cluster.signalVm(vm.id, "SIGKILL");
   await cluster.waitExit(vm.id);
@@ -118,7 +118,7 @@
   await setLogFaults({ down: false });
 });
 
-test("a trimmed log is read on from a snapshot, and lost answers publish once", async () => {
+test("a trimmed log is read from a snapshot, and a change with a lost response is published once", async () => {
   await setLogFaults({ retainRecords: 25, loseAnswerShare: 0.4 });
   let base = -1;
   for (let i = 0; i < 60; i++) {
--- a/packages/heatherarch-lab/tests/integration/poison_request_test.ts
+++ b/packages/heatherarch-lab/tests/integration/poison_request_test.ts
@@ -10,10 +10,11 @@
 } from "../../mod.ts";
 
 const POISON = "ends whoever runs it";
-/** Crashes after which a request is held back, and the time until all VMs know, milliseconds. */
+/** Number of crashes after which a request is quarantined. */
 const MAX_CRASHES = 3;
+/** Time within which all VMs know of a quarantine. */
 const QUARANTINE_PROPAGATION_MS = 3000;
-/** Time after which a target that crashed is back and seen, milliseconds. */
+/** Time after which a crashed target has restarted and the VMs know of it. */
 const RESTART_MS = 1500;
 
 let cluster: Cluster;
@@ -37,7 +38,7 @@
   return `http://${vms[i % vms.length].callers}`;
 }
 
-/** Sends a request again and again, at one VM after the other. */
+/** Sends a request `count` times, through one VM after the other. */
 async function sendRepeatedly(
   count: number,
   send: (url: string, i: number) => Promise<CallResult>,
@@ -61,8 +62,8 @@
   });
 }
 
-// Guards against a call that crashes each target being handed to one after the other for ever.
-test("a call that crashes plain targets is held back on all VMs", async () => {
+// Guards against a call that crashes every target: each retry would send it to another target.
+test("a call that crashes targets of a plain service is quarantined on all VMs", async () => {
   const body = JSON.stringify({ passenger: POISON });
   const crashed = await sendRepeatedly(
     MAX_CRASHES,
@@ -70,11 +71,14 @@
   );
   assert.ok(crashed.every(({ outcome }) => outcome !== "whole"));
   await sleep(QUARANTINE_PROPAGATION_MS);
-  const before = (await cluster.readLedger()).runs.length;
-  const held = await sendRepeatedly(4, (url) => sendBooking(url, body));
-  assert.deepEqual(held.map(({ kind }) => kind), Array(4).fill("quarantined"));
-  assert.deepEqual(held.map(({ run }) => run), Array(4).fill("no"));
-  assert.equal((await cluster.readLedger()).runs.length, before);
+  const runsBefore = (await cluster.readLedger()).runs.length;
+  const rejected = await sendRepeatedly(4, (url) => sendBooking(url, body));
+  assert.deepEqual(
+    rejected.map(({ kind }) => kind),
+    Array(4).fill("quarantined"),
+  );
+  assert.deepEqual(rejected.map(({ run }) => run), Array(4).fill("no"));
+  assert.equal((await cluster.readLedger()).runs.length, runsBefore);
   const other = await sendBooking(
     pickUrl(0),
     JSON.stringify({ passenger: "own" }),
@@ -82,8 +86,9 @@
   assert.equal(other.outcome, "whole", other.detail);
 });
 
-// The same for generations, which the system would go on with at other engines by itself.
-test("a prompt that crashes engines is held back on all VMs", async () => {
+// Guards against a prompt that crashes every engine: the system would continue it on other engines
+// by itself.
+test("a prompt that crashes engines is quarantined on all VMs", async () => {
   const { fleet } = cluster.deployment;
   const model =
     fleet.services.flatMap((service) =>
@@ -93,8 +98,11 @@
     caller.generate({ url, model, prompt, maxTokens: 4 });
   await sendRepeatedly(MAX_CRASHES, (url) => generate(url, POISON));
   await sleep(QUARANTINE_PROPAGATION_MS);
-  const held = await sendRepeatedly(4, (url) => generate(url, POISON));
-  assert.deepEqual(held.map(({ kind }) => kind), Array(4).fill("quarantined"));
+  const rejected = await sendRepeatedly(4, (url) => generate(url, POISON));
+  assert.deepEqual(
+    rejected.map(({ kind }) => kind),
+    Array(4).fill("quarantined"),
+  );
   const other = await generate(pickUrl(0), "a prompt of its own");
   assert.equal(other.outcome, "whole", other.detail);
 });
--- a/packages/heatherarch-lab/tests/integration/streams_test.ts
+++ b/packages/heatherarch-lab/tests/integration/streams_test.ts
@@ -52,7 +52,7 @@
   );
 }
 
-test("answers are continued on other engines when theirs crash", async () => {
+test("responses are continued on other engines when their engines crash", async () => {
   const streams = startStreams(12);
   await sleep(500);
   for (const target of engines.slice(1, 3)) {
@@ -61,14 +61,14 @@
   await assertAllComplete(streams);
 });
 
-test("answers are continued when an engine goes silent with its connections open", async () => {
+test("responses are continued when an engine stops sending with its connections open", async () => {
   const streams = startStreams(12);
   await sleep(400);
   await cluster.sendCommand({ kind: "freeze", target: engines[1], ms: 4000 });
   await assertAllComplete(streams);
 });
 
-test("an engine that ends answers early or crosses them can't make a wrong one", async () => {
+test("an engine that truncates or swaps responses causes no wrong response", async () => {
   await cluster.sendCommand({ kind: "truncate", target: engines[1], after: 5 });
   await cluster.sendCommand({
     kind: "crossAnswers",
@@ -84,11 +84,11 @@
   });
 });
 
-test("long prompts whose KV cache moves are answered as whole as short ones", async () => {
+test("responses to long prompts whose KV cache is transferred are complete", async () => {
   await assertAllComplete(startStreams(8, "long ".repeat(1200)));
 });
 
-test("a withdrawn engine finishes what it has and gets nothing new", async () => {
+test("a withdrawn engine finishes its requests and gets no new ones", async () => {
   const streams = startStreams(12);
   await sleep(400);
   const target = engines[1];
@@ -104,7 +104,7 @@
   assert.equal((await cluster.readLedger()).engines[target].tries, before);
 });
 
-test("a resumable stream is read on through another VM after its connection broke", async () => {
+test("a resumable stream is continued through another VM after its connection broke", async () => {
   const [first, second] = cluster.deployment.vms;
   const prompt = "tell me all";
   const abort = new AbortController();
@@ -126,7 +126,7 @@
   assert.notEqual(
     id,
     "chosen-by-the-caller",
-    "a stream's id is never the caller's choice",
+    "the client cannot choose the id of a stream",
   );
   await sleep(300);
   abort.abort();
--- a/packages/heatherarch-lab/tests/integration/whole_path_test.ts
+++ b/packages/heatherarch-lab/tests/integration/whole_path_test.ts
@@ -22,7 +22,7 @@
   await cluster.stop();
 });
 
-test("a mixed load through four processes is answered whole and once", async () => {
+test("a mixed load through four processes gets complete responses and runs each key once", async () => {
   const { deployment } = cluster;
   const records = await runMixedLoad({
     deployment,
@@ -38,7 +38,7 @@
   assert.equal(summary.wholeAnswers, expected);
 });
 
-test("SIGTERM cuts no stream, and a second one changes nothing", async () => {
+test("SIGTERM interrupts no stream, and a second SIGTERM has no effect", async () => {
   const [vm] = cluster.deployment.vms;
   const call = {
     url: `http://${vm.callers}`,
--- a/packages/heatherarch-lab/tests/unit/config_reads_test.ts
+++ b/packages/heatherarch-lab/tests/unit/config_reads_test.ts
@@ -8,10 +8,10 @@
   TICK_MS,
 } from "../../proofs/config_reads_simulation.ts";
 
-/** Part of the bound that is left for hubs to tell a change on. */
+/** Share of the bound that is reserved for hubs to forward a change. */
 const HUB_BOUND_SHARE = 0.25;
 
-/** Silences of several lengths that begin and end at every phase of a reader's period. */
+/** Lists silent periods of several lengths that begin and end at every phase of a reader's period. */
 function listSilentPeriods(configBoundMs: number): SilentPeriod[] {
   const stepMs = configBoundMs / 40;
   const silentPeriods: SilentPeriod[] = [];
@@ -26,9 +26,10 @@
   return silentPeriods;
 }
 
-// A change had to wait for a read that the store would never answer, longer than its bound.
+// Guards against a change that arrives later than its bound. A read that started before or during
+// the store's silent period gets no response, and a change waits until that read times out.
 for (const configBoundMs of [2000, 3000, 4000, 14_000]) {
-  test(`a change after a silence of any phase is read within a bound of ${configBoundMs} ms`, async () => {
+  test(`a change after a silent period at any phase is read within a bound of ${configBoundMs} ms`, async () => {
     const reads = planConfigReads({
       configBoundMs,
       configWaitMs: configBoundMs / 2,
@@ -50,7 +51,7 @@
   });
 }
 
-test("the planned times leave hubs a quarter of the bound", () => {
+test("the read timing leaves hubs a quarter of the bound", () => {
   for (const configBoundMs of [200, 2000, 4000, 14_000, 600_000]) {
     const reads = planConfigReads({
       configBoundMs,
--- a/packages/heatherarch-lab/tests/unit/lost_end_test.ts
+++ b/packages/heatherarch-lab/tests/unit/lost_end_test.ts
@@ -6,7 +6,10 @@
 
 const MAX_TOKENS = 3;
 
-/** A generation whose engine sends all tokens and then breaks off; `ends` is what callers get. */
+/**
+ * Starts a generation whose engine sends all tokens and then disconnects. `ends` lists the results
+ * that the client gets.
+ */
 function disconnectAfterLastToken(withResume: boolean) {
   const { host, attempts: tries } = createFakeHost({
     engines: ["e1", "e2"],
@@ -37,15 +40,16 @@
   cachedTokens: 0,
 };
 
-// An engine was asked for no tokens at all, and what it sent violated an invariant.
-test("an answer with all its tokens ends, where the engine breaks off before its end", () => {
+// Guards against a continuation that asks an engine for zero tokens, after another engine sent all
+// tokens but not its end. The response to such an attempt violated an invariant.
+test("a response with all its tokens ends if the engine disconnects before its end", () => {
   const { generation, tries, ends } = disconnectAfterLastToken(false);
   generation.cancel();
   assert.deepEqual(ends, [COMPLETE_RESULT]);
   assert.equal(tries.length, 1);
 });
 
-test("the end of an answer with all its tokens is asked for once where the engine resumes", () => {
+test("the end of a response with all its tokens is requested once if the engine can resume", () => {
   const { generation, tries, ends } = disconnectAfterLastToken(true);
   assert.equal(tries.length, 2);
   tries[1].sink.onFailure("broken", "");
--- a/packages/heatherarch-lab/tests/unit/plain_call_test.ts
+++ b/packages/heatherarch-lab/tests/unit/plain_call_test.ts
@@ -33,11 +33,11 @@
 
 interface Fixture {
   readonly sent: string[];
-  readonly ended: string[];
+  readonly claimEvents: string[];
   readonly call: (fields: Partial<PlainRequest>) => Promise<unknown>;
 }
 
-/** A host with two targets that answer as told, and a claim that may be used or not. */
+/** Creates a host with two targets that send the given responses, and a valid or expired claim. */
 function createFixture(
   answers: BufferedResponse[],
   isClaimValid = true,
@@ -45,15 +45,15 @@
   renewal?: ClaimResult,
 ): Fixture {
   const sent: string[] = [];
-  const ended: string[] = [];
+  const claimEvents: string[] = [];
   const claim: HeldClaim = {
     isValid: () => isClaimValid,
     renew: () => {
-      ended.push("renewed");
+      claimEvents.push("renewed");
       return Promise.resolve(renewal ?? { kind: "granted", claim });
     },
-    conclude: () => ended.push("concluded"),
-    release: () => ended.push("released"),
+    conclude: () => claimEvents.push("concluded"),
+    release: () => claimEvents.push("released"),
   };
   const fake = createFakeHost({
     engines: ["s1", "s2"],
@@ -80,7 +80,7 @@
       admitted: STUB_ADMITTED_REQUEST,
       ...fields,
     });
-  return { sent, ended, call };
+  return { sent, claimEvents, call };
 }
 
 function matchesError(kind: string, run: string) {
@@ -88,79 +88,79 @@
     error instanceof ServeError && error.kind === kind && error.run === run;
 }
 
-test("a claim whose permission lapsed is dropped before the write, and given back", async () => {
-  const scene = createFixture([], false);
+test("a call whose claim permission expired is not sent, and its claim is released", async () => {
+  const fixture = createFixture([], false);
   await assert.rejects(
-    scene.call({ key: KEY }),
+    fixture.call({ key: KEY }),
     matchesError("platformUnavailable", "no"),
   );
-  assert.deepEqual(scene.sent, []);
-  assert.deepEqual(scene.ended, ["renewed", "released"]);
+  assert.deepEqual(fixture.sent, []);
+  assert.deepEqual(fixture.claimEvents, ["renewed", "released"]);
 });
 
-test("a permission that lapsed unused is renewed once, and the call runs once", async () => {
+test("a claim permission that expired before use is renewed once, and the call runs once", async () => {
   const renewedClaim: HeldClaim = {
     isValid: () => true,
-    renew: () => Promise.reject(new Error("not again")),
-    conclude: () => scene.ended.push("concluded"),
-    release: () => scene.ended.push("released"),
+    renew: () => Promise.reject(new Error("the claim was renewed twice")),
+    conclude: () => fixture.claimEvents.push("concluded"),
+    release: () => fixture.claimEvents.push("released"),
   };
-  const scene = createFixture([], false, {}, {
+  const fixture = createFixture([], false, {}, {
     kind: "granted",
     claim: renewedClaim,
   });
-  await scene.call({ key: KEY });
-  assert.equal(scene.sent.length, 1);
-  assert.deepEqual(scene.ended, ["renewed", "concluded"]);
+  await fixture.call({ key: KEY });
+  assert.equal(fixture.sent.length, 1);
+  assert.deepEqual(fixture.claimEvents, ["renewed", "concluded"]);
 });
 
-test("a call that may have run is never sent again, with a key or without", async () => {
+test("a call that may have run is never retried, with or without a key", async () => {
   for (const key of [KEY, undefined]) {
-    const scene = createFixture([{ kind: "broken", detail: "reset" }]);
+    const fixture = createFixture([{ kind: "broken", detail: "reset" }]);
     await assert.rejects(
-      scene.call({ key }),
+      fixture.call({ key }),
       matchesError("targetFailed", "unknown"),
     );
-    assert.equal(scene.sent.length, 1);
-    assert.deepEqual(scene.ended, []);
+    assert.equal(fixture.sent.length, 1);
+    assert.deepEqual(fixture.claimEvents, []);
   }
 });
 
-test("a call that was proven not sent goes to another target", async () => {
-  const scene = createFixture([{ kind: "notSent", detail: "refused" }]);
-  await scene.call({ key: KEY });
-  assert.deepEqual(scene.sent, ["s1", "s2"]);
-  assert.deepEqual(scene.ended, ["concluded"]);
+test("a call that was certainly not sent goes to another target", async () => {
+  const fixture = createFixture([{ kind: "notSent", detail: "refused" }]);
+  await fixture.call({ key: KEY });
+  assert.deepEqual(fixture.sent, ["s1", "s2"]);
+  assert.deepEqual(fixture.claimEvents, ["concluded"]);
 });
 
-test("where no target takes the call, it is not run and its key is free again", async () => {
-  const scene = createFixture(
+test("if no target accepts the call, it is not run and its key is released", async () => {
+  const fixture = createFixture(
     Array(4).fill({ kind: "notSent", detail: "refused" }),
   );
   await assert.rejects(
-    scene.call({ key: KEY }),
+    fixture.call({ key: KEY }),
     matchesError("noTarget", "no"),
   );
-  assert.deepEqual(scene.ended, ["released"]);
+  assert.deepEqual(fixture.claimEvents, ["released"]);
 });
 
-test("idempotent calls are retried after a break", async () => {
-  const scene = createFixture([{ kind: "broken", detail: "reset" }]);
-  await scene.call({ method: "GET" });
-  assert.deepEqual(scene.sent, ["s1", "s2"]);
+test("an idempotent call is retried after its connection broke", async () => {
+  const fixture = createFixture([{ kind: "broken", detail: "reset" }]);
+  await fixture.call({ method: "GET" });
+  assert.deepEqual(fixture.sent, ["s1", "s2"]);
 });
 
-test("a service that wants keys refuses calls without one", async () => {
-  const scene = createFixture([]);
+test("a service that requires keys refuses calls without one", async () => {
+  const fixture = createFixture([]);
   const service = { ...SERVICE, keyRequired: true };
   await assert.rejects(
-    scene.call({ service }),
+    fixture.call({ service }),
     matchesError("keyRequired", "no"),
   );
-  assert.deepEqual(scene.sent, []);
+  assert.deepEqual(fixture.sent, []);
 });
 
-test("during an outage only a service that honours keys itself is called", async () => {
+test("during an outage, keyed calls reach only services that honour keys themselves", async () => {
   const error = new ServeError("platformUnavailable", "out");
   const host = {
     handleClaim: () => Promise.resolve({ kind: "refused" as const, error }),
--- a/packages/heatherarch-lab/tests/unit/violation_list_test.ts
+++ b/packages/heatherarch-lab/tests/unit/violation_list_test.ts
@@ -2,7 +2,7 @@
 import { test } from "node:test";
 import { parseViolations } from "../../chaos/violation_list.ts";
 
-test("a violated invariant is listed with its VM, time, detail and the lines before it", () => {
+test("a violated invariant is listed with its VM, time, detail and the preceding log lines", () => {
   const lines = [
     "(node:7) a warning of the runtime",
     '{"message":"lease claimed","timestamp":"2026-01-01T00:00:01.000Z"}',
