--- a/packages/heatherarch-lab/chaos/chaos_run.ts
+++ b/packages/heatherarch-lab/chaos/chaos_run.ts
@@ -329,10 +329,10 @@
 }
 
 async function fetchViolationCount(operators: string): Promise<number> {
-  const answer = await request(`http://${operators}/metrics`, {
+  const response = await request(`http://${operators}/metrics`, {
     signal: AbortSignal.timeout(800),
   });
-  const text = await answer.body.text();
+  const text = await response.body.text();
   let sum = 0;
   for (
     const match of text.matchAll(
--- a/packages/heatherarch-lab/chaos/fault_driver.ts
+++ b/packages/heatherarch-lab/chaos/fault_driver.ts
@@ -386,12 +386,12 @@
         undefined
       ),
     ]);
-    const acceptedResponses = responses.filter((answer) =>
-      answer?.body.verdict === "accepted"
+    const acceptedResponses = responses.filter((response) =>
+      response?.body.verdict === "accepted"
     );
-    for (const answer of acceptedResponses) {
+    for (const response of acceptedResponses) {
       this.#listener.onChangeAccepted({
-        offset: answer?.body.offset ?? -1,
+        offset: response?.body.offset ?? -1,
         atMs: Date.now(),
       });
     }
--- a/packages/heatherarch-lab/chaos/load_balancer.ts
+++ b/packages/heatherarch-lab/chaos/load_balancer.ts
@@ -45,11 +45,11 @@
 
 async function isReady(vm: DeployedVm): Promise<boolean> {
   try {
-    const answer = await fetch(`http://${vm.operators}/readyz`, {
+    const response = await fetch(`http://${vm.operators}/readyz`, {
       signal: AbortSignal.timeout(500),
     });
-    await answer.arrayBuffer();
-    return answer.ok;
+    await response.arrayBuffer();
+    return response.ok;
   } catch {
     return false;
   }
--- a/packages/heatherarch-lab/chaos/recovery.ts
+++ b/packages/heatherarch-lab/chaos/recovery.ts
@@ -174,8 +174,8 @@
     this.#network.setZoneLinks(zone, "cut");
     const load = this.#runLoad(inside, PARTITION_MS);
     const change = { kind: "putProfile", profile: { name: "during-the-cut" } };
-    const answer = await this.#cluster.publish(change, -1, outside);
-    const offset = answer.body.offset ?? Infinity;
+    const response = await this.#cluster.publish(change, -1, outside);
+    const offset = response.body.offset ?? Infinity;
     const records = await load;
     this.#network.setZoneLinks(zone, "open");
     const startMs = performance.now();
@@ -216,11 +216,15 @@
     );
     if (this.#fleetRevision < 0) this.#fleetRevision = 0;
     const change = { kind: "publishFleet", fleet: { ...fleet, services } };
-    const answer = await this.#cluster.publish(change, this.#fleetRevision, vm);
-    if (answer.body.offset === undefined) {
-      throw new Error(JSON.stringify(answer.body));
+    const response = await this.#cluster.publish(
+      change,
+      this.#fleetRevision,
+      vm,
+    );
+    if (response.body.offset === undefined) {
+      throw new Error(JSON.stringify(response.body));
     }
-    this.#fleetRevision = answer.body.offset;
+    this.#fleetRevision = response.body.offset;
   }
 
   /** Returns the number of orders that engines of the first zone have obeyed. */
--- a/packages/heatherarch-lab/proofs/claims_proof.ts
+++ b/packages/heatherarch-lab/proofs/claims_proof.ts
@@ -132,7 +132,7 @@
     if (this.#disabledGuard === READ_OWN_CLAIM) this.#grantNow(owner, claimId);
   }
 
-  /** Grants a claim as soon as its append is sent, as an owner without the guard would. */
+  /** Grants a claim once its append is acknowledged, as an owner without the guard would. */
   #grantNow(owner: Owner, claimId: string): void {
     const pending = owner.pendingClaims.get(claimId) as PendingClaim;
     owner.pendingClaims.delete(claimId);
--- a/packages/heatherarch-lab/proofs/proof.ts
+++ b/packages/heatherarch-lab/proofs/proof.ts
@@ -1,6 +1,7 @@
 /**
  * Proofs of state machines. A proof is a property that is checked under random schedules, which a
- * seed replays. One guard of the state machine can be disabled to show that the proof notices.
+ * seed replays. A guard of the state machine can be disabled to show that the proof detects its
+ * absence.
  *
  * @module
  */
--- a/packages/heatherarch-lab/tests/integration/bad_input_test.ts
+++ b/packages/heatherarch-lab/tests/integration/bad_input_test.ts
@@ -44,11 +44,11 @@
   body: string,
   headers: Record<string, string> = {},
 ): Promise<ErrorSummary> {
-  const answer = await request(url + path, { method: "POST", body, headers });
-  const { error } = await answer.body.json() as {
+  const response = await request(url + path, { method: "POST", body, headers });
+  const { error } = await response.body.json() as {
     error: { kind: string; run: string };
   };
-  return { status: answer.statusCode, kind: error.kind, run: error.run };
+  return { status: response.statusCode, kind: error.kind, run: error.run };
 }
 
 function buildChatBody(fields: object): string {
@@ -167,20 +167,20 @@
 
 for (const { name, send, status, kind } of CASES) {
   test(`${name} is refused with status ${status}`, async () => {
-    const answer = await send();
-    assert.deepEqual({ status: answer.status, kind: answer.kind }, {
+    const response = await send();
+    assert.deepEqual({ status: response.status, kind: response.kind }, {
       status,
       kind,
     });
-    assert.ok(answer.run === "no" || kind === "keyExpired");
+    assert.ok(response.run === "no" || kind === "keyExpired");
   });
 }
 
 test("a request with a wrong method is refused with the allowed method", async () => {
-  const answer = await request(`${url}/v1/chat/completions`);
-  await answer.body.dump();
-  assert.equal(answer.statusCode, 405);
-  assert.equal(answer.headers.allow, "POST");
+  const response = await request(`${url}/v1/chat/completions`);
+  await response.body.dump();
+  assert.equal(response.statusCode, 405);
+  assert.equal(response.headers.allow, "POST");
 });
 
 test("oversized and malformed request heads get an error response and the connection is closed", async () => {
--- a/packages/heatherarch-lab/tests/integration/openai_client_test.ts
+++ b/packages/heatherarch-lab/tests/integration/openai_client_test.ts
@@ -31,17 +31,17 @@
 });
 
 test("the OpenAI client gets a complete chat response with its usage", async () => {
-  const answer = await client.chat.completions.create({
+  const response = await client.chat.completions.create({
     model: MODEL,
     messages: MESSAGES,
     max_completion_tokens: 12,
   });
   assert.equal(
-    answer.choices[0].message.content,
+    response.choices[0].message.content,
     computeCompletion(RENDERED_PROMPT, 12),
   );
-  assert.equal(answer.choices[0].finish_reason, "length");
-  assert.equal(answer.usage?.completion_tokens, 12);
+  assert.equal(response.choices[0].finish_reason, "length");
+  assert.equal(response.usage?.completion_tokens, 12);
 });
 
 test("the OpenAI client streams a chat response", async () => {
@@ -63,12 +63,12 @@
 });
 
 test("the OpenAI client gets a text completion", async () => {
-  const answer = await client.completions.create({
+  const response = await client.completions.create({
     model: MODEL,
     prompt: "once",
     max_tokens: 5,
   });
-  assert.equal(answer.choices[0].text, computeCompletion("once", 5));
+  assert.equal(response.choices[0].text, computeCompletion("once", 5));
 });
 
 test("the OpenAI client recognizes an error response", async () => {
--- a/packages/heatherarch-lab/tests/integration/outage_test.ts
+++ b/packages/heatherarch-lab/tests/integration/outage_test.ts
@@ -84,12 +84,12 @@
 test("a drain published during an outage reaches every VM through its peers", async () => {
   const target = cluster.deployment.fleet.targets[1].id;
   await setLogFaults({ down: true });
-  const answer = await cluster.publish(
+  const response = await cluster.publish(
     { kind: "directTarget", target, directive: "drain" },
     -1,
     vms[3],
   );
-  assert.equal(answer.body.verdict, "spreading");
+  assert.equal(response.body.verdict, "spreading");
   for (const vm of vms) {
     await waitUntil(async () => {
       const { targets } = await cluster.readStatus(vm);
@@ -126,9 +126,9 @@
       kind: "putProfile",
       profile: { name: "busy", deadlineMs: 1000 + i },
     };
-    const answer = await cluster.publish(change, base, vms[i % vms.length]);
-    if (answer.status !== 200) continue;
-    base = answer.body.offset ?? base;
+    const response = await cluster.publish(change, base, vms[i % vms.length]);
+    if (response.status !== 200) continue;
+    base = response.body.offset ?? base;
   }
   const [vm] = vms;
   cluster.signalVm(vm.id, "SIGKILL");
--- a/packages/heatherarch-lab/tests/integration/streams_test.ts
+++ b/packages/heatherarch-lab/tests/integration/streams_test.ts
@@ -92,12 +92,12 @@
   const streams = startStreams(12);
   await sleep(400);
   const target = engines[1];
-  const answer = await cluster.publish({
+  const response = await cluster.publish({
     kind: "directTarget",
     target,
     directive: "withdraw",
   }, -1);
-  assert.equal(answer.status, 200);
+  assert.equal(response.status, 200);
   await sleep(200);
   const before = (await cluster.readLedger()).engines[target].tries;
   await assertAllComplete([...streams, ...startStreams(8)]);
@@ -108,7 +108,7 @@
   const [first, second] = cluster.deployment.vms;
   const prompt = "tell me all";
   const abort = new AbortController();
-  const answer = await fetch(`http://${first.callers}/v1/completions`, {
+  const response = await fetch(`http://${first.callers}/v1/completions`, {
     method: "POST",
     headers: {
       "x-heatherarch-resumable": "true",
@@ -122,7 +122,7 @@
     }),
     signal: abort.signal,
   });
-  const id = answer.headers.get("x-request-id") as string;
+  const id = response.headers.get("x-request-id") as string;
   assert.notEqual(
     id,
     "chosen-by-the-caller",
@@ -141,8 +141,8 @@
   }).join("");
   assert.equal(text, computeCompletion(prompt, TOKENS));
   assert.match(resumed, /\[DONE\]/);
-  const gone = await fetch(
+  const unknownStream = await fetch(
     `http://${second.callers}/v1/streams/${first.id}-aaaaaaaaaaaa`,
   );
-  assert.equal(gone.status, 410);
+  assert.equal(unknownStream.status, 410);
 });
--- a/packages/heatherarch-lab/tests/unit/lost_end_test.ts
+++ b/packages/heatherarch-lab/tests/unit/lost_end_test.ts
@@ -11,7 +11,7 @@
  * that the client gets.
  */
 function disconnectAfterLastToken(withResume: boolean) {
-  const { host, attempts: tries } = createFakeHost({
+  const { host, attempts } = createFakeHost({
     engines: ["e1", "e2"],
     supportsResume: withResume,
   });
@@ -26,11 +26,11 @@
     },
   });
   generation.start();
-  const { prompt } = tries[0].call;
+  const { prompt } = attempts[0].call;
   const tokens = computeCompletion(prompt, MAX_TOKENS).match(/\S+ /g) ?? [];
-  tries[0].sink.onTokens(tokens);
-  tries[0].sink.onFailure("broken", "");
-  return { generation, tries, ends };
+  attempts[0].sink.onTokens(tokens);
+  attempts[0].sink.onFailure("broken", "");
+  return { generation, attempts, ends };
 }
 
 const COMPLETE_RESULT = {
@@ -43,17 +43,17 @@
 // Guards against a continuation that asks an engine for zero tokens, after another engine sent all
 // tokens but not its end. The response to such an attempt violated an invariant.
 test("a response with all its tokens ends if the engine disconnects before its end", () => {
-  const { generation, tries, ends } = disconnectAfterLastToken(false);
+  const { generation, attempts, ends } = disconnectAfterLastToken(false);
   generation.cancel();
   assert.deepEqual(ends, [COMPLETE_RESULT]);
-  assert.equal(tries.length, 1);
+  assert.equal(attempts.length, 1);
 });
 
 test("the end of a response with all its tokens is requested once if the engine can resume", () => {
-  const { generation, tries, ends } = disconnectAfterLastToken(true);
-  assert.equal(tries.length, 2);
-  tries[1].sink.onFailure("broken", "");
+  const { generation, attempts, ends } = disconnectAfterLastToken(true);
+  assert.equal(attempts.length, 2);
+  attempts[1].sink.onFailure("broken", "");
   generation.cancel();
   assert.deepEqual(ends, [COMPLETE_RESULT]);
-  assert.equal(tries.length, 2);
+  assert.equal(attempts.length, 2);
 });
--- a/packages/heatherarch-lab/tests/unit/plain_call_test.ts
+++ b/packages/heatherarch-lab/tests/unit/plain_call_test.ts
@@ -24,7 +24,7 @@
   echoesTryId: false,
 };
 const KEY = { text: "k", madeAtMs: 0, fingerprint: "f" };
-const ANSWER: BufferedResponse = {
+const RESPONSE: BufferedResponse = {
   kind: "answer",
   status: 200,
   headers: {},
@@ -39,7 +39,7 @@
 
 /** Creates a host with two targets that send the given responses, and a valid or expired claim. */
 function createFixture(
-  answers: BufferedResponse[],
+  responses: BufferedResponse[],
   isClaimValid = true,
   host: Partial<FakeHostOptions> = {},
   renewal?: ClaimResult,
@@ -63,7 +63,7 @@
         return Promise.resolve({ kind: "withheld", detail: "" });
       }
       sent.push(target);
-      return Promise.resolve(answers.shift() ?? ANSWER);
+      return Promise.resolve(responses.shift() ?? RESPONSE);
     },
     ...host,
   });
