--- a/packages/heatherarch-forward/tasks/store_reader.ts
+++ b/packages/heatherarch-forward/tasks/store_reader.ts
@@ -1,6 +1,6 @@
 /**
- * What this VM takes from the platform's store: the configuration and the list of targets. It
- * rests while hubs tell what they say.
+ * Reads the configuration and the target list from the platform's store. Reading pauses while hubs
+ * provide them.
  *
  * @module
  */
@@ -26,12 +26,12 @@
   readonly configTopic: KeyedTopicPort<RoutingConfig>;
   readonly targetTopic: KeyedTopicPort<Target>;
   readonly configReadTiming: ConfigReadTiming;
-  /** Pause between reads of the list of targets, milliseconds. */
+  /** Pause between reads of the target list, milliseconds. */
   readonly targetPollMs: number;
-  /** Monotonic time for which a hub's word on the list held; -Infinity without one. */
+  /** Returns the monotonic time as of which a hub's feed is valid; -Infinity without one. */
   readonly getFeedValidAtMs: () => number;
-  /** Whether the process has stood still since a monotonic time. */
-  readonly hasStoodStillSince: (atMs: number) => boolean;
+  /** Whether the process has stalled since a monotonic time. */
+  readonly hasStalledSince: (atMs: number) => boolean;
   readonly clock: Clock;
   readonly log: EventLog;
   readonly metrics: ForwardMetrics;
@@ -46,85 +46,85 @@
   readonly engineJitter: EngineJitter;
 }
 
-/** Who said, or what showed, that a target leaves. */
+/** How this VM learned that a target is leaving. */
 export type LeavingSource = "store" | "hub" | "otherIncarnation" | "grace";
 
 /** Follows the two topics of the store. */
 export class StoreReader {
   readonly #options: StoreReaderOptions;
-  readonly #configs: TopicFollower<RoutingConfig>;
-  readonly #targets: TopicFollower<Target>;
+  readonly #configFollower: TopicFollower<RoutingConfig>;
+  readonly #targetFollower: TopicFollower<Target>;
 
   constructor(options: StoreReaderOptions) {
     this.#options = options;
-    this.#configs = this.#buildConfigFollower();
-    this.#targets = this.#buildTargetFollower();
+    this.#configFollower = this.#buildConfigFollower();
+    this.#targetFollower = this.#buildTargetFollower();
   }
 
   start(): void {
-    this.#configs.start();
-    this.#targets.start();
+    this.#configFollower.start();
+    this.#targetFollower.start();
   }
 
   stop(): void {
-    this.#configs.stop();
-    this.#targets.stop();
+    this.#configFollower.stop();
+    this.#targetFollower.stop();
   }
 
-  /** Whether this VM itself reads the list of targets without fault. */
+  /** Whether this VM reads the target list itself and its last read succeeded. */
   get isListCurrent(): boolean {
-    return this.#targets.isCurrent;
+    return this.#targetFollower.isCurrent;
   }
 
-  /** Monotonic time at which this VM itself last read the list without fault. */
+  /** Monotonic time of this VM's own last successful read of the target list. */
   get listReadAtMs(): number {
-    return this.#targets.readAtMs;
+    return this.#targetFollower.readAtMs;
   }
 
-  /** Age of what this VM knows of the list, by its own reading or a hub's, milliseconds. */
+  /** Returns the age of the target list by this VM's reads or a hub's feed, milliseconds. */
   getEffectiveListAgeMs(): number {
     const nowMs = this.#options.clock.readMonotonicMs();
     return nowMs -
       Math.max(this.listReadAtMs, this.#options.getFeedValidAtMs());
   }
 
-  /** Age of what this VM itself has read of the list of targets, milliseconds. */
+  /** Returns the age of the target list as read by this VM itself, milliseconds. */
   getListAgeMs(): number {
-    return this.#targets.getAgeMs(this.#options.clock.readMonotonicMs());
+    return this.#targetFollower.getAgeMs(this.#options.clock.readMonotonicMs());
   }
 
-  /** Reads or rests; {@linkcode TopicFollower.setCoordinator} says what a VM without duty does. */
-  setActive(isActive: boolean, hasDuty: boolean): void {
-    if (isActive !== this.#targets.isActive) {
+  /** Starts or pauses reading, and sets how often reads are retried after a failure. */
+  setActive(isActive: boolean, isCoordinator: boolean): void {
+    if (isActive !== this.#targetFollower.isActive) {
       this.#options.log.write("info", "storeReading", { isActive });
     }
-    for (const follower of [this.#configs, this.#targets]) {
-      follower.setCoordinator(hasDuty);
+    for (const follower of [this.#configFollower, this.#targetFollower]) {
+      follower.setCoordinator(isCoordinator);
       follower.setActive(isActive);
     }
   }
 
-  /** Reads the list of targets now, where this VM reads it. */
+  /** Reads the target list now if this VM reads it at all. */
   refreshList(): void {
-    this.#targets.refresh();
+    this.#targetFollower.refresh();
   }
 
-  /** Reads the configuration once. Throws where the store does not answer. */
+  /** Reads the configuration once. Throws if the store does not respond. */
   async loadConfig(): Promise<void> {
     const { configTopic, clock } = this.#options;
-    const askedAtMs = clock.readMonotonicMs();
+    const sentAtMs = clock.readMonotonicMs();
     const { entries } = await configTopic.load();
-    this.#applyConfigs(entries, askedAtMs);
+    this.#applyConfigs(entries, sentAtMs);
   }
 
-  /** Takes in what a hub tells of the list of targets. */
+  /** Applies a hub's updates of the target list. */
   applyTargets(entries: readonly KeyedEntry<Target>[], isFull: boolean): void {
     const { directory, getFeedValidAtMs } = this.#options;
     directory.applyFeed(entries, isFull, getFeedValidAtMs());
-    this.#noteTargets(entries, "hub");
+    this.#recordTargets(entries, "hub");
   }
 
-  /** A hub that this VM relied on can't read the store, which says nothing of the store. */
+  /** Logs that the source hub can't read the store, which this VM might still be able to read. */
   logStaleHub(hub: string): void {
     this.#options.log.write("info", "hubListLost", {
       hub,
@@ -132,12 +132,15 @@
     });
   }
 
-  #applyList(entries: readonly KeyedEntry<Target>[], askedAtMs: number): void {
+  #applyList(
+    entries: readonly KeyedEntry<Target>[],
+    sentAtMs: number,
+  ): void {
     const { directory, clock } = this.#options;
     const before = new Set(directory.listMissing());
-    directory.applyList(entries, clock.readMonotonicMs(), askedAtMs);
+    directory.applyList(entries, clock.readMonotonicMs(), sentAtMs);
     const kept = directory.listMissing().filter((id) => !before.has(id));
-    this.#noteTargets(
+    this.#recordTargets(
       [...entries, ...kept.map((key) => ({ key }))],
       "store",
     );
@@ -145,17 +148,17 @@
 
   #applyChanges(
     entries: readonly KeyedEntry<Target>[],
-    askedAtMs: number,
+    sentAtMs: number,
   ): void {
     const { directory, clock } = this.#options;
-    directory.applyChanges(entries, clock.readMonotonicMs(), askedAtMs);
-    this.#noteTargets(entries, "store");
+    directory.applyChanges(entries, clock.readMonotonicMs(), sentAtMs);
+    this.#recordTargets(entries, "store");
   }
 
-  /** A reading that timed out while the process stood still says nothing of the store. */
-  #noteFailure(askedAtMs: number): void {
-    const { directory, log, hasStoodStillSince } = this.#options;
-    if (hasStoodStillSince(askedAtMs) || !directory.recordReadFailure()) return;
+  /** Records a failure, unless the process stalled, when a timeout says nothing about the store. */
+  #handleReadFailure(sentAtMs: number): void {
+    const { directory, log, hasStalledSince } = this.#options;
+    if (hasStalledSince(sentAtMs) || !directory.recordReadFailure()) return;
     log.write("warn", "listNotRead", {
       ageMs: Math.round(this.getEffectiveListAgeMs()),
     });
@@ -166,8 +169,8 @@
       this.#options;
     const apply = (
       entries: readonly KeyedEntry<RoutingConfig>[],
-      askedAtMs: number,
-    ): void => this.#applyConfigs(entries, askedAtMs);
+      sentAtMs: number,
+    ): void => this.#applyConfigs(entries, sentAtMs);
     return new TopicFollower({
       name: "configs",
       clock,
@@ -190,33 +193,31 @@
       log,
       pollMs: targetPollMs,
       waitMs: 0,
-      onList: (entries, askedAtMs) => this.#applyList(entries, askedAtMs),
-      onChanges: (entries, askedAtMs) => this.#applyChanges(entries, askedAtMs),
+      onList: (entries, sentAtMs) => this.#applyList(entries, sentAtMs),
+      onChanges: (entries, sentAtMs) => this.#applyChanges(entries, sentAtMs),
       onUnreadable: () => metrics.entriesUnreadable.inc(),
-      onFailed: (askedAtMs) => this.#noteFailure(askedAtMs),
+      onFailed: (sentAtMs) => this.#handleReadFailure(sentAtMs),
     });
   }
 
   #applyConfigs(
     entries: readonly KeyedEntry<RoutingConfig>[],
-    askedAtMs: number,
+    sentAtMs: number,
   ): void {
-    const {
-      activeConfig,
-    } = this.#options;
+    const { activeConfig } = this.#options;
     for (const { value } of entries) {
       if (value !== undefined) activeConfig.applyConfig(value, "store");
     }
-    activeConfig.recordStoreRead(askedAtMs);
+    activeConfig.recordStoreRead(sentAtMs);
   }
 
-  /** Drops what was learned of targets that are gone, with a line for each. */
+  /** Drops the state of targets that are gone, and logs each. */
   purgeDroppedTargets(source: LeavingSource): void {
     const { directory, connections } = this.#options;
     const dropped = directory.takeDropped();
     if (dropped.length === 0) return;
     for (const id of dropped) {
-      this.#forget(id);
+      this.#forgetTarget(id);
       this.#logLeaving("targetLeaving", id, source);
     }
     connections.closeAllExcept(
@@ -224,14 +225,9 @@
     );
   }
 
-  #forget(target: string): void {
-    const {
-      prefixIndex,
-      health,
-      backoffs,
-      prefillTimeModel,
-      engineJitter,
-    } = this.#options;
+  #forgetTarget(target: string): void {
+    const { prefixIndex, health, backoffs, prefillTimeModel, engineJitter } =
+      this.#options;
     backoffs.forget(target);
     prefixIndex.forgetTarget(target);
     health.forget(target);
@@ -239,8 +235,8 @@
     engineJitter.forget(target);
   }
 
-  /** A line for each target that leaves, or that is used although it is listed no more. */
-  #noteTargets(
+  /** Logs each target that is leaving, or that stays in use although it is no longer listed. */
+  #recordTargets(
     entries: readonly KeyedEntry<Target>[],
     source: LeavingSource,
   ): void {
@@ -265,7 +261,7 @@
     this.#options.log.write("info", event, {
       target,
       source,
-      // Of what was known before this word.
+      // The age of the list before this update.
       ageMs: Math.round(this.getEffectiveListAgeMs()),
     });
   }
