--- a/packages/heatherarch-lab/tests/integration/mesh_links_test.ts
+++ b/packages/heatherarch-lab/tests/integration/mesh_links_test.ts
@@ -3,7 +3,7 @@
 import { test } from "node:test";
 import { RuntimeClock, sleep } from "heatherarch-core";
 import { Membership, MeshNode } from "heatherarch-mesh";
-import { CuttableLink, findFreePorts } from "heatherarch-standins";
+import { FaultProxy, findFreePorts } from "heatherarch-standins";
 
 interface TestNode {
   readonly mesh: MeshNode;
@@ -75,7 +75,7 @@
 test("a silent link is replaced by a working one, and calls succeed again", async () => {
   const [portA, portB] = await findFreePorts(2);
   const b = await startNode("b", { port: portB });
-  const link = new CuttableLink(b.address);
+  const link = new FaultProxy(b.address);
   const linkAddress = await link.listen();
   const a = await startNode("a", {
     port: portA,
