--- a/packages/heatherarch-lab/chaos/chaos_network.ts
+++ b/packages/heatherarch-lab/chaos/chaos_network.ts
@@ -12,8 +12,8 @@
   readonly from: string;
   readonly toZone: string | undefined;
   readonly toAddress: string;
-  readonly link: FaultProxy;
-  readonly linkAddress: string;
+  readonly proxy: FaultProxy;
+  readonly proxyAddress: string;
 }
 
 /** All links of a deployment. */
@@ -40,14 +40,14 @@
   }
 
   async close(): Promise<void> {
-    await Promise.all(this.#links.map(({ link }) => link.close()));
+    await Promise.all(this.#links.map(({ proxy }) => proxy.close()));
   }
 
   /** Maps published addresses to the addresses of the links that a VM of `zone` uses. */
   buildAddressTranslation(zone: string): Record<string, string> {
     const own = this.#links.filter((entry) => entry.from === zone);
     return Object.fromEntries(
-      own.map((entry) => [entry.toAddress, entry.linkAddress]),
+      own.map((entry) => [entry.toAddress, entry.proxyAddress]),
     );
   }
 
@@ -60,16 +60,16 @@
   setPlatformLinks(zone: string, mode: FaultProxyMode): void {
     for (const entry of this.#links) {
       if (entry.from === zone && entry.toZone === undefined) {
-        entry.link.setMode(mode);
+        entry.proxy.setMode(mode);
       }
     }
   }
 
   /** Sets the mode of all links that cross the boundary of a zone, including to the platform. */
   setZoneLinks(zone: string, mode: FaultProxyMode): void {
-    for (const { from, toZone, link } of this.#links) {
+    for (const { from, toZone, proxy } of this.#links) {
       const isCrossZone = from === zone ? toZone !== zone : toZone === zone;
-      if (isCrossZone) link.setMode(mode);
+      if (isCrossZone) proxy.setMode(mode);
     }
   }
 
@@ -84,7 +84,7 @@
     const start = index % this.#links.length;
     for (let step = 0; step < this.#links.length; step++) {
       const entry = this.#links[(start + step) % this.#links.length];
-      if (entry.link.silenceOpenConnections(direction) > 0) {
+      if (entry.proxy.silenceOpenConnections(direction) > 0) {
         return `${entry.from}->${entry.toAddress}`;
       }
     }
@@ -94,16 +94,16 @@
   async #openLink(
     from: string,
     toZone: string | undefined,
-    to: string,
+    toAddress: string,
   ): Promise<void> {
-    const link = new FaultProxy(to);
-    const address = await link.listen();
+    const proxy = new FaultProxy(toAddress);
+    const proxyAddress = await proxy.listen();
     this.#links.push({
       from,
       toZone,
-      toAddress: to,
-      link,
-      linkAddress: address,
+      toAddress,
+      proxy,
+      proxyAddress,
     });
   }
 }
--- a/packages/heatherarch-lab/tests/integration/mesh_links_test.ts
+++ b/packages/heatherarch-lab/tests/integration/mesh_links_test.ts
@@ -75,18 +75,18 @@
 test("a silent link is replaced by a working one, and calls succeed again", async () => {
   const [portA, portB] = await findFreePorts(2);
   const b = await startNode("b", { port: portB });
-  const link = new FaultProxy(b.address);
-  const linkAddress = await link.listen();
+  const proxy = new FaultProxy(b.address);
+  const proxyAddress = await proxy.listen();
   const a = await startNode("a", {
     port: portA,
     peers: { b: b.address },
-    translate: { [b.address]: linkAddress },
+    translate: { [b.address]: proxyAddress },
   });
   try {
     await waitUntil(() => a.mesh.hasLink("b"), "the link is established");
     for (const direction of ["silentForward", "silentBack"] as const) {
       const before = a.mesh.resets;
-      assert.ok(link.silenceOpenConnections(direction) > 0);
+      assert.ok(proxy.silenceOpenConnections(direction) > 0);
       await waitUntil(() => a.mesh.resets > before, `${direction} is detected`);
       assert.deepEqual(await a.mesh.call("b", "echo", { n: 1 }, 1000), {
         n: 1,
@@ -96,7 +96,7 @@
   } finally {
     a.mesh.stop();
     b.mesh.stop();
-    await link.close();
+    await proxy.close();
   }
 });
 
