--- a/packages/heatherarch-lab/proofs/lease_proof.ts
+++ b/packages/heatherarch-lab/proofs/lease_proof.ts
@@ -134,7 +134,7 @@
     assertProperty(
       before.lastSignOffset <= readOffset,
       "no holder is displaced before its last renewal is read",
-      `last renewal at ${before.lastSignOffset}, read up to ${readOffset}`,
+      `last record of the holder at ${before.lastSignOffset}, read up to ${readOffset}`,
     );
   }
 
--- a/packages/heatherarch-lab/proofs/membership_proof.ts
+++ b/packages/heatherarch-lab/proofs/membership_proof.ts
@@ -129,7 +129,7 @@
       const shouldBeLive = isInContact && !expected.leaving;
       assertProperty(
         live.includes(`vm${peer}`) === shouldBeLive,
-        "a peer is live only after a recent contact",
+        "a peer is live if it had a recent contact and is not leaving, and only then",
         `vm${peer} expected ${shouldBeLive}`,
       );
       const member = this.#membership.getMember(`vm${peer}`);
