--- a/packages/heatherarch-lab/chaos/chaos_network.ts
+++ b/packages/heatherarch-lab/chaos/chaos_network.ts
@@ -1,19 +1,19 @@
 /**
- * The network of a deployment as links that can be cut: from each availability zone to the
- * platform, to every target, and to every entry VM.
+ * Network of a deployment, as links that can be cut. Each availability zone has a link to the
+ * platform, to every target and to every entry VM.
  *
  * @module
  */
 import { FaultProxy, type FaultProxyMode } from "heatherarch-standins";
 import type { Deployment } from "../deployment.ts";
 
-/** One link of one zone. */
+/** A link from one zone. `toZone` is undefined for a link to the platform. */
 interface ZoneLink {
   readonly from: string;
   readonly toZone: string | undefined;
   readonly toAddress: string;
-  readonly link: FaultProxy;
-  readonly linkAddress: string;
+  readonly proxy: FaultProxy;
+  readonly proxyAddress: string;
 }
 
 /** All links of a deployment. */
@@ -25,7 +25,7 @@
     this.#deployment = deployment;
   }
 
-  /** Opens all links. */
+  /** Creates all links. */
   async open(): Promise<void> {
     const { fleet, vms, platform } = this.#deployment;
     for (const from of fleet.availabilityZones) {
@@ -40,40 +40,43 @@
   }
 
   async close(): Promise<void> {
-    await Promise.all(this.#links.map(({ link }) => link.close()));
+    await Promise.all(this.#links.map(({ proxy }) => proxy.close()));
   }
 
-  /** Published addresses to the addresses of the links, for a VM of `zone`. */
+  /** Maps published addresses to the addresses of the links that a VM of `zone` uses. */
   buildAddressTranslation(zone: string): Record<string, string> {
     const own = this.#links.filter((entry) => entry.from === zone);
     return Object.fromEntries(
-      own.map((entry) => [entry.toAddress, entry.linkAddress]),
+      own.map((entry) => [entry.toAddress, entry.proxyAddress]),
     );
   }
 
-  /** Address of the platform for a VM of `zone`. */
+  /** Returns the address at which a VM of `zone` reaches the platform. */
   getPlatformAddress(zone: string): string {
     return this.buildAddressTranslation(zone)[this.#deployment.platform];
   }
 
-  /** Cuts or heals a zone from the platform alone. */
+  /** Sets the mode of a zone's links to the platform. */
   setPlatformLinks(zone: string, mode: FaultProxyMode): void {
     for (const entry of this.#links) {
       if (entry.from === zone && entry.toZone === undefined) {
-        entry.link.setMode(mode);
+        entry.proxy.setMode(mode);
       }
     }
   }
 
-  /** Cuts or heals a zone from the platform and from all other zones. */
+  /** Sets the mode of all links that cross the boundary of a zone, including to the platform. */
   setZoneLinks(zone: string, mode: FaultProxyMode): void {
-    for (const { from, toZone, link } of this.#links) {
+    for (const { from, toZone, proxy } of this.#links) {
       const isCrossZone = from === zone ? toZone !== zone : toZone === zone;
-      if (isCrossZone) link.setMode(mode);
+      if (isCrossZone) proxy.setMode(mode);
     }
   }
 
-  /** Silences connections that are open now, of the `index`-th link that has any. */
+  /**
+   * Silences the open connections of one link: the first one with open connections, starting at
+   * `index`. Returns a description of the link.
+   */
   silenceConnections(
     index: number,
     direction: "silentForward" | "silentBack",
@@ -81,7 +84,7 @@
     const start = index % this.#links.length;
     for (let step = 0; step < this.#links.length; step++) {
       const entry = this.#links[(start + step) % this.#links.length];
-      if (entry.link.silenceOpenConnections(direction) > 0) {
+      if (entry.proxy.silenceOpenConnections(direction) > 0) {
         return `${entry.from}->${entry.toAddress}`;
       }
     }
@@ -91,16 +94,16 @@
   async #openLink(
     from: string,
     toZone: string | undefined,
-    to: string,
+    toAddress: string,
   ): Promise<void> {
-    const link = new FaultProxy(to);
-    const address = await link.listen();
+    const proxy = new FaultProxy(toAddress);
+    const proxyAddress = await proxy.listen();
     this.#links.push({
       from,
       toZone,
-      toAddress: to,
-      link,
-      linkAddress: address,
+      toAddress,
+      proxy,
+      proxyAddress,
     });
   }
 }
--- a/packages/heatherarch-lab/chaos/chaos_run.ts
+++ b/packages/heatherarch-lab/chaos/chaos_run.ts
@@ -1,6 +1,6 @@
 /**
- * The randomised run over real processes: mixed requests flow while scheduled failures come
- * and go, and every answer and every ledger is checked.
+ * Chaos run over real processes. Clients send a mix of requests while scheduled faults are injected,
+ * and every response and every ledger is checked.
  *
  * @module
  */
@@ -31,7 +31,7 @@
 export interface ChaosOptions {
   readonly seed: number;
   readonly seconds: number;
-  /** Requests begun a second. */
+  /** Mean rate at which requests are sent. */
   readonly requestsPerSecond?: number;
   readonly print?: (line: string) => void;
 }
@@ -42,7 +42,7 @@
   endMs: number;
 }
 
-/** After an unplanned fault its effects may last this long. */
+/** Time after an unplanned fault in which requests may still fail because of it. */
 const FAULT_RECOVERY_MS = 6000;
 const MAX_IN_FLIGHT = 150;
 const SETTLE_MS = 5000;
@@ -59,14 +59,14 @@
   claims: { permissionMs: 1500 },
 };
 
-/** The mix swings, so that roles change while failures come. */
-const MIX_PERIOD_MS = 5000;
-const LONG_PROMPT_MIX = { maxPromptTokens: 5000, maxOutputTokens: 24 };
-const LONG_OUTPUT_MIX = { maxPromptTokens: 200, maxOutputTokens: 160 };
+/** The request mix alternates, so that engines change roles while faults are injected. */
+const SIZES_PERIOD_MS = 5000;
+const LONG_PROMPT_SIZES = { maxPromptTokens: 5000, maxOutputTokens: 24 };
+const LONG_OUTPUT_SIZES = { maxPromptTokens: 200, maxOutputTokens: 160 };
 
 const PLANNING = { policy: "greedy", intervalMs: 1200, changeMs: 500 } as const;
 
-/** Runs a schedule. */
+/** Starts a cluster, runs the schedule of the seed and returns the report. */
 export async function runChaos(options: ChaosOptions): Promise<ChaosReport> {
   const deployment = await buildDeployment({
     name: "chaos",
@@ -188,10 +188,10 @@
     const startMs = performance.now();
     const vms = [balancer.pickVm(random), balancer.pickVm(random)];
     const deployment = { ...this.#cluster.deployment, vms };
-    const mix = Math.floor(startMs / MIX_PERIOD_MS) % 2 === 0
-      ? LONG_PROMPT_MIX
-      : LONG_OUTPUT_MIX;
-    const records = await sendRandomRequest(caller, deployment, random, mix);
+    const sizes = Math.floor(startMs / SIZES_PERIOD_MS) % 2 === 0
+      ? LONG_PROMPT_SIZES
+      : LONG_OUTPUT_SIZES;
+    const records = await sendRandomRequest(caller, deployment, random, sizes);
     const endMs = performance.now();
     for (const record of records) {
       this.#records.push({ record, startMs, endMs });
@@ -245,7 +245,7 @@
     if (!done) this.#faultWindows.splice(this.#faultWindows.indexOf(window), 1);
   }
 
-  /** Whether an unplanned fault or its aftermath touches the time span. */
+  /** Whether an unplanned fault or the recovery from one overlaps the time span. */
   #overlapsUnplannedFault(startMs: number, endMs: number): boolean {
     return this.#faultWindows.some((window) =>
       isUnplanned(window.fault.kind) &&
@@ -329,10 +329,10 @@
 }
 
 async function fetchViolationCount(operators: string): Promise<number> {
-  const answer = await request(`http://${operators}/metrics`, {
+  const response = await request(`http://${operators}/metrics`, {
     signal: AbortSignal.timeout(800),
   });
-  const text = await answer.body.text();
+  const text = await response.body.text();
   let sum = 0;
   for (
     const match of text.matchAll(
--- a/packages/heatherarch-lab/tests/integration/bad_input_test.ts
+++ b/packages/heatherarch-lab/tests/integration/bad_input_test.ts
@@ -33,7 +33,7 @@
 
 after(() => cluster.stop());
 
-interface Answer {
+interface ErrorSummary {
   readonly status: number;
   readonly kind: string;
   readonly run: string;
@@ -43,15 +43,15 @@
   path: string,
   body: string,
   headers: Record<string, string> = {},
-): Promise<Answer> {
-  const answer = await request(url + path, { method: "POST", body, headers });
-  const { error } = await answer.body.json() as {
+): Promise<ErrorSummary> {
+  const response = await request(url + path, { method: "POST", body, headers });
+  const { error } = await response.body.json() as {
     error: { kind: string; run: string };
   };
-  return { status: answer.statusCode, kind: error.kind, run: error.run };
+  return { status: response.statusCode, kind: error.kind, run: error.run };
 }
 
-function buildChat(fields: object): string {
+function buildChatBody(fields: object): string {
   return JSON.stringify({
     model: "reader-7b",
     messages: [{ role: "user", content: "hello" }],
@@ -59,8 +59,8 @@
   });
 }
 
-/** Sends raw bytes and returns all that comes back. */
-function sendRaw(bytes: string, close: boolean): Promise<string> {
+/** Sends raw bytes and returns everything received until the connection closes. */
+function sendRaw(bytes: string, halfCloses: boolean): Promise<string> {
   return new Promise((resolve) => {
     const socket = connect(address);
     let text = "";
@@ -68,13 +68,13 @@
     socket.on("close", () => resolve(text));
     socket.on("error", () => resolve(text));
     socket.write(bytes);
-    if (close) socket.end();
+    if (halfCloses) socket.end();
   });
 }
 
 const CASES: readonly {
   name: string;
-  send: () => Promise<Answer>;
+  send: () => Promise<ErrorSummary>;
   status: number;
   kind: string;
 }[] = [
@@ -86,57 +86,58 @@
   },
   {
     name: "no messages",
-    send: () => post("/v1/chat/completions", buildChat({ messages: [] })),
+    send: () => post("/v1/chat/completions", buildChatBody({ messages: [] })),
     status: 400,
     kind: "badRequest",
   },
   {
     name: "unknown model",
-    send: () => post("/v1/chat/completions", buildChat({ model: "x" })),
+    send: () => post("/v1/chat/completions", buildChatBody({ model: "x" })),
     status: 404,
     kind: "unknownModel",
   },
   {
     name: "unknown profile",
-    send: () => post("/v1/chat/completions", buildChat({ profile: "x" })),
+    send: () => post("/v1/chat/completions", buildChatBody({ profile: "x" })),
     status: 400,
     kind: "unknownProfile",
   },
   {
-    name: "absurd max_tokens",
-    send: () => post("/v1/chat/completions", buildChat({ max_tokens: 1e9 })),
+    name: "too large max_tokens",
+    send: () =>
+      post("/v1/chat/completions", buildChatBody({ max_tokens: 1e9 })),
     status: 400,
     kind: "badRequest",
   },
   {
     name: "negative max_tokens",
-    send: () => post("/v1/chat/completions", buildChat({ max_tokens: -1 })),
+    send: () => post("/v1/chat/completions", buildChatBody({ max_tokens: -1 })),
     status: 400,
     kind: "badRequest",
   },
   {
     name: "oversized body",
     send: () =>
-      post("/v1/chat/completions", buildChat({ user: "x".repeat(5000) })),
+      post("/v1/chat/completions", buildChatBody({ user: "x".repeat(5000) })),
     status: 413,
     kind: "payloadTooLarge",
   },
   {
-    name: "bad deadline",
+    name: "invalid deadline",
     send: () =>
-      post("/v1/completions", buildChat({}), { "x-deadline-ms": "soon" }),
+      post("/v1/completions", buildChatBody({}), { "x-deadline-ms": "soon" }),
     status: 400,
     kind: "badRequest",
   },
   {
-    name: "undated key",
+    name: "key without a time",
     send: () =>
       post("/services/bookings/b", "{}", { "idempotency-key": "abc" }),
     status: 400,
     kind: "badIdempotencyKey",
   },
   {
-    name: "key from long ago",
+    name: "expired key",
     send: () =>
       post("/services/bookings/b", "{}", {
         "idempotency-key": "1000000000000-abcd",
@@ -157,44 +158,44 @@
     kind: "notFound",
   },
   {
-    name: "a model that is no string",
-    send: () => post("/v1/chat/completions", buildChat({ model: 7 })),
+    name: "model that is not a string",
+    send: () => post("/v1/chat/completions", buildChatBody({ model: 7 })),
     status: 400,
     kind: "badRequest",
   },
 ];
 
 for (const { name, send, status, kind } of CASES) {
-  test(`${name} gets a clear ${status}`, async () => {
-    const answer = await send();
-    assert.deepEqual({ status: answer.status, kind: answer.kind }, {
+  test(`${name} is refused with status ${status}`, async () => {
+    const response = await send();
+    assert.deepEqual({ status: response.status, kind: response.kind }, {
       status,
       kind,
     });
-    assert.ok(answer.run === "no" || kind === "keyExpired");
+    assert.ok(response.run === "no" || kind === "keyExpired");
   });
 }
 
-test("a wrong method is told which one is right", async () => {
-  const answer = await request(`${url}/v1/chat/completions`);
-  await answer.body.dump();
-  assert.equal(answer.statusCode, 405);
-  assert.equal(answer.headers.allow, "POST");
+test("a request with a wrong method is refused with the allowed method", async () => {
+  const response = await request(`${url}/v1/chat/completions`);
+  await response.body.dump();
+  assert.equal(response.statusCode, 405);
+  assert.equal(response.headers.allow, "POST");
 });
 
-test("oversized and malformed heads are answered and closed", async () => {
-  const huge = await sendRaw(
+test("oversized and malformed request heads get an error response and the connection is closed", async () => {
+  const oversizedHead = await sendRaw(
     `GET / HTTP/1.1\r\nhost: x\r\nbig: ${"a".repeat(60_000)}\r\n\r\n`,
     false,
   );
-  assert.match(huge, /^HTTP\/1\.1 431 .*headersTooLarge/s);
+  assert.match(oversizedHead, /^HTTP\/1\.1 431 .*headersTooLarge/s);
   assert.match(
     await sendRaw("NONSENSE\r\n\r\n", false),
     /^HTTP\/1\.1 400 .*badRequest/s,
   );
 });
 
-test("slow and half-closed callers hold nothing up", async () => {
+test("slow and half-closed clients do not delay other requests", async () => {
   const slowHead = sendRaw(
     "POST /v1/completions HTTP/1.1\r\nhost: x\r\n",
     false,
@@ -203,13 +204,13 @@
     "POST /v1/completions HTTP/1.1\r\nhost: x\r\ncontent-length: 100\r\n\r\n{",
     false,
   );
-  const half = sendRaw(
+  const halfClosed = sendRaw(
     "POST /v1/completions HTTP/1.1\r\nhost: x\r\ncontent-length: 100\r\n\r\n{",
     true,
   );
-  const quick = await post("/v1/chat/completions", "{");
-  assert.equal(quick.status, 400);
+  const otherRequest = await post("/v1/chat/completions", "{");
+  assert.equal(otherRequest.status, 400);
   assert.match(await slowBody, /408 .*requestTimeout/s);
-  await half;
+  await halfClosed;
   assert.match(await slowHead, /408/);
 });
--- a/packages/heatherarch-lab/tests/integration/openai_client_test.ts
+++ b/packages/heatherarch-lab/tests/integration/openai_client_test.ts
@@ -6,7 +6,7 @@
 
 const MODEL = "reader-7b";
 const MESSAGES = [{ role: "user" as const, content: "what does the rule say" }];
-const RENDERED = "<|user|>\nwhat does the rule say\n<|assistant|>\n";
+const RENDERED_PROMPT = "<|user|>\nwhat does the rule say\n<|assistant|>\n";
 let cluster: Cluster;
 let client: OpenAI;
 
@@ -24,27 +24,27 @@
 
 after(() => cluster.stop());
 
-test("the stock client lists models", async () => {
+test("the OpenAI client lists models", async () => {
   const ids = [];
   for await (const model of client.models.list()) ids.push(model.id);
   assert.deepEqual(ids, [MODEL]);
 });
 
-test("the stock client gets a whole chat answer with its usage", async () => {
-  const answer = await client.chat.completions.create({
+test("the OpenAI client gets a complete chat response with its usage", async () => {
+  const response = await client.chat.completions.create({
     model: MODEL,
     messages: MESSAGES,
     max_completion_tokens: 12,
   });
   assert.equal(
-    answer.choices[0].message.content,
-    computeCompletion(RENDERED, 12),
+    response.choices[0].message.content,
+    computeCompletion(RENDERED_PROMPT, 12),
   );
-  assert.equal(answer.choices[0].finish_reason, "length");
-  assert.equal(answer.usage?.completion_tokens, 12);
+  assert.equal(response.choices[0].finish_reason, "length");
+  assert.equal(response.usage?.completion_tokens, 12);
 });
 
-test("the stock client streams a chat answer", async () => {
+test("the OpenAI client streams a chat response", async () => {
   const stream = await client.chat.completions.create({
     model: MODEL,
     messages: MESSAGES,
@@ -58,20 +58,20 @@
     text += chunk.choices[0]?.delta.content ?? "";
     usage = chunk.usage?.completion_tokens ?? usage;
   }
-  assert.equal(text, computeCompletion(RENDERED, 12));
+  assert.equal(text, computeCompletion(RENDERED_PROMPT, 12));
   assert.equal(usage, 12);
 });
 
-test("the stock client completes text", async () => {
-  const answer = await client.completions.create({
+test("the OpenAI client gets a text completion", async () => {
+  const response = await client.completions.create({
     model: MODEL,
     prompt: "once",
     max_tokens: 5,
   });
-  assert.equal(answer.choices[0].text, computeCompletion("once", 5));
+  assert.equal(response.choices[0].text, computeCompletion("once", 5));
 });
 
-test("the stock client understands an error", async () => {
+test("the OpenAI client recognizes an error response", async () => {
   const wrong = client.chat.completions.create({
     model: "none",
     messages: MESSAGES,
--- a/packages/heatherarch-lab/tests/integration/streams_test.ts
+++ b/packages/heatherarch-lab/tests/integration/streams_test.ts
@@ -39,41 +39,43 @@
   );
 }
 
-async function checkWhole(
+async function assertAllComplete(
   streams: ReturnType<typeof startStreams>,
 ): Promise<void> {
   const results = await Promise.all(streams);
-  const broken = results.filter((result) => result.outcome !== "whole");
+  const incomplete = results.filter((result) => result.outcome !== "whole");
   assert.deepEqual(
-    broken.map((result) => `${result.outcome} ${result.kind} ${result.detail}`),
+    incomplete.map((result) =>
+      `${result.outcome} ${result.kind} ${result.detail}`
+    ),
     [],
   );
 }
 
-test("answers are continued on other engines when theirs crash", async () => {
+test("responses are continued on other engines when their engines crash", async () => {
   const streams = startStreams(12);
   await sleep(500);
   for (const target of engines.slice(1, 3)) {
     await cluster.sendCommand({ kind: "crash", target, downMs: 1000 });
   }
-  await checkWhole(streams);
+  await assertAllComplete(streams);
 });
 
-test("answers are continued when an engine goes silent with its connections open", async () => {
+test("responses are continued when an engine stops sending with its connections open", async () => {
   const streams = startStreams(12);
   await sleep(400);
   await cluster.sendCommand({ kind: "freeze", target: engines[1], ms: 4000 });
-  await checkWhole(streams);
+  await assertAllComplete(streams);
 });
 
-test("an engine that ends answers early or crosses them can't make a wrong one", async () => {
+test("an engine that truncates or swaps responses causes no wrong response", async () => {
   await cluster.sendCommand({ kind: "truncate", target: engines[1], after: 5 });
   await cluster.sendCommand({
     kind: "crossAnswers",
     target: engines[2],
     on: true,
   });
-  await checkWhole(startStreams(12));
+  await assertAllComplete(startStreams(12));
   await cluster.sendCommand({ kind: "truncate", target: engines[1], after: 0 });
   await cluster.sendCommand({
     kind: "crossAnswers",
@@ -82,31 +84,31 @@
   });
 });
 
-test("long prompts whose KV cache moves are answered as whole as short ones", async () => {
-  await checkWhole(startStreams(8, "long ".repeat(1200)));
+test("responses to long prompts whose KV cache is transferred are complete", async () => {
+  await assertAllComplete(startStreams(8, "long ".repeat(1200)));
 });
 
-test("a withdrawn engine finishes what it has and gets nothing new", async () => {
+test("a withdrawn engine finishes its requests and gets no new ones", async () => {
   const streams = startStreams(12);
   await sleep(400);
   const target = engines[1];
-  const answer = await cluster.publish({
+  const response = await cluster.publish({
     kind: "directTarget",
     target,
     directive: "withdraw",
   }, -1);
-  assert.equal(answer.status, 200);
+  assert.equal(response.status, 200);
   await sleep(200);
   const before = (await cluster.readLedger()).engines[target].tries;
-  await checkWhole([...streams, ...startStreams(8)]);
+  await assertAllComplete([...streams, ...startStreams(8)]);
   assert.equal((await cluster.readLedger()).engines[target].tries, before);
 });
 
-test("a resumable stream is read on through another VM after its connection broke", async () => {
+test("a resumable stream is continued through another VM after its connection broke", async () => {
   const [first, second] = cluster.deployment.vms;
   const prompt = "tell me all";
   const abort = new AbortController();
-  const answer = await fetch(`http://${first.callers}/v1/completions`, {
+  const response = await fetch(`http://${first.callers}/v1/completions`, {
     method: "POST",
     headers: {
       "x-heatherarch-resumable": "true",
@@ -120,11 +122,11 @@
     }),
     signal: abort.signal,
   });
-  const id = answer.headers.get("x-request-id") as string;
+  const id = response.headers.get("x-request-id") as string;
   assert.notEqual(
     id,
     "chosen-by-the-caller",
-    "a stream's id is never the caller's choice",
+    "the client cannot choose the id of a stream",
   );
   await sleep(300);
   abort.abort();
@@ -139,8 +141,8 @@
   }).join("");
   assert.equal(text, computeCompletion(prompt, TOKENS));
   assert.match(resumed, /\[DONE\]/);
-  const gone = await fetch(
+  const unknownStream = await fetch(
     `http://${second.callers}/v1/streams/${first.id}-aaaaaaaaaaaa`,
   );
-  assert.equal(gone.status, 410);
+  assert.equal(unknownStream.status, 410);
 });
--- a/packages/heatherarch-lab/tests/unit/lost_end_test.ts
+++ b/packages/heatherarch-lab/tests/unit/lost_end_test.ts
@@ -6,9 +6,12 @@
 
 const MAX_TOKENS = 3;
 
-/** A generation whose engine sends all tokens and then breaks off; `ends` is what callers get. */
-function loseEnd(withResume: boolean) {
-  const { host, attempts: tries } = createFakeHost({
+/**
+ * Starts a generation whose engine sends all tokens and then disconnects. `ends` lists the results
+ * that the client gets.
+ */
+function disconnectAfterLastToken(withResume: boolean) {
+  const { host, attempts } = createFakeHost({
     engines: ["e1", "e2"],
     supportsResume: withResume,
   });
@@ -23,33 +26,34 @@
     },
   });
   generation.start();
-  const { prompt } = tries[0].call;
+  const { prompt } = attempts[0].call;
   const tokens = computeCompletion(prompt, MAX_TOKENS).match(/\S+ /g) ?? [];
-  tries[0].sink.onTokens(tokens);
-  tries[0].sink.onFailure("broken", "");
-  return { generation, tries, ends };
+  attempts[0].sink.onTokens(tokens);
+  attempts[0].sink.onFailure("broken", "");
+  return { generation, attempts, ends };
 }
 
-const WHOLE = {
+const COMPLETE_RESULT = {
   reason: "length",
   promptTokens: 7,
   outputTokens: MAX_TOKENS,
   cachedTokens: 0,
 };
 
-// An engine was asked for no tokens at all, and what it sent violated an invariant.
-test("an answer with all its tokens ends, where the engine breaks off before its end", () => {
-  const { generation, tries, ends } = loseEnd(false);
+// Guards against a continuation that asks an engine for zero tokens, after another engine sent all
+// tokens but not its end. The response to such an attempt violated an invariant.
+test("a response with all its tokens ends if the engine disconnects before its end", () => {
+  const { generation, attempts, ends } = disconnectAfterLastToken(false);
   generation.cancel();
-  assert.deepEqual(ends, [WHOLE]);
-  assert.equal(tries.length, 1);
+  assert.deepEqual(ends, [COMPLETE_RESULT]);
+  assert.equal(attempts.length, 1);
 });
 
-test("the end of an answer with all its tokens is asked for once where the engine resumes", () => {
-  const { generation, tries, ends } = loseEnd(true);
-  assert.equal(tries.length, 2);
-  tries[1].sink.onFailure("broken", "");
+test("the end of a response with all its tokens is requested once if the engine can resume", () => {
+  const { generation, attempts, ends } = disconnectAfterLastToken(true);
+  assert.equal(attempts.length, 2);
+  attempts[1].sink.onFailure("broken", "");
   generation.cancel();
-  assert.deepEqual(ends, [WHOLE]);
-  assert.equal(tries.length, 2);
+  assert.deepEqual(ends, [COMPLETE_RESULT]);
+  assert.equal(attempts.length, 2);
 });
--- a/packages/heatherarch-lab/tests/unit/plain_call_test.ts
+++ b/packages/heatherarch-lab/tests/unit/plain_call_test.ts
@@ -24,36 +24,36 @@
   echoesTryId: false,
 };
 const KEY = { text: "k", madeAtMs: 0, fingerprint: "f" };
-const ANSWER: BufferedResponse = {
+const RESPONSE: BufferedResponse = {
   kind: "answer",
   status: 200,
   headers: {},
   body: Buffer.from("{}"),
 };
 
-interface Scene {
+interface Fixture {
   readonly sent: string[];
-  readonly ended: string[];
+  readonly claimEvents: string[];
   readonly call: (fields: Partial<PlainRequest>) => Promise<unknown>;
 }
 
-/** A host with two targets that answer as told, and a claim that may be used or not. */
-function createScene(
-  answers: BufferedResponse[],
-  valid = true,
+/** Creates a host with two targets that send the given responses, and a valid or expired claim. */
+function createFixture(
+  responses: BufferedResponse[],
+  isClaimValid = true,
   host: Partial<FakeHostOptions> = {},
   renewal?: ClaimResult,
-): Scene {
+): Fixture {
   const sent: string[] = [];
-  const ended: string[] = [];
+  const claimEvents: string[] = [];
   const claim: HeldClaim = {
-    isValid: () => valid,
+    isValid: () => isClaimValid,
     renew: () => {
-      ended.push("renewed");
+      claimEvents.push("renewed");
       return Promise.resolve(renewal ?? { kind: "granted", claim });
     },
-    conclude: () => ended.push("concluded"),
-    release: () => ended.push("released"),
+    conclude: () => claimEvents.push("concluded"),
+    release: () => claimEvents.push("released"),
   };
   const fake = createFakeHost({
     engines: ["s1", "s2"],
@@ -63,7 +63,7 @@
         return Promise.resolve({ kind: "withheld", detail: "" });
       }
       sent.push(target);
-      return Promise.resolve(answers.shift() ?? ANSWER);
+      return Promise.resolve(responses.shift() ?? RESPONSE);
     },
     ...host,
   });
@@ -80,89 +80,98 @@
       admitted: STUB_ADMITTED_REQUEST,
       ...fields,
     });
-  return { sent, ended, call };
+  return { sent, claimEvents, call };
 }
 
-function isError(kind: string, run: string) {
+function matchesError(kind: string, run: string) {
   return (error: unknown) =>
     error instanceof ServeError && error.kind === kind && error.run === run;
 }
 
-test("a claim whose permission lapsed is dropped before the write, and given back", async () => {
-  const scene = createScene([], false);
+test("a call whose claim permission expired is not sent, and its claim is released", async () => {
+  const fixture = createFixture([], false);
   await assert.rejects(
-    scene.call({ key: KEY }),
-    isError("platformUnavailable", "no"),
+    fixture.call({ key: KEY }),
+    matchesError("platformUnavailable", "no"),
   );
-  assert.deepEqual(scene.sent, []);
-  assert.deepEqual(scene.ended, ["renewed", "released"]);
+  assert.deepEqual(fixture.sent, []);
+  assert.deepEqual(fixture.claimEvents, ["renewed", "released"]);
 });
 
-test("a permission that lapsed unused is renewed once, and the call runs once", async () => {
-  const fresh: HeldClaim = {
+test("a claim permission that expired before use is renewed once, and the call runs once", async () => {
+  const renewedClaim: HeldClaim = {
     isValid: () => true,
-    renew: () => Promise.reject(new Error("not again")),
-    conclude: () => scene.ended.push("concluded"),
-    release: () => scene.ended.push("released"),
+    renew: () => Promise.reject(new Error("the claim was renewed twice")),
+    conclude: () => fixture.claimEvents.push("concluded"),
+    release: () => fixture.claimEvents.push("released"),
   };
-  const scene = createScene([], false, {}, { kind: "granted", claim: fresh });
-  await scene.call({ key: KEY });
-  assert.equal(scene.sent.length, 1);
-  assert.deepEqual(scene.ended, ["renewed", "concluded"]);
+  const fixture = createFixture([], false, {}, {
+    kind: "granted",
+    claim: renewedClaim,
+  });
+  await fixture.call({ key: KEY });
+  assert.equal(fixture.sent.length, 1);
+  assert.deepEqual(fixture.claimEvents, ["renewed", "concluded"]);
 });
 
-test("a call that may have run is never sent again, with a key or without", async () => {
+test("a call that may have run is never retried, with or without a key", async () => {
   for (const key of [KEY, undefined]) {
-    const scene = createScene([{ kind: "broken", detail: "reset" }]);
+    const fixture = createFixture([{ kind: "broken", detail: "reset" }]);
     await assert.rejects(
-      scene.call({ key }),
-      isError("targetFailed", "unknown"),
+      fixture.call({ key }),
+      matchesError("targetFailed", "unknown"),
     );
-    assert.equal(scene.sent.length, 1);
-    assert.deepEqual(scene.ended, []);
+    assert.equal(fixture.sent.length, 1);
+    assert.deepEqual(fixture.claimEvents, []);
   }
 });
 
-test("a call that was proven not sent goes to another target", async () => {
-  const scene = createScene([{ kind: "notSent", detail: "refused" }]);
-  await scene.call({ key: KEY });
-  assert.deepEqual(scene.sent, ["s1", "s2"]);
-  assert.deepEqual(scene.ended, ["concluded"]);
+test("a call that was certainly not sent goes to another target", async () => {
+  const fixture = createFixture([{ kind: "notSent", detail: "refused" }]);
+  await fixture.call({ key: KEY });
+  assert.deepEqual(fixture.sent, ["s1", "s2"]);
+  assert.deepEqual(fixture.claimEvents, ["concluded"]);
 });
 
-test("where no target takes the call, it is not run and its key is free again", async () => {
-  const scene = createScene(
+test("if no target accepts the call, it is not run and its key is released", async () => {
+  const fixture = createFixture(
     Array(4).fill({ kind: "notSent", detail: "refused" }),
   );
-  await assert.rejects(scene.call({ key: KEY }), isError("noTarget", "no"));
-  assert.deepEqual(scene.ended, ["released"]);
+  await assert.rejects(
+    fixture.call({ key: KEY }),
+    matchesError("noTarget", "no"),
+  );
+  assert.deepEqual(fixture.claimEvents, ["released"]);
 });
 
-test("idempotent calls are retried after a break", async () => {
-  const scene = createScene([{ kind: "broken", detail: "reset" }]);
-  await scene.call({ method: "GET" });
-  assert.deepEqual(scene.sent, ["s1", "s2"]);
+test("an idempotent call is retried after its connection broke", async () => {
+  const fixture = createFixture([{ kind: "broken", detail: "reset" }]);
+  await fixture.call({ method: "GET" });
+  assert.deepEqual(fixture.sent, ["s1", "s2"]);
 });
 
-test("a service that wants keys refuses calls without one", async () => {
-  const scene = createScene([]);
+test("a service that requires keys refuses calls without one", async () => {
+  const fixture = createFixture([]);
   const service = { ...SERVICE, keyRequired: true };
-  await assert.rejects(scene.call({ service }), isError("keyRequired", "no"));
-  assert.deepEqual(scene.sent, []);
+  await assert.rejects(
+    fixture.call({ service }),
+    matchesError("keyRequired", "no"),
+  );
+  assert.deepEqual(fixture.sent, []);
 });
 
-test("during an outage only a service that honours keys itself is called", async () => {
+test("during an outage, keyed calls reach only services that honour keys themselves", async () => {
   const error = new ServeError("platformUnavailable", "out");
   const host = {
     handleClaim: () => Promise.resolve({ kind: "refused" as const, error }),
   };
-  const refused = createScene([], true, host);
+  const refused = createFixture([], true, host);
   await assert.rejects(
     refused.call({ key: KEY }),
-    isError("platformUnavailable", "no"),
+    matchesError("platformUnavailable", "no"),
   );
   assert.deepEqual(refused.sent, []);
-  const passed = createScene([], true, host);
+  const passed = createFixture([], true, host);
   await passed.call({ key: KEY, service: { ...SERVICE, honoursKey: true } });
   assert.equal(passed.sent.length, 1);
 });
