--- a/packages/heatherarch-lab/bench/mix_bench.ts
+++ b/packages/heatherarch-lab/bench/mix_bench.ts
@@ -7,7 +7,7 @@
 import { Random, sleep } from "heatherarch-core";
 import { EngineModel } from "heatherarch-policy";
 import type { Planning, RoutingKind } from "heatherarch-settings";
-import { Caller, type CallResult } from "../caller.ts";
+import { type CallResult, TestClient } from "../test_client.ts";
 import { Cluster } from "../cluster.ts";
 import {
   buildDeployment,
@@ -147,19 +147,20 @@
     arms[arm.name]?.goodput ?? 0
   );
   const ours = arms.ours;
-  const ratio = (a: number, b: number) => b === 0 ? 0 : roundTo(a / b, 3);
+  const computeRatio = (a: number, b: number) =>
+    b === 0 ? 0 : roundTo(a / b, 3);
   return {
     trace: options.trace.name,
     deployment: options.deployment,
     arms,
     clairvoyantGoodput,
-    ratioToBest: ratio(ours?.goodput ?? 0, Math.max(...otherGoodputs)),
-    ratioToClairvoyant: ratio(ours?.goodput ?? 0, clairvoyantGoodput),
-    roleChangesToGreedy: ratio(
+    ratioToBest: computeRatio(ours?.goodput ?? 0, Math.max(...otherGoodputs)),
+    ratioToClairvoyant: computeRatio(ours?.goodput ?? 0, clairvoyantGoodput),
+    roleChangesToGreedy: computeRatio(
       ours?.roleChanges ?? 0,
       arms.greedy?.roleChanges ?? 0,
     ),
-    lookupP99Ratio: ratio(
+    lookupP99Ratio: computeRatio(
       ours?.lookupP99Ms ?? 0,
       ours?.unloadedLookupP99Ms ?? 0,
     ),
@@ -179,7 +180,7 @@
   readonly #options: MixOptions;
   readonly #finished: FinishedRequest[] = [];
   readonly #timeline: TimelinePoint[] = [];
-  readonly #caller = new Caller();
+  readonly #client = new TestClient();
 
   constructor(arm: Arm, options: MixOptions) {
     this.#arm = arm;
@@ -230,7 +231,7 @@
         timeline: this.#timeline,
       };
     } finally {
-      await this.#caller.close();
+      await this.#client.close();
       await cluster.stop();
     }
   }
@@ -239,7 +240,7 @@
     const latenciesMs: number[] = [];
     for (let i = 0; i < 200; i++) {
       const vm = deployment.vms[i % deployment.vms.length];
-      const result = await this.#caller.callService({
+      const result = await this.#client.callService({
         url: `http://${vm.callers}`,
         service: SHAPES[this.#options.deployment].plainService,
         method: "GET",
@@ -282,14 +283,14 @@
     const { plainService, modelService } = SHAPES[this.#options.deployment];
     const { deadlineMs, profile } = request;
     const result = request.service === plainService
-      ? await this.#caller.callService({
+      ? await this.#client.callService({
         url,
         service: plainService,
         method: "GET",
         path: `/slots/${index}`,
         deadlineMs,
       })
-      : await this.#caller.generate({
+      : await this.#client.generate({
         url,
         model: `${modelService}-7b`,
         prompt: buildTracePrompt(request, index),
--- a/packages/heatherarch-lab/bench/overload_result.ts
+++ b/packages/heatherarch-lab/bench/overload_result.ts
@@ -44,12 +44,12 @@
   readonly fifthBelow: ServedShares;
 }
 
-/** A request of a caller. */
+/** A request of a client. */
 export interface SimulatedRequest {
   readonly kind: OverloadRequestKind;
   readonly prompt: GenerationParams;
   readonly arrivedAtMs: number;
-  /** When the first token reached the caller; undefined if it did not. */
+  /** When the first token reached the client; undefined if it did not. */
   firstTokenAtMs: number | undefined;
 }
 
--- a/packages/heatherarch-lab/bench/overload_simulation.ts
+++ b/packages/heatherarch-lab/bench/overload_simulation.ts
@@ -8,8 +8,8 @@
  * Two kinds of request use the same engines: long prompts with shared prefixes, and short prompts.
  * They alternate in bursts of some seconds, at up to three times their mean rate.
  *
- * A rejected caller retries once, after the delay that it was given. Decode and faults are not
- * simulated.
+ * A rejected client retries once, after the delay that the rejection states. Decode and faults are
+ * not simulated.
  *
  * @module
  */
@@ -64,7 +64,7 @@
   readonly busy: number;
 }
 
-/** One attempt of a caller. */
+/** One attempt of a client. */
 interface Attempt {
   readonly request: SimulatedRequest;
   readonly vm: number;
@@ -89,7 +89,7 @@
 const MIN_SEND_GAP_MS = 5;
 /** Time from the last prefilled token to the arrival of the engine's response at the VM. */
 const RESPONSE_DELAY_MS = 16;
-/** Time from the engine's response to the first token at the caller. */
+/** Time from the engine's response to the first token at the client. */
 const FIRST_TOKEN_DELAY_MS = 35;
 /** Maximum share of the engines that may prefill late requests at the same time. */
 const MAX_LATE_PREFILL_SHARE = 0.25;
@@ -102,7 +102,7 @@
   linkMbps: 1_400_000,
   roleChangeMs: 3000,
 };
-/** Callers wait as long as they were told, but at most this share of the time to their deadline. */
+/** Clients wait as long as the rejection states, at most this share of the time to the deadline. */
 const MAX_RETRY_DELAY_SHARE = 1 / 3;
 /** Share of the KV cache that retains prefixes. */
 const PREFIX_CACHE_SHARE = 0.8;
@@ -360,7 +360,7 @@
     }, startMs);
   }
 
-  /** Records the first token, unless the caller has timed out before it arrives. */
+  /** Records the first token, unless the client has timed out before it arrives. */
   #recordFirstToken(attempt: Attempt): void {
     const atMs = this.#nowMs + FIRST_TOKEN_DELAY_MS;
     if (atMs <= computeTimeout(attempt)) attempt.request.firstTokenAtMs = atMs;
@@ -397,7 +397,7 @@
   };
 }
 
-/** Returns when the caller of an attempt times out if it has not received its first token. */
+/** Returns when the client of an attempt times out if it has not received its first token. */
 function computeTimeout(
   { startedAtMs, request: { kind, arrivedAtMs } }: Attempt,
 ): number {
--- a/packages/heatherarch-lab/bench/placement_simulation.ts
+++ b/packages/heatherarch-lab/bench/placement_simulation.ts
@@ -82,9 +82,9 @@
 const STEP_MS = 5;
 const PREFIXES_PER_KIND = 400;
 const PREFIX_RETENTION_MS = 11_000;
-/** Time from the end of the prefill to the first token at the caller. */
+/** Time from the end of the prefill to the first token at the client. */
 const FIRST_TOKEN_DELAY_MS = 45;
-const CALLER_TIMEOUT_MS = 1750;
+const CLIENT_TIMEOUT_MS = 1750;
 const TRAITS = {
   slots: 64,
   kvTokens: 455_109,
@@ -158,7 +158,7 @@
   run(): PlacementSimulationResult {
     const { seconds } = this.#options;
     const endMs = seconds * 1000;
-    while (this.#nowMs < endMs + CALLER_TIMEOUT_MS) {
+    while (this.#nowMs < endMs + CLIENT_TIMEOUT_MS) {
       this.#clock.advance(STEP_MS);
       this.#dropFinishedPrefills();
       this.#updateSnapshots();
@@ -244,7 +244,7 @@
       tokens: prompt.promptTokens,
       waitStartedAtMs: arrivedAtMs,
       aimMs: kind.aimMs,
-      timeoutAtMs: arrivedAtMs + CALLER_TIMEOUT_MS,
+      timeoutAtMs: arrivedAtMs + CLIENT_TIMEOUT_MS,
       firstTokenDelayMs: FIRST_TOKEN_DELAY_MS,
       findPlacement: () => this.#findPlacement(request),
       mayPrefillLate: () => true,
--- a/packages/heatherarch-lab/chaos/chaos_run.ts
+++ b/packages/heatherarch-lab/chaos/chaos_run.ts
@@ -1,12 +1,12 @@
 /**
- * Chaos run over real processes. Clients send a mix of requests while scheduled faults are injected,
- * and every response and every ledger is checked.
+ * Chaos run over real processes. Clients send a mix of requests while scheduled faults are injected.
+ * Every response and every stand-in's ledger is checked.
  *
  * @module
  */
 import { Random, sleep } from "heatherarch-core";
 import { request } from "undici";
-import { Caller } from "../caller.ts";
+import { TestClient } from "../test_client.ts";
 import { Cluster } from "../cluster.ts";
 import { buildDeployment, type Deployment } from "../deployment.ts";
 import { sendRandomRequest } from "../mixed_load.ts";
@@ -155,8 +155,8 @@
     this.#startedAtUnixMs = Date.now();
     const load = this.#runLoad(balancer, startMs + totalMs);
     const faults = this.#runFaults(buildFaultSchedule(seed, totalMs), startMs);
-    const scraping = this.#pollViolations(startMs + totalMs);
-    await Promise.all([load, faults, scraping]);
+    const polling = this.#pollViolations(startMs + totalMs);
+    await Promise.all([load, faults, polling]);
     await sleep(SETTLE_MS);
     balancer.stop();
     this.#configMonitor.stop();
@@ -164,24 +164,24 @@
   }
 
   async #runLoad(balancer: LoadBalancer, untilMs: number): Promise<void> {
-    const caller = new Caller();
+    const client = new TestClient();
     const random = new Random(this.#options.seed + 1);
     const meanIntervalMs = 1000 / (this.#options.requestsPerSecond ?? 30);
     const inFlight = new Set<Promise<void>>();
     while (performance.now() < untilMs) {
       if (inFlight.size < MAX_IN_FLIGHT) {
-        const pendingRequest = this.#sendTimed(caller, balancer, random);
+        const pendingRequest = this.#sendTimed(client, balancer, random);
         inFlight.add(pendingRequest);
         void pendingRequest.finally(() => inFlight.delete(pendingRequest));
       }
       await sleep(random.drawExponential(meanIntervalMs));
     }
     await Promise.all(inFlight);
-    await caller.close();
+    await client.close();
   }
 
   async #sendTimed(
-    caller: Caller,
+    client: TestClient,
     balancer: LoadBalancer,
     random: Random,
   ): Promise<void> {
@@ -191,7 +191,7 @@
     const sizes = Math.floor(startMs / SIZES_PERIOD_MS) % 2 === 0
       ? LONG_PROMPT_SIZES
       : LONG_OUTPUT_SIZES;
-    const records = await sendRandomRequest(caller, deployment, random, sizes);
+    const records = await sendRandomRequest(client, deployment, random, sizes);
     const endMs = performance.now();
     for (const record of records) {
       this.#records.push({ record, startMs, endMs });
@@ -237,12 +237,14 @@
     this.#options.print?.(
       `${Math.round(fault.atMs)} ms: ${fault.kind} for ${fault.durationMs} ms`,
     );
-    const done = await driver.run(fault).catch((error: Error) => {
+    const wasInjected = await driver.run(fault).catch((error: Error) => {
       this.#options.print?.(`${fault.kind}: ${error.message}`);
       return true;
     });
     window.endMs = performance.now();
-    if (!done) this.#faultWindows.splice(this.#faultWindows.indexOf(window), 1);
+    if (!wasInjected) {
+      this.#faultWindows.splice(this.#faultWindows.indexOf(window), 1);
+    }
   }
 
   /** Whether an unplanned fault or the recovery from one overlaps the time span. */
--- a/packages/heatherarch-lab/chaos/fault_driver.ts
+++ b/packages/heatherarch-lab/chaos/fault_driver.ts
@@ -111,31 +111,31 @@
     return await handlers[fault.kind](fault);
   }
 
-  #pickVm(pick: number): DeployedVm {
+  #pickVm(selector: number): DeployedVm {
     const { vms } = this.#cluster.deployment;
-    return vms[pick % vms.length];
+    return vms[selector % vms.length];
   }
 
-  #pickEngine(pick: number): Target {
+  #pickEngine(selector: number): Target {
     const engines = this.#cluster.deployment.fleet.targets.filter((target) =>
       target.id.includes("engine")
     );
-    return engines[pick % engines.length];
+    return engines[selector % engines.length];
   }
 
-  #pickService(pick: number): Target {
+  #pickService(selector: number): Target {
     const services = this.#cluster.deployment.fleet.targets.filter((target) =>
       target.id.includes("service")
     );
-    return services[pick % services.length];
+    return services[selector % services.length];
   }
 
-  async #findHolder(pick: number): Promise<DeployedVm> {
-    for (const vm of this.#cluster.deployment.vms.slice(pick % 3)) {
+  async #findHolder(selector: number): Promise<DeployedVm> {
+    for (const vm of this.#cluster.deployment.vms.slice(selector % 3)) {
       const status = await this.#cluster.readStatus(vm).catch(() => undefined);
       if (status?.lease.heldHere) return vm;
     }
-    return this.#pickVm(pick);
+    return this.#pickVm(selector);
   }
 
   async #withLock(id: string, work: () => Promise<void>): Promise<boolean> {
@@ -326,7 +326,7 @@
   async #publishDirective(
     target: string,
     directive: string,
-    pick: number,
+    selector: number,
   ): Promise<AcceptedChange | undefined> {
     const getRevision = (directives: Record<string, { revision: number }>) =>
       directives[target]?.revision ?? -1;
@@ -334,7 +334,7 @@
     return await this.#publish(
       change,
       (config) => getRevision(config.directives),
-      pick,
+      selector,
     );
   }
 
@@ -342,10 +342,10 @@
   async #publish(
     change: unknown,
     getBaseRevision: (config: ConfigResponse) => number,
-    pick: number,
+    selector: number,
   ): Promise<AcceptedChange | undefined> {
     for (let attempt = 0; attempt < 20; attempt++) {
-      const vm = this.#pickVm(pick + attempt);
+      const vm = this.#pickVm(selector + attempt);
       try {
         const config = await readConfig(vm);
         const atMs = Date.now();
--- a/packages/heatherarch-lab/chaos/recovery.ts
+++ b/packages/heatherarch-lab/chaos/recovery.ts
@@ -4,7 +4,7 @@
  * @module
  */
 import { Random, sleep } from "heatherarch-core";
-import { Caller } from "../caller.ts";
+import { TestClient } from "../test_client.ts";
 import { Cluster } from "../cluster.ts";
 import { buildDeployment, type DeployedVm, SHAPES } from "../deployment.ts";
 import { type LoadRecord, sendRandomRequest } from "../mixed_load.ts";
@@ -195,17 +195,17 @@
     vms: readonly DeployedVm[],
     ms: number,
   ): Promise<LoadRecord[]> {
-    const caller = new Caller();
+    const client = new TestClient();
     const random = new Random(5);
     const deployment = { ...this.#cluster.deployment, vms };
     const sent: Promise<LoadRecord[]>[] = [];
     const untilMs = performance.now() + ms;
     while (performance.now() < untilMs) {
-      sent.push(sendRandomRequest(caller, deployment, random));
+      sent.push(sendRandomRequest(client, deployment, random));
       await sleep(30);
     }
     const records = (await Promise.all(sent)).flat();
-    await caller.close();
+    await client.close();
     return records;
   }
 
--- a/packages/heatherarch-lab/cluster.ts
+++ b/packages/heatherarch-lab/cluster.ts
@@ -190,7 +190,7 @@
     }
   }
 
-  /** Waits until every VM may use every target, the first VM's view of directives aside. */
+  /** Waits until every VM reports every target as usable. */
   async waitTargetsUsable(): Promise<void> {
     for (const vm of this.deployment.vms) {
       await this.#waitFor(async () => {
--- a/packages/heatherarch-lab/mixed_load.ts
+++ b/packages/heatherarch-lab/mixed_load.ts
@@ -4,7 +4,7 @@
  * @module
  */
 import { Random } from "heatherarch-core";
-import { Caller, type CallResult } from "./caller.ts";
+import { type CallResult, TestClient } from "./test_client.ts";
 import type { Deployment } from "./deployment.ts";
 
 /** Options of {@linkcode runMixedLoad}. */
@@ -28,19 +28,19 @@
   options: MixedLoadOptions,
 ): Promise<LoadRecord[]> {
   const random = new Random(options.seed);
-  const caller = new Caller();
+  const client = new TestClient();
   const records: LoadRecord[] = [];
   let startedCount = 0;
   const runWorker = async (): Promise<void> => {
     while (startedCount < options.requests) {
       startedCount++;
       records.push(
-        ...await sendRandomRequest(caller, options.deployment, random),
+        ...await sendRandomRequest(client, options.deployment, random),
       );
     }
   };
   await Promise.all(Array.from({ length: options.concurrency }, runWorker));
-  await caller.close();
+  await client.close();
   return records;
 }
 
@@ -58,7 +58,7 @@
 
 /** Sends one random request, or a booking and its duplicate through another VM. */
 export async function sendRandomRequest(
-  caller: Caller,
+  client: TestClient,
   deployment: Deployment,
   random: Random,
   sizes: GenerationSizes = BALANCED_SIZES,
@@ -70,7 +70,7 @@
   const draw = random.drawUnit();
   if (draw < 0.2 && plain) {
     const path = `/slots/${random.drawInteger(1, 10_000)}`;
-    const result = await caller.callService({
+    const result = await client.callService({
       url,
       service: plain.name,
       method: "GET",
@@ -88,15 +88,15 @@
       key,
       body: JSON.stringify({ passenger: key }),
     };
-    const first = caller.callService(call);
+    const first = client.callService(call);
     const otherUrl = `http://${random.drawItem(deployment.vms).callers}`;
     const duplicates = random.drawUnit() < 0.5
-      ? [caller.callService({ ...call, url: otherUrl })]
+      ? [client.callService({ ...call, url: otherUrl })]
       : [];
     const results = await Promise.all([first, ...duplicates]);
     return results.map((result) => ({ what: "booking", key, result }));
   }
-  const result = await caller.generate({
+  const result = await client.generate({
     url,
     model: model?.kind === "model" ? model.models[0] : "",
     prompt: buildPrompt(random, random.drawInteger(20, sizes.maxPromptTokens)),
--- a/packages/heatherarch-lab/mod.ts
+++ b/packages/heatherarch-lab/mod.ts
@@ -3,7 +3,7 @@
  *
  * @module
  */
-export * from "./caller.ts";
+export * from "./test_client.ts";
 export * from "./cluster.ts";
 export * from "./deployment.ts";
 export * from "./mixed_load.ts";
--- a/packages/heatherarch-lab/proofs/claims_proof.ts
+++ b/packages/heatherarch-lab/proofs/claims_proof.ts
@@ -313,12 +313,12 @@
 export const CLAIMS_PROOF: Proof = {
   name: "claims",
   guards: [...CLAIM_GUARDS, READ_OWN_CLAIM],
-  build: (off) =>
+  build: (disabledGuard) =>
     fc.property(
       fc.array(OPERATION, { minLength: 20, maxLength: 120, size: "max" }),
       (operations) => {
-        const world = new ClaimSimulation(off);
-        for (const operation of operations) world.apply(operation);
+        const simulation = new ClaimSimulation(disabledGuard);
+        for (const operation of operations) simulation.apply(operation);
       },
     ),
 };
--- a/packages/heatherarch-lab/proofs/config_proof.ts
+++ b/packages/heatherarch-lab/proofs/config_proof.ts
@@ -133,10 +133,12 @@
       return;
     }
     if (change.profile === undefined) this.#expectedProfiles.delete(name);
-    else {this.#expectedProfiles.set(name, {
+    else {
+      this.#expectedProfiles.set(name, {
         revision: offset,
         value: change.profile.deadlineMs,
-      });}
+      });
+    }
   }
 
   #read(index: number, limit: number): void {
@@ -250,12 +252,12 @@
 export const CONFIG_PROOF: Proof = {
   name: "config",
   guards: [...CONFIG_GUARDS, ...CONFIG_VIEW_GUARDS],
-  build: (off) =>
+  build: (disabledGuard) =>
     fc.property(
       fc.array(OPERATION, { minLength: 10, maxLength: 80, size: "max" }),
       (operations) => {
-        const world = new ConfigSimulation(off);
-        for (const operation of operations) world.apply(operation);
+        const simulation = new ConfigSimulation(disabledGuard);
+        for (const operation of operations) simulation.apply(operation);
       },
     ),
 };
--- a/packages/heatherarch-lab/proofs/config_reads_proof.ts
+++ b/packages/heatherarch-lab/proofs/config_reads_proof.ts
@@ -17,7 +17,7 @@
 const GUARDS = ["holdFromBound", "limitFromBound", "pauseFromBound"] as const;
 
 const BOUND_MS = 2000;
-/** Share of the bound within which a reader gets the change. The rest is for hubs to forward it. */
+/** Share of the bound within which a reader gets the change. Hubs forward it in the time left. */
 const READER_BOUND_SHARE = 0.75;
 /** Timings that are not derived from the bound, by the guard that they disable. */
 const FIXED_TIMINGS: Readonly<
@@ -37,9 +37,9 @@
   readonly unit: number;
 }
 
-function buildSilentPeriods({ periods: turns }: Schedule): SilentPeriod[] {
+function buildSilentPeriods({ periods }: Schedule): SilentPeriod[] {
   let nowMs = 0;
-  return turns.map(({ afterMs, forMs }) => {
+  return periods.map(({ afterMs, forMs }) => {
     const fromMs = nowMs + afterMs;
     nowMs = fromMs + forMs;
     return { fromMs, untilMs: nowMs };
@@ -48,14 +48,14 @@
 
 async function checkSchedule(
   schedule: Schedule,
-  off: string | undefined,
+  disabledGuard: string | undefined,
 ): Promise<void> {
   const derivedTiming = planConfigReads({
     configBoundMs: BOUND_MS,
     configWaitMs: BOUND_MS / 2,
     requestTimeoutMs: REQUEST_TIMEOUT_MS,
   });
-  const disabled = GUARDS.find((guard) => guard === off);
+  const disabled = GUARDS.find((guard) => guard === disabledGuard);
   const [delayMs] = await measureDelays({
     reads: disabled === undefined
       ? derivedTiming
@@ -75,7 +75,7 @@
 export const CONFIG_READS_PROOF: Proof = {
   name: "config-reads",
   guards: GUARDS,
-  build: (off) =>
+  build: (disabledGuard) =>
     fc.asyncProperty(
       fc.record({
         periods: fc.array(
@@ -87,6 +87,6 @@
         ),
         unit: fc.constantFrom(0, 0.25, 0.5, 0.99),
       }),
-      (schedule) => checkSchedule(schedule, off),
+      (schedule) => checkSchedule(schedule, disabledGuard),
     ),
 };
--- a/packages/heatherarch-lab/proofs/fake_host.ts
+++ b/packages/heatherarch-lab/proofs/fake_host.ts
@@ -157,7 +157,7 @@
     },
     requestWatch: { admit: () => STUB_ADMITTED_REQUEST },
     events: {
-      recordResult: (end) => results.push(end),
+      recordResult: (result) => results.push(result),
       recordRetry: () => undefined,
       recordContinuation: () => undefined,
       recordHedge: () => undefined,
--- a/packages/heatherarch-lab/proofs/generation_proof.ts
+++ b/packages/heatherarch-lab/proofs/generation_proof.ts
@@ -85,7 +85,7 @@
     for (const operation of operations) {
       const index = pickAttemptIndex(attempts, operation.attempt);
       applyToAttempt(attempts[index], sentTokenCounts, {
-        at: index,
+        index,
         operation,
       });
       const expected = computeCompletion(options.prompt, MAX_TOKENS);
@@ -114,7 +114,7 @@
 function applyToAttempt(
   attempt: FakeAttempt,
   sentTokenCounts: number[],
-  { at: index, operation }: { at: number; operation: Operation },
+  { index, operation }: { index: number; operation: Operation },
 ): void {
   const before = sentTokenCounts[index] ?? 0;
   switch (operation.kind) {
@@ -177,10 +177,13 @@
 export const GENERATION_PROOF: Proof = {
   name: "generation",
   guards: GENERATION_GUARDS,
-  build: (off) =>
+  build: (disabledGuard) =>
     fc.property(
       fc.array(OPERATION, { minLength: 1, maxLength: 30, size: "max" }),
       (operations) =>
-        checkOperations(operations, buildGuardSet<GenerationGuard>(off)),
+        checkOperations(
+          operations,
+          buildGuardSet<GenerationGuard>(disabledGuard),
+        ),
     ),
 };
--- a/packages/heatherarch-lab/proofs/lease_proof.ts
+++ b/packages/heatherarch-lab/proofs/lease_proof.ts
@@ -230,12 +230,14 @@
 export const LEASE_PROOF: Proof = {
   name: "lease",
   guards: LEASE_GUARDS,
-  build: (off) =>
+  build: (disabledGuard) =>
     fc.property(
       fc.array(OPERATION, { minLength: 40, maxLength: 220, size: "max" }),
       (operations) => {
-        const world = new LeaseSimulation(buildGuardSet<LeaseGuard>(off));
-        for (const operation of operations) world.apply(operation);
+        const simulation = new LeaseSimulation(
+          buildGuardSet<LeaseGuard>(disabledGuard),
+        );
+        for (const operation of operations) simulation.apply(operation);
       },
     ),
 };
--- a/packages/heatherarch-lab/proofs/leaving_proof.ts
+++ b/packages/heatherarch-lab/proofs/leaving_proof.ts
@@ -135,13 +135,15 @@
 export const LEAVING_PROOF: Proof = {
   name: "leaving",
   guards: LEAVING_GUARDS,
-  build: (off) =>
+  build: (disabledGuard) =>
     fc.property(
       fc.array(OPERATION, { minLength: 4, maxLength: 60, size: "max" }),
       (operations) => {
-        const world = new LeavingSimulation(buildGuardSet<LeavingGuard>(off));
-        for (const operation of operations) world.apply(operation);
-        world.finish();
+        const simulation = new LeavingSimulation(
+          buildGuardSet<LeavingGuard>(disabledGuard),
+        );
+        for (const operation of operations) simulation.apply(operation);
+        simulation.finish();
       },
     ),
 };
--- a/packages/heatherarch-lab/proofs/membership_proof.ts
+++ b/packages/heatherarch-lab/proofs/membership_proof.ts
@@ -167,14 +167,14 @@
 export const MEMBERSHIP_PROOF: Proof = {
   name: "membership",
   guards: MEMBERSHIP_GUARDS,
-  build: (off) =>
+  build: (disabledGuard) =>
     fc.property(
       fc.array(OPERATION, { minLength: 4, maxLength: 60, size: "max" }),
       (operations) => {
-        const world = new MembershipSimulation(
-          buildGuardSet<MembershipGuard>(off),
+        const simulation = new MembershipSimulation(
+          buildGuardSet<MembershipGuard>(disabledGuard),
         );
-        for (const operation of operations) world.apply(operation);
+        for (const operation of operations) simulation.apply(operation);
       },
     ),
 };
--- a/packages/heatherarch-lab/proofs/order_write_proof.ts
+++ b/packages/heatherarch-lab/proofs/order_write_proof.ts
@@ -46,14 +46,14 @@
       guard: disabledGuard === CHECK_BEFORE_WRITE ? () => true : hasAuthority,
       timeoutMs: 1000,
     });
-    const hasLapsed = schedule.checksLeft < 2;
+    const hasExpired = schedule.checksLeft < 2;
     assertProperty(
-      !hasLapsed || server.ledger.ordersObeyed === 0,
+      !hasExpired || server.ledger.ordersObeyed === 0,
       "no order is obeyed under an expired authority",
       `${server.ledger.ordersObeyed} orders obeyed by a ${dialect} engine`,
     );
     assertProperty(
-      hasLapsed || server.ledger.ordersObeyed === 1,
+      hasExpired || server.ledger.ordersObeyed === 1,
       "an order under a valid authority is obeyed",
     );
   } finally {
@@ -66,12 +66,12 @@
 export const ORDER_WRITE_PROOF: Proof = {
   name: "order-write",
   guards: [CHECK_BEFORE_WRITE],
-  build: (off) =>
+  build: (disabledGuard) =>
     fc.asyncProperty(
       fc.record({
         dialect: fc.constantFrom("sse" as const, "ndjson" as const),
         checksLeft: fc.integer({ min: 0, max: 2 }),
       }),
-      (schedule) => checkSchedule(schedule, off),
+      (schedule) => checkSchedule(schedule, disabledGuard),
     ),
 };
--- a/packages/heatherarch-lab/proofs/parser_proof.ts
+++ b/packages/heatherarch-lab/proofs/parser_proof.ts
@@ -36,7 +36,7 @@
 }
 
 function buildBytes(
-  { dialect, parts, hasEndMarker: marked }: Schedule,
+  { dialect, parts, hasEndMarker }: Schedule,
 ): Buffer {
   const lines = parts.map((part) => {
     if (part.kind === "garbage") {
@@ -52,7 +52,7 @@
       }\n\n`
       : `${JSON.stringify({ tag: id, s: part.text })}\n`;
   });
-  if (marked) lines.push(buildEndMarker(dialect));
+  if (hasEndMarker) lines.push(buildEndMarker(dialect));
   return Buffer.from(lines.join(""));
 }
 
@@ -161,9 +161,10 @@
 export const PARSER_PROOF: Proof = {
   name: "parser",
   guards: PARSER_GUARDS,
-  build: (off) =>
+  build: (disabledGuard) =>
     fc.property(
       SCHEDULE,
-      (schedule) => checkSchedule(schedule, buildGuardSet<ParserGuard>(off)),
+      (schedule) =>
+        checkSchedule(schedule, buildGuardSet<ParserGuard>(disabledGuard)),
     ),
 };
--- a/packages/heatherarch-lab/proofs/quarantine_proof.ts
+++ b/packages/heatherarch-lab/proofs/quarantine_proof.ts
@@ -309,7 +309,7 @@
 export const QUARANTINE_PROOF: Proof = {
   name: "quarantine",
   guards: QUARANTINE_GUARDS,
-  build: (off) =>
+  build: (disabledGuard) =>
     fc.property(
       fc.record<Schedule>({
         requests: fc.array(SCHEDULED_REQUEST, { minLength: 1, maxLength: 60 }),
@@ -319,6 +319,6 @@
           maxLength: 8,
         }),
       }),
-      (schedule) => new QuarantineSimulation(schedule, off).run(),
+      (schedule) => new QuarantineSimulation(schedule, disabledGuard).run(),
     ),
 };
--- a/packages/heatherarch-lab/proofs/target_list_proof.ts
+++ b/packages/heatherarch-lab/proofs/target_list_proof.ts
@@ -316,8 +316,8 @@
     EARLIER_INCARNATIONS_GUARD,
     OLDER_UPDATES_GUARD,
   ],
-  build: (off) =>
+  build: (disabledGuard) =>
     fc.property(SCHEDULE, (schedule) => {
-      new TargetListSimulation(schedule, off).run();
+      new TargetListSimulation(schedule, disabledGuard).run();
     }),
 };
--- a/packages/heatherarch-lab/summary.ts
+++ b/packages/heatherarch-lab/summary.ts
@@ -55,7 +55,7 @@
   return [...runs.values()].filter((count) => count > 1).length;
 }
 
-/** Counts the bookings that were reported to the caller with `run: "no"`, although they ran. */
+/** Counts the bookings that were reported to the client with `run: "no"`, although they ran. */
 export function countNotRunButRun(
   records: readonly LoadRecord[],
   ledger: Pick<StandinLedger, "runs">,
--- a/packages/heatherarch-lab/caller.ts
+++ b/packages/heatherarch-lab/test_client.ts
@@ -1,5 +1,5 @@
 /**
- * A caller that sends requests as the users' clients do, and compares every response with the one
+ * A client that sends requests as the users' clients do, and compares every response with the one
  * that is expected for its request.
  *
  * @module
@@ -9,7 +9,7 @@
 import { createParser } from "eventsource-parser";
 import { computeCompletion } from "heatherarch-standins";
 
-/** How a request ended, as seen by its caller. */
+/** How a request ended, as its client observed it. */
 export type CallOutcome = "whole" | "wrong" | "cut" | "refused" | "failed";
 
 /** Result of one request. */
@@ -54,7 +54,7 @@
 }
 
 /** Sends requests over its own connection pool. */
-export class Caller {
+export class TestClient {
   readonly #agent = new Agent({ connections: 2000, keepAliveTimeout: 10_000 });
 
   async close(): Promise<void> {
--- a/packages/heatherarch-lab/tests/integration/at_most_once_test.ts
+++ b/packages/heatherarch-lab/tests/integration/at_most_once_test.ts
@@ -3,14 +3,14 @@
 import { sleep } from "heatherarch-core";
 import {
   buildDeployment,
-  Caller,
   Cluster,
   countKeysRunTwice,
   SHAPES,
+  TestClient,
 } from "../../mod.ts";
 
 let cluster: Cluster;
-const caller = new Caller();
+const client = new TestClient();
 
 before(async () => {
   cluster = new Cluster({ deployment: await buildDeployment(SHAPES.small) });
@@ -18,14 +18,14 @@
 });
 
 after(async () => {
-  await caller.close();
+  await client.close();
   await cluster.stop();
 });
 
 function sendBooking(vmIndex: number, key: string, passenger = key) {
   const url = `http://${cluster.deployment.vms[vmIndex].callers}`;
   const body = JSON.stringify({ passenger });
-  return caller.callService({
+  return client.callService({
     url,
     service: "bookings",
     method: "POST",
--- a/packages/heatherarch-lab/tests/integration/outage_test.ts
+++ b/packages/heatherarch-lab/tests/integration/outage_test.ts
@@ -3,16 +3,16 @@
 import { sleep } from "heatherarch-core";
 import {
   buildDeployment,
-  Caller,
   Cluster,
   type DeployedVm,
   SHAPES,
+  TestClient,
 } from "../../mod.ts";
 
 const MODEL = "reader-7b";
 let cluster: Cluster;
 let vms: readonly DeployedVm[];
-const caller = new Caller();
+const client = new TestClient();
 
 before(async () => {
   cluster = new Cluster({
@@ -27,7 +27,7 @@
 });
 
 after(async () => {
-  await caller.close();
+  await client.close();
   await cluster.stop();
 });
 
@@ -51,7 +51,7 @@
 function sendRequest(vm: DeployedVm, key?: string) {
   const url = `http://${vm.callers}`;
   if (key === undefined) {
-    return caller.generate({
+    return client.generate({
       url,
       model: MODEL,
       prompt: "a question",
@@ -59,7 +59,7 @@
     });
   }
   const body = JSON.stringify({ passenger: key });
-  return caller.callService({
+  return client.callService({
     url,
     service: "bookings",
     method: "POST",
--- a/packages/heatherarch-lab/tests/integration/poison_request_test.ts
+++ b/packages/heatherarch-lab/tests/integration/poison_request_test.ts
@@ -3,10 +3,10 @@
 import { sleep } from "heatherarch-core";
 import {
   buildDeployment,
-  Caller,
   type CallResult,
   Cluster,
   SHAPES,
+  TestClient,
 } from "../../mod.ts";
 
 const POISON = "ends whoever runs it";
@@ -18,7 +18,7 @@
 const RESTART_MS = 1500;
 
 let cluster: Cluster;
-const caller = new Caller();
+const client = new TestClient();
 
 before(async () => {
   cluster = new Cluster({ deployment: await buildDeployment(SHAPES.small) });
@@ -29,7 +29,7 @@
 });
 
 after(async () => {
-  await caller.close();
+  await client.close();
   await cluster.stop();
 });
 
@@ -52,7 +52,7 @@
 }
 
 function sendBooking(url: string, body: string): Promise<CallResult> {
-  return caller.callService({
+  return client.callService({
     url,
     service: "bookings",
     method: "POST",
@@ -95,7 +95,7 @@
       service.kind === "model" ? service.models : []
     )[0];
   const generate = (url: string, prompt: string) =>
-    caller.generate({ url, model, prompt, maxTokens: 4 });
+    client.generate({ url, model, prompt, maxTokens: 4 });
   await sendRepeatedly(MAX_CRASHES, (url) => generate(url, POISON));
   await sleep(QUARANTINE_PROPAGATION_MS);
   const rejected = await sendRepeatedly(4, (url) => generate(url, POISON));
--- a/packages/heatherarch-lab/tests/integration/streams_test.ts
+++ b/packages/heatherarch-lab/tests/integration/streams_test.ts
@@ -2,13 +2,13 @@
 import { after, before, test } from "node:test";
 import { sleep } from "heatherarch-core";
 import { computeCompletion } from "heatherarch-standins";
-import { buildDeployment, Caller, Cluster, SHAPES } from "../../mod.ts";
+import { buildDeployment, Cluster, SHAPES, TestClient } from "../../mod.ts";
 
 const MODEL = "reader-7b";
 const TOKENS = 100;
 let cluster: Cluster;
 let engines: string[];
-const caller = new Caller();
+const client = new TestClient();
 
 before(async () => {
   cluster = new Cluster({
@@ -21,7 +21,7 @@
 });
 
 after(async () => {
-  await caller.close();
+  await client.close();
   await cluster.stop();
 });
 
@@ -30,7 +30,7 @@
   return Array.from(
     { length: count },
     (_, i) =>
-      caller.generate({
+      client.generate({
         url,
         model: MODEL,
         prompt: `${prompt} ${i}`,
--- a/packages/heatherarch-lab/tests/integration/whole_path_test.ts
+++ b/packages/heatherarch-lab/tests/integration/whole_path_test.ts
@@ -2,15 +2,15 @@
 import { after, before, test } from "node:test";
 import {
   buildDeployment,
-  Caller,
   Cluster,
   runMixedLoad,
   SHAPES,
   summarizeLoad,
+  TestClient,
 } from "../../mod.ts";
 
 let cluster: Cluster;
-const caller = new Caller();
+const client = new TestClient();
 
 before(async () => {
   cluster = new Cluster({ deployment: await buildDeployment(SHAPES.small) });
@@ -18,7 +18,7 @@
 });
 
 after(async () => {
-  await caller.close();
+  await client.close();
   await cluster.stop();
 });
 
@@ -46,7 +46,7 @@
     prompt: "a long answer, please",
     maxTokens: 150,
   };
-  const streams = Array.from({ length: 8 }, () => caller.generate(call));
+  const streams = Array.from({ length: 8 }, () => client.generate(call));
   await new Promise((resolve) => setTimeout(resolve, 300));
   cluster.signalVm(vm.id, "SIGTERM");
   await new Promise((resolve) => setTimeout(resolve, 200));
--- a/packages/heatherarch-lab/tests/unit/lost_end_test.ts
+++ b/packages/heatherarch-lab/tests/unit/lost_end_test.ts
@@ -10,10 +10,10 @@
  * Starts a generation whose engine sends all tokens and then disconnects. `ends` lists the results
  * that the client gets.
  */
-function disconnectAfterLastToken(withResume: boolean) {
+function disconnectAfterLastToken(supportsResume: boolean) {
   const { host, attempts } = createFakeHost({
     engines: ["e1", "e2"],
-    supportsResume: withResume,
+    supportsResume,
   });
   const ends: unknown[] = [];
   const generation = new Generation({
