--- a/packages/heatherarch-lab/chaos/chaos_run.ts
+++ b/packages/heatherarch-lab/chaos/chaos_run.ts
@@ -1,6 +1,6 @@
 /**
- * Chaos run over real processes. Clients send a mix of requests while scheduled faults are injected.
- * Every response and every stand-in's ledger is checked.
+ * Chaos run over real processes. Clients send a mix of requests while faults are injected on a
+ * schedule. Every response and every stand-in's ledger is checked.
  *
  * @module
  */
@@ -237,14 +237,12 @@
     this.#options.print?.(
       `${Math.round(fault.atMs)} ms: ${fault.kind} for ${fault.durationMs} ms`,
     );
-    const wasInjected = await driver.run(fault).catch((error: Error) => {
+    const done = await driver.run(fault).catch((error: Error) => {
       this.#options.print?.(`${fault.kind}: ${error.message}`);
       return true;
     });
     window.endMs = performance.now();
-    if (!wasInjected) {
-      this.#faultWindows.splice(this.#faultWindows.indexOf(window), 1);
-    }
+    if (!done) this.#faultWindows.splice(this.#faultWindows.indexOf(window), 1);
   }
 
   /** Whether an unplanned fault or the recovery from one overlaps the time span. */
