--- a/packages/heatherarch-lab/bench/overload_result.ts
+++ b/packages/heatherarch-lab/bench/overload_result.ts
@@ -38,9 +38,9 @@
 /** Result of one kind of request. */
 export interface KindResult extends ServedShares {
   readonly asked: number;
-  /** Of the largest tenth of the prompts. */
+  /** Shares of the largest tenth of the prompts. */
   readonly largestTenth: ServedShares;
-  /** Of the fifth below the largest tenth. */
+  /** Shares of the fifth of the prompts below the largest tenth. */
   readonly fifthBelow: ServedShares;
 }
 
--- a/packages/heatherarch-lab/bench/placement_simulation.ts
+++ b/packages/heatherarch-lab/bench/placement_simulation.ts
@@ -3,9 +3,9 @@
  * work. The simulation runs in simulated time without a network. Prefill queue, placement and
  * prefill time model are those of the product.
  *
- * Simulated are arrivals by kind of request with a burst, engines that prefill in order of arrival,
- * the age of the digests through which VMs know of each other's work, and caches that retain a
- * prefix for a fixed time. Decode, faults and lost messages are not simulated.
+ * The simulation covers arrivals by kind of request with a burst, engines that prefill in order of
+ * arrival, the age of the digests through which VMs know of each other's work, and caches that
+ * retain a prefix for a fixed time. Decode, faults and lost messages are not simulated.
  *
  * @module
  */
--- a/packages/heatherarch-lab/chaos/chaos_report.ts
+++ b/packages/heatherarch-lab/chaos/chaos_report.ts
@@ -159,7 +159,7 @@
   };
 }
 
-/** Returns the times after each drain at which its target last began work. */
+/** Returns for each drain the time from its acceptance until its target last began work. */
 function listNewWorkDelaysMs({ drains }: ChaosFindings): number[] {
   return drains.map(({ lastWorkAtMs, atMs }) => lastWorkAtMs - atMs);
 }
--- a/packages/heatherarch-lab/chaos/fault_schedule.ts
+++ b/packages/heatherarch-lab/chaos/fault_schedule.ts
@@ -48,7 +48,7 @@
   /** Time from the start of the run, milliseconds. */
   readonly atMs: number;
   readonly durationMs: number;
-  /** Selects the VM, zone, target or link, modulo their number. */
+  /** Selects the VM, zone, target or link: an index modulo their number. */
   readonly selector: number;
 }
 
