--- a/packages/heatherarch-daemon/claim_service.ts
+++ b/packages/heatherarch-daemon/claim_service.ts
@@ -99,10 +99,12 @@
     return this.#pendingOutcomes;
   }
 
+  /** Lists the counters of the shards that this VM has used. */
   listCounters(): ClaimShardCounters[] {
     return [...this.#shards.values()].map((shard) => shard.readCounters());
   }
 
+  /** Claims a key under a new claim id. */
   async claim(
     request: { key: string; madeAtMs: number; fingerprint: string },
   ): Promise<ClaimResult> {
@@ -126,7 +128,7 @@
       clock.readMonotonicMs() < validUntilMs &&
       this.#findOwner(call.key) === owner;
     if (verdict.ok) {
-      return this.#buildAnswer(verdict.val as ClaimVerdict, call, isValid);
+      return this.#buildClaimResult(verdict.val as ClaimVerdict, call, isValid);
     }
     // The claim is not used, so the key is released as soon as the log responds.
     void this.#concludeWithRetries({ claimId: call.claimId, key: call.key });
@@ -146,7 +148,7 @@
     ) await sleep(20);
   }
 
-  #buildAnswer(
+  #buildClaimResult(
     verdict: ClaimVerdict,
     call: ClaimCall,
     isValid: () => boolean,
@@ -155,7 +157,7 @@
       case "granted":
         return { kind: "granted", claim: this.#buildHeldClaim(call, isValid) };
       case "taken":
-        return this.#buildTakenAnswer(verdict.holder);
+        return this.#buildTakenResult(verdict.holder);
       case "reused":
         return buildRefusal(
           new ServeError("keyReused", "the key was used for another call"),
@@ -168,9 +170,9 @@
     }
   }
 
-  #buildTakenAnswer(holder: KeyState): ClaimResult {
+  #buildTakenResult(holder: KeyState): ClaimResult {
     if (holder.outcome !== undefined) {
-      return { kind: "answered", answer: holder.outcome };
+      return { kind: "answered", response: holder.outcome };
     }
     const ageMs = this.#options.clock.readWallMs() - holder.claimedAtMs;
     const isAlive = ageMs < MEMBERSHIP_GRACE_MS ||
@@ -189,8 +191,8 @@
     const { claimId, key } = call;
     return {
       isValid,
-      conclude: (answer: StoredResponse) =>
-        void this.#concludeWithRetries({ claimId, key, answer }),
+      conclude: (response: StoredResponse) =>
+        void this.#concludeWithRetries({ claimId, key, answer: response }),
       renew: () => this.#claimWithId(call),
       release: () => void this.#concludeWithRetries({ claimId, key }),
     };
--- a/packages/heatherarch-daemon/components.ts
+++ b/packages/heatherarch-daemon/components.ts
@@ -138,7 +138,7 @@
   return new RequestQuarantine({ maxCrashes, holdMs: holdSeconds * 1000 });
 }
 
-/** Builds the quarantine watch, which logs lost exchanges, crashes and quarantine changes. */
+/** Builds the quarantine watch, which logs lost attempts, crashes and quarantine changes. */
 export function buildQuarantineWatch(components: Components): QuarantineWatch {
   const { quarantine, clock, table, logger } = components;
   const crashDetector = new CrashDetector({
@@ -183,7 +183,7 @@
     // Resolved on first use, since the heartbeat builder depends on components that need the mesh.
     buildHeartbeat: (link, peer) =>
       components.heartbeatBuilder.build(link, peer),
-    onLinkClosed: (fault) => metrics.faults.inc({ kind: `mesh:${fault}` }),
+    onLinkClosed: (reason) => metrics.faults.inc({ kind: `mesh:${reason}` }),
     ...(tls === undefined ? {} : {
       tls: {
         cert: readFileSync(tls.certificateFile, "utf8"),
--- a/packages/heatherarch-daemon/config_reader.ts
+++ b/packages/heatherarch-daemon/config_reader.ts
@@ -1,7 +1,7 @@
 /**
  * Keeps the configuration current. In each availability zone a few relays follow the log. The other
  * VMs fetch updates from peers whose heartbeats announce a newer offset. A VM that can't reach the
- * log fetches from its most current peers.
+ * log fetches from the peers with the newest configuration.
  *
  * @module
  */
@@ -51,7 +51,7 @@
 /** Interval at which a VM checks whether it has become a relay. */
 const RELAY_CHECK_INTERVAL_MS = 1000;
 /** Maximum number of records in one read. */
-const READ_PAGE = 500;
+const READ_PAGE_SIZE = 500;
 
 const PEER_RESPONSE = z.union([
   z.object({
@@ -165,8 +165,8 @@
   /** Reads one page. Returns whether the end of the stream was reached. */
   async #readLog(waitMs: number): Promise<boolean> {
     const from = this.state.offset + 1;
-    const askedAtMs = this.#options.clock.readMonotonicMs();
-    const options = { maxRecords: READ_PAGE, waitMs };
+    const sentAtMs = this.#options.clock.readMonotonicMs();
+    const options = { maxRecords: READ_PAGE_SIZE, waitMs };
     const slice = await this.#options.log.read(CONFIG_STREAM, from, options);
     const verdict = classifySlice(from, slice);
     if (verdict.kind === "gap") {
@@ -174,7 +174,7 @@
       return false;
     }
     this.#applyRecords(verdict.records);
-    if (verdict.isCurrent) this.#currentAtMs = askedAtMs;
+    if (verdict.isCurrent) this.#currentAtMs = sentAtMs;
     return verdict.isCurrent;
   }
 
@@ -240,12 +240,12 @@
         body,
         PEER_CALL_TIMEOUT_MS,
       );
-      const answer = PEER_RESPONSE.parse(reply);
-      if (answer.kind === "records") {
-        this.#applyRecords(answer.records as LogRecord[]);
+      const response = PEER_RESPONSE.parse(reply);
+      if (response.kind === "records") {
+        this.#applyRecords(response.records as LogRecord[]);
         return;
       }
-      const state = parseConfigState(answer.state);
+      const state = parseConfigState(response.state);
       if (state !== undefined) this.#loadState(state);
     } catch {
       // The peer is gone or sent an invalid response. The next heartbeat or poll retries.
--- a/packages/heatherarch-daemon/control_task.ts
+++ b/packages/heatherarch-daemon/control_task.ts
@@ -46,7 +46,7 @@
 const RETRY_DELAY_MS = 150;
 const CANDIDATE_CHECK_INTERVAL_MS = 300;
 /** Maximum number of records in one read. */
-const READ_PAGE = 500;
+const READ_PAGE_SIZE = 500;
 
 /** The control stream of one availability zone, as one VM sees it. */
 export class ControlTask {
@@ -157,7 +157,7 @@
     const from = this.state.offset + 1;
     const sentAtMs = this.#options.clock.readMonotonicMs();
     const slice = await this.#options.log.read(this.#stream, from, {
-      maxRecords: READ_PAGE,
+      maxRecords: READ_PAGE_SIZE,
       waitMs: Math.min(
         this.#options.pollWaitMs,
         this.#options.settings.renewMs,
--- a/packages/heatherarch-daemon/entry_vm.ts
+++ b/packages/heatherarch-daemon/entry_vm.ts
@@ -59,7 +59,7 @@
 const REPORT_LAG_MS = 300;
 const METRICS_INTERVAL_MS = 1000;
 const FLUSH_TIMEOUT_MS = 5000;
-/** A VM reports itself ready without a usable target of each service after this time. */
+/** Time after which a VM reports itself ready even if a service has no usable target. */
 const DISCOVERY_GRACE_MS = 5000;
 
 /** The process of one entry VM. */
@@ -313,7 +313,10 @@
       `no target of ${unseenService.name} has been seen yet`;
   }
 
-  /** One engine model is used for all model services. It starts from the first one's speeds. */
+  /**
+   * Sets the initial speeds of the engine model to those of the first model service. All model
+   * services share the model.
+   */
   #applySpeeds(): void {
     const { config, model } = this.#components;
     const services = config.state.fleet?.services ?? [];
--- a/packages/heatherarch-daemon/heartbeat_builder.ts
+++ b/packages/heatherarch-daemon/heartbeat_builder.ts
@@ -112,8 +112,9 @@
   }
 
   /**
-   * Sends a peer of the own zone the reports of the targets that this VM watches itself, and a peer
-   * of another zone the reports of all targets of the own zone.
+   * Builds the report rows for a peer. A peer in this VM's zone receives the reports of the targets
+   * that this VM watches itself. A peer in another zone receives those of all targets in this VM's
+   * zone.
    */
   #buildReports(
     progress: LinkProgress,
--- a/packages/heatherarch-daemon/metrics.ts
+++ b/packages/heatherarch-daemon/metrics.ts
@@ -160,19 +160,19 @@
     );
   }
 
-  recordResult(end: RequestResult): void {
-    const { service, profile, outcome } = end;
+  recordResult(result: RequestResult): void {
+    const { service, profile, outcome } = result;
     this.requests.inc({ service, profile, outcome });
-    this.duration.observe({ service }, end.durationMs / 1000);
-    if (end.firstTokenMs !== undefined) {
-      this.firstToken.observe({ profile }, end.firstTokenMs / 1000);
+    this.duration.observe({ service }, result.durationMs / 1000);
+    if (result.firstTokenMs !== undefined) {
+      this.firstToken.observe({ profile }, result.firstTokenMs / 1000);
     }
-    if (end.gapMs !== undefined) {
-      this.tokenGap.observe({ profile }, end.gapMs / 1000);
+    if (result.gapMs !== undefined) {
+      this.tokenGap.observe({ profile }, result.gapMs / 1000);
     }
-    if (!end.isWithinDeadline) return;
+    if (!result.isWithinDeadline) return;
     this.goodput.inc({ service, profile });
-    this.goodputTokens.inc({ service }, end.outputTokens ?? 0);
+    this.goodputTokens.inc({ service }, result.outputTokens ?? 0);
   }
 
   recordRetry(reason: string): void {
--- a/packages/heatherarch-daemon/order_executor.ts
+++ b/packages/heatherarch-daemon/order_executor.ts
@@ -36,7 +36,7 @@
   VersionChecker,
 } from "./version_checker.ts";
 
-/** The parts of the control task that give an order its authority. */
+/** Members of the control task that the executor uses: its authority, its state and appends. */
 export type OrderAuthority =
   & Pick<ControlTask, "appendAndRead" | "hasAuthority" | "state">
   & { readonly machine: Pick<LeaseStateMachine, "fencing"> };
@@ -311,12 +311,12 @@
       control.hasAuthority() && control.machine.fencing === claimOffset;
     // The lease may have lapsed and been claimed again during the read of the engine's state.
     if (!isUnderOwnClaim()) return LEASE_LAPSED;
-    const answer = await engine.sendOrder(intent.order, {
+    const response = await engine.sendOrder(intent.order, {
       fencing: claimOffset,
       guard: isUnderOwnClaim,
       timeoutMs: ORDER_TIMEOUT_MS,
     });
-    switch (answer.kind) {
+    switch (response.kind) {
       case "accepted":
       // The order may have arrived. The engine's state shows the outcome.
       case "unknown":
@@ -326,7 +326,7 @@
       case "withheld":
         return LEASE_LAPSED;
       case "refused":
-        return answer.detail;
+        return response.detail;
     }
   }
 
@@ -353,7 +353,7 @@
     result: OrderResult,
     detail: string,
   ): Promise<void> {
-    const { control, logger, onOutcome: noteOutcome } = this.#options;
+    const { control, logger, onOutcome } = this.#options;
     const { intentId, target } = intent;
     const isRead = await control.appendAndRead(
       {
@@ -369,7 +369,7 @@
       APPEND_TIMEOUT_MS,
     );
     if (!isRead) return;
-    noteOutcome(result);
+    onOutcome(result);
     logger.info("order concluded", {
       target,
       order: describeOrder(intent.order),
--- a/packages/heatherarch-daemon/status_report.ts
+++ b/packages/heatherarch-daemon/status_report.ts
@@ -22,7 +22,7 @@
   const nowMs = clock.readMonotonicMs();
   const { claim } = control.state;
   return {
-    vm: { ...identity, leaving: leaving, inFlight: gateway.inFlight },
+    vm: { ...identity, leaving, inFlight: gateway.inFlight },
     config: {
       offset: config.state.offset,
       fleetRevision: config.state.fleetRevision,
--- a/packages/heatherarch-daemon/target_table.ts
+++ b/packages/heatherarch-daemon/target_table.ts
@@ -128,6 +128,7 @@
     return this.#changingByZone.get(availabilityZone) ?? NO_CHANGING_TARGETS;
   }
 
+  /** Lists the usable targets of a service. Ejected ones are listed only if there are no others. */
   listCandidates(service: string): Candidate[] {
     const nowMs = this.#options.clock.readMonotonicMs();
     const usable: Candidate[] = [];
@@ -192,6 +193,7 @@
     return service;
   }
 
+  /** Ejects a target. The time doubles with each failure, up to a maximum, until a success. */
   recordFailure(id: string): void {
     const failures = (this.#ejections.get(id)?.failures ?? 0) + 1;
     const ejectionMs = Math.min(
@@ -204,6 +206,7 @@
     });
   }
 
+  /** Ends the ejection of a target. */
   recordSuccess(id: string): void {
     this.#ejections.delete(id);
   }
--- a/packages/heatherarch-gateway/gateway.ts
+++ b/packages/heatherarch-gateway/gateway.ts
@@ -53,6 +53,7 @@
 const RESUME_PATH = /^\/v1\/streams\/([A-Za-z0-9._-]+)$/;
 const SERVICE_PATH = /^\/services\/([a-z0-9._-]+)(\/.*)?$/;
 const REQUEST_ID = /^[A-Za-z0-9._-]{1,128}$/;
+
 /** Serves the requests of clients. */
 export class Gateway {
   readonly #host: GatewayHost;
@@ -247,7 +248,7 @@
       maxTokens,
       deadlineAtMs,
       resumable: isResumable(ctx),
-      admitted: admitted,
+      admitted,
       release,
     });
   }
@@ -291,7 +292,7 @@
         body: body.length > 0 ? body : undefined,
         deadlineAtMs,
         key,
-        admitted: admitted,
+        admitted,
       });
       for (const [name, value] of Object.entries(response.headers)) {
         ctx.set(name, value);
--- a/packages/heatherarch-gateway/gateway_host.ts
+++ b/packages/heatherarch-gateway/gateway_host.ts
@@ -64,7 +64,7 @@
 /** Result of a claim. */
 export type ClaimResult =
   | { readonly kind: "granted"; readonly claim: HeldClaim }
-  | { readonly kind: "answered"; readonly answer: StoredResponse }
+  | { readonly kind: "answered"; readonly response: StoredResponse }
   | { readonly kind: "refused"; readonly error: ServeError };
 
 /** Claims idempotency keys. */
--- a/packages/heatherarch-gateway/plain_call.ts
+++ b/packages/heatherarch-gateway/plain_call.ts
@@ -120,7 +120,7 @@
     case "granted":
       return await callOnce(host, request, claimResult.claim);
     case "answered":
-      return restoreResponse(claimResult.answer);
+      return restoreResponse(claimResult.response);
     case "refused": {
       const mayForward = claimResult.error.kind === "platformUnavailable" &&
         request.service.honoursKey;
@@ -160,7 +160,7 @@
       hasRenewed = true;
       const renewal = await claim.renew();
       if (renewal.kind === "refused") throw renewal.error;
-      if (renewal.kind === "answered") return restoreResponse(renewal.answer);
+      if (renewal.kind === "answered") return restoreResponse(renewal.response);
       claim = renewal.claim;
       continue;
     }
--- a/packages/heatherarch-log/config_fold.ts
+++ b/packages/heatherarch-log/config_fold.ts
@@ -57,7 +57,7 @@
   readonly profiles: Readonly<Record<string, ProfileRevision>>;
   readonly directives: Readonly<Record<string, DirectiveRevision>>;
   readonly audit: readonly AuditEntry[];
-  /** Ids of recent records. They prevent that a repeated append takes effect twice. */
+  /** Ids of recent records. They prevent a repeated append from taking effect twice. */
   readonly seen: readonly string[];
 }
 
--- a/packages/heatherarch-log/tests/unit/log_test.ts
+++ b/packages/heatherarch-log/tests/unit/log_test.ts
@@ -13,9 +13,9 @@
 } from "../../mod.ts";
 
 /** Creates a log whose first appends take effect but lose their response. */
-function createLossyLog(losses: number): LogPort & { records: LogRecord[] } {
+function createLossyLog(lossCount: number): LogPort & { records: LogRecord[] } {
   const records: LogRecord[] = [];
-  let left = losses;
+  let left = lossCount;
   return {
     records,
     append: (_stream, data) => {
--- a/packages/heatherarch-settings/forward_settings.ts
+++ b/packages/heatherarch-settings/forward_settings.ts
@@ -84,7 +84,7 @@
     silenceMs: buildMsSchema(50, 600_000, 1200),
     linksPerZone: z.int().min(1).max(1000).default(32),
     /**
-     * Minimum number of VMs for links over hubs. A full mesh of 80 VMs took 0.12 of a core each.
+     * Number of VMs from which links run over hubs. At 80 VMs, a full mesh cost 0.12 of a core.
      */
     hubsFromVms: z.int().min(2).default(20),
     hubsPerZone: z.int().min(1).max(16).default(2),
@@ -112,7 +112,7 @@
   shutdown: z.object({
     /** Time between the stop request and the kill of the process. */
     graceSeconds: z.number().min(0.5).max(3600).default(8),
-    /** Time for which the VM reports that it is not ready before it stops to accept connections. */
+    /** Time for which the VM reports that it is not ready before it stops accepting connections. */
     noticeMs: buildMsSchema(0, 60_000, 2800),
   }).prefault({}),
   logs: z.object({
--- a/packages/heatherarch-standins/engine_simulation.ts
+++ b/packages/heatherarch-standins/engine_simulation.ts
@@ -180,7 +180,7 @@
     this.#schedule(0);
   }
 
-  /** Drops one sequence without telling its listener. */
+  /** Drops one sequence without notifying its listener. */
   cancel(attemptId: string): void {
     for (const list of [this.#running, this.#waiting]) {
       const index = list.findIndex((sequence) =>
@@ -190,7 +190,7 @@
     }
   }
 
-  /** Drops all sequences, tells their listeners, and returns the number of sequences. */
+  /** Drops all sequences, notifies their listeners, and returns the number of sequences. */
   dropAll(): number {
     const all = [...this.#running.splice(0), ...this.#waiting.splice(0)];
     for (const sequence of all) sequence.listener?.onDropped();
--- a/packages/heatherarch-targets/dispatch.ts
+++ b/packages/heatherarch-targets/dispatch.ts
@@ -7,7 +7,10 @@
  */
 import { type Dispatcher } from "undici";
 
-/** Reason for a failed dispatch. */
+/**
+ * Reason for a failed dispatch: `notSent` if no byte was written, `withheld` if the guard rejected
+ * the request, `silent` if no data arrived within a timeout, and `broken` for any other failure.
+ */
 export type DispatchFailure = "notSent" | "withheld" | "broken" | "silent";
 
 /** Receives the response. Exactly one of `onDone` and `onFailure` is called last. */
--- a/packages/heatherarch-targets/engine_client.ts
+++ b/packages/heatherarch-targets/engine_client.ts
@@ -218,11 +218,11 @@
 
   constructor(
     limits: { firstByteMs: number; gapMs: number },
-    onSilent: () => void,
+    onTimeout: () => void,
   ) {
     this.#gapMs = limits.gapMs;
-    this.#onTimeout = onSilent;
-    this.#timer = setTimeout(onSilent, limits.firstByteMs);
+    this.#onTimeout = onTimeout;
+    this.#timer = setTimeout(onTimeout, limits.firstByteMs);
   }
 
   recordBytes(): void {
--- a/packages/heatherarch-targets/engine_port.ts
+++ b/packages/heatherarch-targets/engine_port.ts
@@ -54,7 +54,7 @@
 export interface EngineSink {
   /** Called with the tokens that arrived together, in order. */
   onTokens(texts: readonly string[]): void;
-  onEnd(end: EngineResult): void;
+  onEnd(result: EngineResult): void;
   onFailure(failure: EngineFailure, detail: string): void;
 }
 
