--- a/packages/heatherarch-settings/fleet.ts
+++ b/packages/heatherarch-settings/fleet.ts
@@ -26,8 +26,10 @@
 const SPEEDS = z.strictObject({
   /** Duration of a step with an empty batch, milliseconds. */
   stepMs: z.number().min(0.01).max(10_000).default(12),
+  /** Time that each decoding sequence adds to a step, milliseconds. */
   decodeMsPerSequence: z.number().min(0).max(1000).default(0.15),
   prefillTokensPerSecond: z.number().min(1).max(1e7).default(8000),
+  /** Time to transfer the KV cache of one prompt token, milliseconds. */
   kvMsPerToken: z.number().min(0).max(100).default(0.004),
 });
 
@@ -74,6 +76,7 @@
   requestsPerSecond: z.number().min(0.01).max(1e6).default(100),
   burst: z.int().min(1).max(1e6).default(200),
   maxConcurrent: z.int().min(1).max(1e6).default(1000),
+  /** Weight in the fair shares of the client accounts while a VM is near its maximum. */
   weight: z.number().min(0.01).max(1000).default(1),
 });
 
--- a/packages/heatherarch-settings/process_settings.ts
+++ b/packages/heatherarch-settings/process_settings.ts
@@ -64,6 +64,7 @@
     heartbeatMs: buildMsSchema(10, 60_000, 500),
     /** Minimum heartbeat interval per link, so that more links have less frequent heartbeats. */
     heartbeatPerLinkMs: buildMsSchema(0, 10_000, 80),
+    /** Minimum silence after which a peer is suspect; longer for a peer with a long interval. */
     silenceMs: buildMsSchema(50, 600_000, 2500),
     maxFrameBytes: z.int().min(1024).max(64 * 1024 * 1024).default(
       4 * 1024 * 1024,
@@ -72,19 +73,25 @@
   }).prefault({}),
   operators: z.array(OPERATOR).default([]),
   lease: z.strictObject({
+    /** Duration of the lease after a claim or renewal. */
     durationMs: buildMsSchema(100, 600_000, 4000),
+    /** Upper bound on the drift between the monotonic clocks of two VMs within one lease. */
     driftMs: buildMsSchema(10, 60_000, 500),
+    /** Interval between renewals. */
     renewMs: buildMsSchema(20, 60_000, 1000),
     /** Time for which a new holder sends no orders to engines that ignore fencing tokens. */
     settleMs: buildMsSchema(0, 600_000, 1500),
   }).prefault({}),
   claims: z.strictObject({
     shards: z.int().min(1).max(4096).default(4),
+    /** Time for which claims are collected before an append. */
     batchMs: buildMsSchema(0, 1000, 5),
     maxBatch: z.int().min(1).max(10_000).default(500),
+    /** Time for which a granted claim is valid, counted from the time at which it was sent. */
     permissionMs: buildMsSchema(50, 60_000, 2000),
     /** Time for which a key is kept after the time that it carries. */
     keyWindowMs: buildMsSchema(1000, 30 * 86_400_000, 86_400_000),
+    /** Maximum time by which the time of a key may be in the future. */
     futureSkewMs: buildMsSchema(0, 3_600_000, 60_000),
   }).prefault({}),
   requests: z.strictObject({
--- a/packages/heatherarch-settings/profile.ts
+++ b/packages/heatherarch-settings/profile.ts
@@ -32,6 +32,7 @@
   routing: z.enum(ROUTING_KINDS).default("prefixAffinity"),
   deadlineMs: z.int().min(50).max(3_600_000).default(60_000),
   firstTokenMs: z.int().min(1).max(600_000).default(870),
+  /** Gap between tokens that routing allows. */
   tokenGapMs: z.int().min(1).max(60_000).default(37),
   maxOutputTokens: z.int().min(1).max(1_000_000).default(4096),
   maxPromptTokens: z.int().min(1).max(10_000_000).default(131_072),
