--- a/packages/heatherarch-log/tests/unit/http_log_test.ts
+++ b/packages/heatherarch-log/tests/unit/http_log_test.ts
@@ -40,8 +40,8 @@
   };
 }
 
-// All idle connections became unresponsive together. Each one was then tried in turn, and each try
-// took a whole timeout.
+// Guards against reads that use one unresponsive connection after the other, each for a whole
+// timeout, after all idle connections have become unresponsive together.
 test("a read after a timeout uses a new connection", async () => {
   const { log, silence } = await startLog();
   const reads = Array.from({ length: CONNECTIONS }, () => log.read("s", 0));
