--- a/packages/heatherarch-daemon/components.ts
+++ b/packages/heatherarch-daemon/components.ts
@@ -162,7 +162,7 @@
       request,
       source: isOwn ? "own" : "peer",
       endedTargets: quarantine.findQuarantined(request, clock.readMonotonicMs())
-        ?.lives,
+        ?.incarnations,
     })
   );
   return watch;
--- a/packages/heatherarch-forward/calls/call_context.ts
+++ b/packages/heatherarch-forward/calls/call_context.ts
@@ -284,11 +284,13 @@
     exchange?.abort(QUARANTINED_REASON);
   }
 
-  #refuseQuarantined({ request, lives, untilMs }: QuarantinedRequest): void {
+  #refuseQuarantined(
+    { request, incarnations, untilMs }: QuarantinedRequest,
+  ): void {
     this.dependencies.metrics.callsQuarantined.inc();
     this.refuse("quarantined", QUARANTINED_REASON, {
       retryAfterMs: untilMs - this.nowMs,
-      detail: { request, endedTargets: lives },
+      detail: { request, endedTargets: incarnations },
     });
   }
 
--- a/packages/heatherarch-forward/fleet/fleet_gossip.ts
+++ b/packages/heatherarch-forward/fleet/fleet_gossip.ts
@@ -85,7 +85,7 @@
     );
     cursors.crashes = cursor;
     if (reports.length === 0) return {};
-    return { crashes: reports.map((note): CrashMessage => [...note]) };
+    return { crashes: reports.map((report): CrashMessage => [...report]) };
   }
 
   #buildLeaving(cursors: LinkCursors): GossipFields {
--- a/packages/heatherarch-forward/fleet/fleet_mesh.ts
+++ b/packages/heatherarch-forward/fleet/fleet_mesh.ts
@@ -140,8 +140,8 @@
       onRound: () => this.#hubs.beginRound(),
       buildHeartbeat: (link, peer) => this.#buildHeartbeat(link, peer),
       onLoopStall: (stall) => this.#handleStall(stall),
-      onLinkClosed: (fault) =>
-        options.log.write("debug", "meshLinkEnded", { fault }),
+      onLinkClosed: (reason) =>
+        options.log.write("debug", "meshLinkEnded", { fault: reason }),
     });
     this.#configExchange = new ConfigExchange({
       ...options,
@@ -295,7 +295,7 @@
       work: workTracker.listOwnRows(clock.readMonotonicMs())
         .map((row): [string, number, number, ...number[]] => [...row]),
       ...(updates.length === 0 ? {} : {
-        prompts: updates.map((note): [string, string, number] => [...note]),
+        prompts: updates.map((update): [string, string, number] => [...update]),
       }),
       ...(changing.length === 0 ? {} : { changing: [0, [...changing]] }),
     };
--- a/packages/heatherarch-forward/fleet/hub_exchange.ts
+++ b/packages/heatherarch-forward/fleet/hub_exchange.ts
@@ -330,13 +330,13 @@
   }
 
   /** Builds the digest of the fleet and the target list for a VM of this zone. */
-  #buildFleetFields(link: Link, peer: PeerSubscription): HubFields {
-    const isFull = peer.wants === "all";
-    if (isFull) peer.wants = "changes";
+  #buildFleetFields(link: Link, state: PeerSubscription): HubFields {
+    const isFull = state.wants === "all";
+    if (isFull) state.wants = "changes";
     return {
       digest: {
         scope: "fleet",
-        counted: peer.counted,
+        counted: state.counted,
         ...this.#digests.getFleetDigest(this.#nowMs),
       },
       targets: this.#listRelay.buildFeed(
--- a/packages/heatherarch-forward/fleet/peer_subscriptions.ts
+++ b/packages/heatherarch-forward/fleet/peer_subscriptions.ts
@@ -33,7 +33,7 @@
   handleHeartbeat(
     heartbeat: Heartbeat,
     from: LinkIdentity,
-    isNear: boolean,
+    isSameZone: boolean,
     nowMs: number,
   ): void {
     this.#subscriptions.set(from.incarnation, {
@@ -41,7 +41,7 @@
       listWanted: heartbeat.listWanted,
       counted: this.find(from.incarnation)?.counted ?? NO_HEARTBEAT,
       heardAtMs: nowMs,
-      isSameZone: isNear,
+      isSameZone,
     });
   }
 
--- a/packages/heatherarch-forward/fleet/target_feed.ts
+++ b/packages/heatherarch-forward/fleet/target_feed.ts
@@ -10,7 +10,7 @@
 import type { DirectoryChanges } from "../state/target_directory.ts";
 
 /** Encoded age of a feed whose source can't read the store. */
-const LOST_AGE = -1;
+const STALE_AGE = -1;
 
 /** Encodes a feed. An infinite age marks a source that can't read the store; it has no rows. */
 export function encodeFeed(
@@ -18,7 +18,7 @@
   changes: DirectoryChanges | undefined,
 ): TargetFeed {
   return {
-    ageMs: Number.isFinite(ageMs) ? Math.round(ageMs) : LOST_AGE,
+    ageMs: Number.isFinite(ageMs) ? Math.round(ageMs) : STALE_AGE,
     isFull: changes?.isFull ?? false,
     rows: (changes?.entries ?? []).map(encodeEntry),
   };
@@ -26,7 +26,7 @@
 
 /** Returns the age of a feed, milliseconds; Infinity if its source can't read the store. */
 export function readFeedAge(feed: TargetFeed): number {
-  return feed.ageMs === LOST_AGE ? Infinity : feed.ageMs;
+  return feed.ageMs === STALE_AGE ? Infinity : feed.ageMs;
 }
 
 /** Decodes the rows of a feed. */
--- a/packages/heatherarch-forward/fleet/vm_list_follower.ts
+++ b/packages/heatherarch-forward/fleet/vm_list_follower.ts
@@ -22,7 +22,7 @@
 /** Pauses between the first polls. VMs that start together appear in the list soon. */
 const STARTUP_POLL_INTERVALS_MS = [1000, 2500, 4000];
 const POLL_INTERVAL_MS = 12_000;
-const FED_POLL_INTERVAL_MS = 60_000;
+const POLL_INTERVAL_WITH_FEED_MS = 60_000;
 /** Peers don't know a VM that is not listed, so it retries soon. */
 const UNLISTED_POLL_INTERVAL_MS = 1000;
 
@@ -58,11 +58,11 @@
 
   /** Removes this VM from the list. */
   async leave(): Promise<void> {
-    const { vms, self, onError: onFault } = this.#options;
+    const { vms, self, onError } = this.#options;
     try {
       await vms.put(self.id, undefined);
     } catch (error) {
-      onFault(error);
+      onError(error);
     }
   }
 
@@ -97,7 +97,7 @@
 
   #pickPauseMs(): number {
     if (!this.#isAnnounced) return UNLISTED_POLL_INTERVAL_MS;
-    if (this.#options.hasFreshFeed()) return FED_POLL_INTERVAL_MS;
+    if (this.#options.hasFreshFeed()) return POLL_INTERVAL_WITH_FEED_MS;
     return STARTUP_POLL_INTERVALS_MS[this.#pollCount] ?? POLL_INTERVAL_MS;
   }
 }
--- a/packages/heatherarch-forward/forward_vm.ts
+++ b/packages/heatherarch-forward/forward_vm.ts
@@ -260,7 +260,7 @@
           request,
           source,
           account: quarantined.account,
-          endedTargets: quarantined.lives,
+          endedTargets: quarantined.incarnations,
           holdMs: Math.round(quarantined.untilMs - quarantined.sinceMs),
         });
       }
--- a/packages/heatherarch-forward/tasks/quarantine_persistence.ts
+++ b/packages/heatherarch-forward/tasks/quarantine_persistence.ts
@@ -83,7 +83,7 @@
     if (kind === "held" && entry === undefined) return;
     const record = entry === undefined ? undefined : {
       account: entry.account,
-      lives: entry.lives,
+      lives: entry.incarnations,
       atUnixMs: clock.readWallMs() - (nowMs - entry.sinceMs),
     };
     await this.#runWithRetry(
--- a/packages/heatherarch-forward/tasks/role_controller.ts
+++ b/packages/heatherarch-forward/tasks/role_controller.ts
@@ -205,10 +205,11 @@
     const { vmId, listOrderCandidates, isCoordinator = () => true } =
       this.#options;
     const ownWeight = computeRendezvousWeight(CONTROL_STREAM, vmId);
-    const rankedFirst = listOrderCandidates().filter((id) =>
+    const rankedBefore = listOrderCandidates().filter((id) =>
       computeRendezvousWeight(CONTROL_STREAM, id) > ownWeight
     );
-    return rankedFirst.length * TURN_MS + (isCoordinator() ? 0 : SPARE_TURN_MS);
+    return rankedBefore.length * TURN_MS +
+      (isCoordinator() ? 0 : SPARE_TURN_MS);
   }
 
   #beginSession(): LeaseSession {
@@ -239,20 +240,20 @@
       const sentAtMs = this.#nowMs;
       const from = machine.state.offset + 1;
       const slice = await this.#options.log.read(CONTROL_STREAM, from);
-      const verdict = classifySlice(from, slice);
-      if (verdict.kind === "gap") {
+      const result = classifySlice(from, slice);
+      if (result.kind === "gap") {
         // Expired records are older than any lease, and later claims contain the current state.
         machine.loadState(
-          { ...EMPTY_CONTROL_STATE, offset: verdict.first - 1 },
+          { ...EMPTY_CONTROL_STATE, offset: result.first - 1 },
           this.#nowMs,
         );
         continue;
       }
-      for (const record of verdict.records) {
+      for (const record of result.records) {
         machine.applyRecord(record, this.#nowMs);
       }
       this.#state = machine.state;
-      if (!verdict.isCurrent) continue;
+      if (!result.isCurrent) continue;
       session.readAtMs = sentAtMs;
       return;
     }
--- a/packages/heatherarch-forward/tasks/status_server.ts
+++ b/packages/heatherarch-forward/tasks/status_server.ts
@@ -94,13 +94,13 @@
 
 /** Formats a quarantine with its monotonic times converted to wall-clock times. */
 function formatQuarantined(
-  { request, account, lives, sinceMs, untilMs }: QuarantinedRequest,
+  { request, account, incarnations, sinceMs, untilMs }: QuarantinedRequest,
   unixOffsetMs: number,
 ) {
   return {
     request,
     account,
-    endedTargets: lives,
+    endedTargets: incarnations,
     since: new Date(unixOffsetMs + sinceMs).toISOString(),
     until: new Date(unixOffsetMs + untilMs).toISOString(),
   };
--- a/packages/heatherarch-forward/tasks/store_reader.ts
+++ b/packages/heatherarch-forward/tasks/store_reader.ts
@@ -240,9 +240,9 @@
     entries: readonly KeyedEntry<Target>[],
     source: LeavingSource,
   ): void {
-    const { directory, crashDetector: crashes, metrics } = this.#options;
+    const { directory, crashDetector: detector, metrics } = this.#options;
     for (const { key, value } of entries) {
-      if (value !== undefined) crashes.recordListing(value.id, value.address);
+      if (value !== undefined) detector.recordListing(value.id, value.address);
       if (value?.leaving) this.#logLeaving("targetLeaving", value.id, source);
       if (value === undefined && directory.isMissing(key)) {
         metrics.targetsKept.inc();
--- a/packages/heatherarch-forward/tests/unit/cache_survey_test.ts
+++ b/packages/heatherarch-forward/tests/unit/cache_survey_test.ts
@@ -33,7 +33,7 @@
   return { address: `127.0.0.1:${port}`, countRequests: () => requestCount };
 }
 
-function buildSurvey(address: string, prompts: PrefixIndex): CacheSurvey {
+function buildSurvey(address: string, index: PrefixIndex): CacheSurvey {
   connections = new TargetConnections();
   const codec = {
     encodeCacheListRequest: () => ({
@@ -48,7 +48,7 @@
     vmId: "vm-a",
     clock: new RuntimeClock(),
     codec,
-    prefixIndex: prompts,
+    prefixIndex: index,
     connections,
     events: new MemoryEventLog(),
     listPrefillEngines: () => [buildEngine("e1", { address })],
@@ -58,12 +58,12 @@
 
 test("an engine is surveyed although a call has already recorded it as a holder", async () => {
   const engine = await startEngine(["k1", "k2"]);
-  const prompts = new PrefixIndex();
-  prompts.recordHolder("k9", "e1", "reading", performance.now());
-  await buildSurvey(engine.address, prompts).run();
+  const index = new PrefixIndex();
+  index.recordHolder("k9", "e1", "reading", performance.now());
+  await buildSurvey(engine.address, index).run();
   assert.equal(engine.countRequests(), 1);
   for (const key of ["k1", "k2"]) {
-    assert.deepEqual(prompts.listHolders(key).map(({ target }) => target), [
+    assert.deepEqual(index.listHolders(key).map(({ target }) => target), [
       "e1",
     ]);
   }
@@ -73,26 +73,26 @@
   const engine = await startEngine(["k1"]);
   const other = new PrefixIndex();
   other.markSurveyed("e1");
-  const prompts = new PrefixIndex();
-  prompts.applyPeerUpdates(other.listUpdates(0).updates, performance.now());
-  await buildSurvey(engine.address, prompts).run();
+  const index = new PrefixIndex();
+  index.applyPeerUpdates(other.listUpdates(0).updates, performance.now());
+  await buildSurvey(engine.address, index).run();
   assert.equal(engine.countRequests(), 0);
 });
 
 test("a VM that is no coordinator queries no engine", async () => {
   const engine = await startEngine(["k1"]);
-  const prompts = new PrefixIndex();
-  await buildSurvey(engine.address, prompts).run(() => false);
+  const index = new PrefixIndex();
+  await buildSurvey(engine.address, index).run(() => false);
   assert.equal(engine.countRequests(), 0);
 });
 
 test("a survey is sent to peers even after many later prefix updates", () => {
-  const prompts = new PrefixIndex({ maxKeys: 10 });
-  prompts.markSurveyed("e1");
-  for (let i = 0; i < 50; i++) prompts.recordHolder(`k${i}`, "e2", "read", i);
+  const index = new PrefixIndex({ maxKeys: 10 });
+  index.markSurveyed("e1");
+  for (let i = 0; i < 50; i++) index.recordHolder(`k${i}`, "e2", "read", i);
   const peer = new PrefixIndex();
-  peer.applyPeerUpdates(prompts.listUpdates(0).updates, 100);
+  peer.applyPeerUpdates(index.listUpdates(0).updates, 100);
   assert.equal(peer.isSurveyed("e1"), true);
-  prompts.forgetTarget("e1");
-  assert.equal(prompts.isSurveyed("e1"), false);
+  index.forgetTarget("e1");
+  assert.equal(index.isSurveyed("e1"), false);
 });
--- a/packages/heatherarch-forward/tests/unit/config_exchange_test.ts
+++ b/packages/heatherarch-forward/tests/unit/config_exchange_test.ts
@@ -8,7 +8,7 @@
 } from "../../mod.ts";
 import { buildConfig, buildRoute } from "./fixtures.ts";
 
-/** How a peer responds to a request: the version that it sends, or a fault. */
+/** How a peer responds to a request: the version that it sends, or a failure. */
 type PeerBehavior = number | "silent" | "large" | "unreadable";
 
 interface PeerRequest {
@@ -27,13 +27,13 @@
 /** Creates an exchange with scripted peers, and records the requests to them. */
 function createExchange(
   behaviors: Readonly<Record<string, PeerBehavior>>,
-  hasToRead = false,
+  mustReadStore = false,
 ): {
   exchange: ConfigExchange;
-  configs: ActiveConfig;
+  activeConfig: ActiveConfig;
   requests: PeerRequest[];
 } {
-  const configs = new ActiveConfig();
+  const activeConfig = new ActiveConfig();
   const requests: PeerRequest[] = [];
   const call = async (
     peer: string,
@@ -55,13 +55,13 @@
   };
   const exchange = new ConfigExchange({
     node: { call, registerCall: () => () => undefined },
-    activeConfig: configs,
+    activeConfig,
     log: new MemoryEventLog(),
-    mustReadStore: () => hasToRead,
+    mustReadStore: () => mustReadStore,
     loadConfig: () => Promise.reject(new Error("status 503")),
     configReadTiming: TIMING,
   });
-  return { exchange, configs, requests };
+  return { exchange, activeConfig, requests };
 }
 
 function sleepMs(ms: number): Promise<void> {
@@ -70,27 +70,30 @@
 
 // A peer that stopped responding kept a VM from requesting the change from other peers that had it.
 test("a change is fetched from another peer if the first one does not respond", async () => {
-  const { exchange, configs, requests } = createExchange({ a: "silent", b: 2 });
+  const { exchange, activeConfig, requests } = createExchange({
+    a: "silent",
+    b: 2,
+  });
   exchange.handlePeerVersion("a", 2);
   exchange.handlePeerVersion("b", 2);
   await sleepMs(CONFIG_BOUND_MS);
-  assert.equal(configs.version, 2);
+  assert.equal(activeConfig.version, 2);
   assert.deepEqual(requests.map(({ peer }) => peer), ["a", "b"]);
 });
 
 test("a VM that reads the store requests nothing from a peer before the store had time", async () => {
-  const { exchange, configs, requests } = createExchange({ a: 2 }, true);
+  const { exchange, activeConfig, requests } = createExchange({ a: 2 }, true);
   exchange.handlePeerVersion("a", 2);
-  configs.applyConfig(buildConfig({ version: 2 }), "store");
+  activeConfig.applyConfig(buildConfig({ version: 2 }), "store");
   await sleepMs(CONFIG_BOUND_MS);
   assert.deepEqual(requests, []);
 });
 
 test("a large configuration is fetched from a peer if the store has not delivered it", async () => {
-  const { exchange, configs, requests } = createExchange({ a: "large" });
+  const { exchange, activeConfig, requests } = createExchange({ a: "large" });
   exchange.handlePeerVersion("a", 2);
   await sleepMs(CONFIG_BOUND_MS);
-  assert.equal(configs.version, 2);
+  assert.equal(activeConfig.version, 2);
   assert.deepEqual(requests.map(({ isLastResort }) => isLastResort), [
     false,
     true,
@@ -98,18 +101,18 @@
 });
 
 test("a peer that announced a newer version but sends an older one changes nothing", async () => {
-  const { exchange, configs } = createExchange({ a: 3 });
-  configs.applyConfig(buildConfig({ version: 5 }), "store");
+  const { exchange, activeConfig } = createExchange({ a: 3 });
+  activeConfig.applyConfig(buildConfig({ version: 5 }), "store");
   exchange.handlePeerVersion("a", 7);
   await sleepMs(CONFIG_BOUND_MS);
-  assert.equal(configs.version, 5);
+  assert.equal(activeConfig.version, 5);
 });
 
 // A peer of another release may respond in a format that this one does not know.
 test("a response that is not a configuration is not applied", async () => {
-  const { exchange, configs } = createExchange({ a: "unreadable", b: 2 });
+  const { exchange, activeConfig } = createExchange({ a: "unreadable", b: 2 });
   exchange.handlePeerVersion("a", 2);
   exchange.handlePeerVersion("b", 2);
   await sleepMs(CONFIG_BOUND_MS);
-  assert.equal(configs.version, 2);
+  assert.equal(activeConfig.version, 2);
 });
--- a/packages/heatherarch-forward/tests/unit/role_controller_test.ts
+++ b/packages/heatherarch-forward/tests/unit/role_controller_test.ts
@@ -129,8 +129,8 @@
     })),
     clock.readMonotonicMs(),
   );
-  const configs = new ActiveConfig();
-  configs.applyConfig(
+  const activeConfig = new ActiveConfig();
+  activeConfig.applyConfig(
     buildConfig({
       services: [{ name: "s", maxConnections: 100, engine: TRAITS }],
     }),
@@ -144,7 +144,7 @@
     log: buildLog(),
     leaseMs: 600,
     clock,
-    activeConfig: configs,
+    activeConfig,
     directory,
     connections,
     health: new TargetHealth(),
--- a/packages/heatherarch-mesh/messages.ts
+++ b/packages/heatherarch-mesh/messages.ts
@@ -43,10 +43,10 @@
   Array.isArray(value) && value.every(isPrefixUpdate)
 );
 
-function isPrefixUpdate(note: unknown): boolean {
-  return Array.isArray(note) && note.length === 3 &&
-    typeof note[0] === "string" && typeof note[1] === "string" &&
-    Number.isSafeInteger(note[2]);
+function isPrefixUpdate(update: unknown): boolean {
+  return Array.isArray(update) && update.length === 3 &&
+    typeof update[0] === "string" && typeof update[1] === "string" &&
+    Number.isSafeInteger(update[2]);
 }
 
 function isWorkRows(value: unknown): boolean {
--- a/packages/heatherarch-mesh/tests/unit/frame_test.ts
+++ b/packages/heatherarch-mesh/tests/unit/frame_test.ts
@@ -106,9 +106,13 @@
     assert.equal(build({ digest: { ...digest, work: [row] } }), undefined);
   }
   for (
-    const note of [["k", "e"], ["k", "e", 0.5], ["k", "e", 1, 2], [1, "e", 1]]
+    const update of [["k", "e"], ["k", "e", 0.5], ["k", "e", 1, 2], [1, "e", 1]]
   ) {
-    assert.equal(build({ prompts: [note] }), undefined, JSON.stringify(note));
+    assert.equal(
+      build({ prompts: [update] }),
+      undefined,
+      JSON.stringify(update),
+    );
   }
   for (const other of [null, {}, "rows", 3]) {
     assert.equal(build({ work: other }), undefined);
--- a/packages/heatherarch-quarantine/request_quarantine.ts
+++ b/packages/heatherarch-quarantine/request_quarantine.ts
@@ -25,7 +25,7 @@
   readonly request: string;
   readonly account: string;
   /** Incarnations of targets that crashed while running the request. */
-  readonly lives: readonly string[];
+  readonly incarnations: readonly string[];
   /** Monotonic time of the latest crash report. */
   readonly sinceMs: number;
   /** Monotonic time at which the quarantine ends. */
@@ -220,7 +220,7 @@
     return {
       request,
       account: suspect.account,
-      lives: incarnations,
+      incarnations,
       sinceMs,
       untilMs,
     };
--- a/packages/heatherarch-quarantine/tests/unit/request_quarantine_test.ts
+++ b/packages/heatherarch-quarantine/tests/unit/request_quarantine_test.ts
@@ -32,7 +32,7 @@
   assert.equal(quarantine.findQuarantined("r", 2000), undefined);
   crash(quarantine, 3);
   assert.equal(quarantine.findQuarantined("r", 3000)?.untilMs, 3000 + HOLD_MS);
-  assert.deepEqual(quarantine.findQuarantined("r", 3000)?.lives, [
+  assert.deepEqual(quarantine.findQuarantined("r", 3000)?.incarnations, [
     "l1",
     "l2",
     "l3",
