--- a/packages/heatherarch-claims/tests/unit/claims_test.ts
+++ b/packages/heatherarch-claims/tests/unit/claims_test.ts
@@ -140,7 +140,7 @@
 /** Time within which a shard writes its snapshot. */
 const SNAPSHOT_MS = 20;
 
-/** Creates a shard whose claims another VM covers by a snapshot before the own VM reads them. */
+/** Creates a shard whose claims another VM covers by a snapshot before its own VM reads them. */
 function createShardBehindSnapshot(): ClaimShard {
   const log = createLog(1);
   const other = createShard(log, 1);
@@ -162,8 +162,8 @@
   });
 }
 
-// When another VM's snapshot covered the record of a claim before the own VM read it, the verdict
-// was lost and the key stayed claimed.
+// When another VM's snapshot covered the record of a claim before the claiming VM read it, the
+// verdict was lost and the key stayed claimed.
 test("a claim whose record a snapshot covers gets its verdict from the snapshot", async () => {
   const shard = createShardBehindSnapshot();
   assert.equal((await claim(shard, "c1")).kind, "granted");
--- a/packages/heatherarch-forward/fleet/config_exchange.ts
+++ b/packages/heatherarch-forward/fleet/config_exchange.ts
@@ -65,7 +65,7 @@
     void this.#fetch();
   }
 
-  /** Returns the configuration; null for a large one, unless the store failed the peer. */
+  /** Returns the configuration; null for a large one, unless it is the last resort. */
   #handleRequest(isLastResort: unknown): RoutingConfig | null {
     const config = this.#options.activeConfig.table?.config;
     if (config === undefined) return null;
@@ -86,7 +86,7 @@
     this.#isFetching = false;
   }
 
-  /** Requests it from one peer after another; returns whether this VM is now up to date. */
+  /** Requests the configuration from peers in turn; returns whether this VM is now up to date. */
   async #fetchFromPeers(isLastResort: boolean): Promise<boolean> {
     for (let requests = 0; requests < MAX_PEER_REQUESTS; requests++) {
       const peer = this.#pickNewestPeer();
@@ -111,7 +111,7 @@
     return newestPeer;
   }
 
-  /** Returns whether the peer sent its configuration; undefined if the request failed. */
+  /** Applies a peer's configuration; false if the peer withheld it, undefined if it failed. */
   async #fetchFrom(
     peer: string,
     isLastResort: boolean,
--- a/packages/heatherarch-forward/fleet/feed_source.ts
+++ b/packages/heatherarch-forward/fleet/feed_source.ts
@@ -54,10 +54,12 @@
     return this.#hasFullList ? "changes" : "all";
   }
 
+  /** Records that the hub sent a heartbeat, with or without a feed. */
   recordHeartbeat(nowMs: number): void {
     this.#lastHeartbeatAtMs = nowMs;
   }
 
+  /** Whether the hub has sent no heartbeat for too long and must be replaced. */
   isTimedOut(nowMs: number): boolean {
     return nowMs - this.#lastHeartbeatAtMs > HUB_TIMEOUT_MS;
   }
--- a/packages/heatherarch-forward/fleet/fleet_gossip.ts
+++ b/packages/heatherarch-forward/fleet/fleet_gossip.ts
@@ -30,7 +30,7 @@
   leaving: number;
 }
 
-/** Offset of a mark that came from the target itself, which no log record takes back. */
+/** Offset of a mark that came from the target itself, which no log record removes. */
 const NO_LOG_OFFSET = -1;
 
 /** The gossip of one VM. */
@@ -42,7 +42,7 @@
     this.#options = options;
   }
 
-  /** Registers a listener for reports that are new to this VM; returns its removal. */
+  /** Registers a listener for reports and leaving targets that are new; returns its removal. */
   registerListener(listener: () => void): () => void {
     const { quarantine, directory } = this.#options;
     const undos = [
--- a/packages/heatherarch-forward/fleet/peer_subscriptions.ts
+++ b/packages/heatherarch-forward/fleet/peer_subscriptions.ts
@@ -5,7 +5,7 @@
  */
 import type { Heartbeat, LinkIdentity } from "heatherarch-mesh";
 
-/** A peer's request, and the latest of its heartbeats that the digest includes. */
+/** A peer's request, and the number of its latest heartbeat that the digest includes. */
 export interface PeerSubscription {
   wants: "nothing" | "changes" | "all";
   /** The part of the target list that a hub which can't read the store requests. */
@@ -25,6 +25,7 @@
 export class PeerSubscriptions {
   readonly #subscriptions = new Map<string, PeerSubscription>();
 
+  /** Returns the subscription of an incarnation; undefined if there is none. */
   find(incarnation: string): PeerSubscription | undefined {
     return this.#subscriptions.get(incarnation);
   }
--- a/packages/heatherarch-forward/fleet/vm_list_follower.ts
+++ b/packages/heatherarch-forward/fleet/vm_list_follower.ts
@@ -15,7 +15,9 @@
   readonly clock: Clock;
   /** Whether hubs inform this VM about the fleet, so that it rarely needs the list. */
   readonly hasFreshFeed: () => boolean;
+  /** Called with the VMs of each list that was read. */
   readonly onList: (listed: readonly VmRecord[]) => void;
+  /** Called when the list could not be read or written. */
   readonly onError: (error: unknown) => void;
 }
 
--- a/packages/heatherarch-forward/tasks/engine_request.ts
+++ b/packages/heatherarch-forward/tasks/engine_request.ts
@@ -21,7 +21,7 @@
   readonly body: Buffer;
 }
 
-/** Such a request needs no slot, and its usual duration is hundreds of times shorter. */
+/** A control request needs no slot, and usually takes hundreds of times less than this timeout. */
 const REQUEST_TIMEOUT_MS = 1000;
 const MAX_BODY_BYTES = 1024 * 1024;
 
--- a/packages/heatherarch-forward/tasks/quarantine_persistence.ts
+++ b/packages/heatherarch-forward/tasks/quarantine_persistence.ts
@@ -79,7 +79,7 @@
     const { topic, quarantine, clock } = this.#options;
     const nowMs = clock.readMonotonicMs();
     const entry = quarantine.findQuarantined(request, nowMs);
-    // It was cleared in the meantime, and that change removes the record.
+    // The request was cleared in the meantime, and that change removes the record.
     if (kind === "held" && entry === undefined) return;
     const record = entry === undefined ? undefined : {
       account: entry.account,
--- a/packages/heatherarch-forward/tasks/role_controller.ts
+++ b/packages/heatherarch-forward/tasks/role_controller.ts
@@ -200,7 +200,7 @@
     };
   }
 
-  /** Computes the time to wait for the VMs ranked first. */
+  /** Computes the time to wait for the VMs that are ranked before this one. */
   #computeTurnDelayMs(): number {
     const { vmId, listOrderCandidates, isCoordinator = () => true } =
       this.#options;
--- a/packages/heatherarch-forward/tasks/store_reader.ts
+++ b/packages/heatherarch-forward/tasks/store_reader.ts
@@ -235,7 +235,10 @@
     engineJitter.forget(target);
   }
 
-  /** Logs each target that is leaving, or that stays in use although it is no longer listed. */
+  /**
+   * Reports listed targets to the crash detector. Logs each target that is leaving, or that stays
+   * in use although it is no longer listed.
+   */
   #recordTargets(
     entries: readonly KeyedEntry<Target>[],
     source: LeavingSource,
--- a/packages/heatherarch-forward/tasks/topic_follower.ts
+++ b/packages/heatherarch-forward/tasks/topic_follower.ts
@@ -21,11 +21,12 @@
   readonly answerMs?: number;
   /** Timeout of any other read, milliseconds; by default that of the port. */
   readonly timeoutMs?: number;
-  /** Called with the entries of a read and the monotonic time at which it was sent. */
+  /** Called with the entries of a load and the monotonic time at which its request was sent. */
   readonly onList: (
     entries: readonly KeyedEntry<T>[],
     sentAtMs: number,
   ) => void;
+  /** Called with the changed entries of a read and the monotonic time at which it was sent. */
   readonly onChanges: (
     entries: readonly KeyedEntry<T>[],
     sentAtMs: number,
@@ -36,7 +37,7 @@
   readonly onFailed?: (sentAtMs: number) => void;
   /** Pause after a failed read, milliseconds. */
   readonly retryMs?: number;
-  /** The same on a VM that is no coordinator. */
+  /** Pause after a failed read on a VM that is no coordinator, milliseconds. */
   readonly spareRetryMs?: number;
   readonly clock: Clock;
   /** Uniform in [0, 1). */
--- a/packages/heatherarch-lease/lease_state_machine.ts
+++ b/packages/heatherarch-lease/lease_state_machine.ts
@@ -63,9 +63,9 @@
   #sentAppends: SentAppend[] = [];
   /** Monotonic time at which the last record of the current claim was read. */
   #holderSeenAtMs = -Infinity;
-  /** Monotonic time at which the own authority ends; -Infinity without authority. */
+  /** Monotonic time at which this VM's authority ends; -Infinity without authority. */
   #authorityUntilMs = -Infinity;
-  /** Monotonic time at which the own authority begins; Infinity without authority. */
+  /** Monotonic time at which this VM's authority begins; Infinity without authority. */
   #authorityFromMs = Infinity;
   #lastRenewalSentMs = -Infinity;
   #lastClaimSentMs = -Infinity;
@@ -219,7 +219,7 @@
     this.#extendAuthority(record);
   }
 
-  /** Extends the own authority if the record is a claim or renewal that this VM sent. */
+  /** Extends this VM's authority if the record is a claim or renewal that this VM sent. */
   #extendAuthority(record: OffsetRecord): void {
     const id = (record.data as { id?: string } | null)?.id;
     const sent = this.#sentAppends.find((entry) => entry.id === id);
--- a/packages/heatherarch-mesh/leaving_set.ts
+++ b/packages/heatherarch-mesh/leaving_set.ts
@@ -9,7 +9,8 @@
 export interface LeavingMark {
   readonly target: string;
   /**
-   * Configuration offset that the reporter had applied. A restore at a later one removes the mark.
+   * Configuration offset that the reporter had applied. A restore at a later offset removes the
+   * mark.
    */
   readonly sinceOffset: number;
 }
--- a/packages/heatherarch-mesh/membership.ts
+++ b/packages/heatherarch-mesh/membership.ts
@@ -344,7 +344,8 @@
 }
 
 /**
- * Whether a message changes nothing of a member that is not suspect but the time of its contact.
+ * Whether a message from `peer` changes only the time of the member's last contact. It changes more
+ * if the member is suspect, as that makes it live.
  */
 function isUnchanged(known: Member, peer: VmIdentity): boolean {
   const { capacity = known.capacity } = peer;
--- a/packages/heatherarch-mesh/mesh_node.ts
+++ b/packages/heatherarch-mesh/mesh_node.ts
@@ -145,7 +145,7 @@
     };
   }
 
-  /** Calls a method of a peer. Rejects with {@linkcode MeshCallError} if there is no reply. */
+  /** Calls a method of a peer. Rejects with {@linkcode MeshCallError} if it fails or times out. */
   call(
     peerId: string,
     method: string,
--- a/packages/heatherarch-policy/router_adaptive.ts
+++ b/packages/heatherarch-policy/router_adaptive.ts
@@ -1,7 +1,7 @@
 /**
- * Routing by predicted completion time. The policy prefers the own availability zone and prefill
- * engines that have the prompt's prefix cached. It disaggregates prefill and decode where that is
- * faster, and lets prefill engines decode when the decode engines are nearly full.
+ * Routing by predicted completion time. The policy prefers the VM's own availability zone and
+ * prefill engines that have the prompt's prefix cached. It disaggregates prefill and decode where
+ * that is faster, and lets prefill engines decode when the decode engines are nearly full.
  *
  * @module
  */
@@ -17,13 +17,13 @@
 const CACHE_HIT_LEARNING_RATE = 0.02;
 /** Weight of the delay that a prefill causes to the other sequences on the engine. */
 const INTERFERENCE_WEIGHT = 0.3;
-/** A prefill engine in the own zone decodes only while it has fewer sequences than this. */
+/** A prefill engine in the VM's own zone decodes only while it has fewer sequences than this. */
 const MAX_SEQUENCES_ON_PREFILLER = 4;
 /** Prefill engines may decode once the least loaded decoder has this many sequences. */
 const DECODER_FULL_SEQUENCES = 54;
-/** A plan in the own zone is used if its cost is at most this share of the remaining time. */
+/** A plan in the VM's own zone is used if its cost is at most this share of the remaining time. */
 const LOCAL_DEADLINE_SHARE = 0.75;
-/** Another zone is used only if its cost is below this share of the cost in the own zone. */
+/** Another zone is used only if its cost is below this share of the cost in the own one. */
 const SPILLOVER_COST_RATIO = 0.8;
 /**
  * Requests are spread over all plans within this ratio and margin of the best, so that the VMs do
