--- a/packages/heatherarch-forward/fleet/config_exchange.ts
+++ b/packages/heatherarch-forward/fleet/config_exchange.ts
@@ -65,7 +65,7 @@
     void this.#fetch();
   }
 
-  /** Returns the configuration; null for a large one, unless it is the last resort. */
+  /** Returns the configuration; null for a large one, unless the peer has no other source. */
   #handleRequest(isLastResort: unknown): RoutingConfig | null {
     const config = this.#options.activeConfig.table?.config;
     if (config === undefined) return null;
--- a/packages/heatherarch-forward/tasks/role_controller.ts
+++ b/packages/heatherarch-forward/tasks/role_controller.ts
@@ -277,7 +277,8 @@
     const { codec, vmId, activeConfig } = this.#options;
     const report = await this.#readReport(target);
     if (report === undefined || report.isChangingRole) return true;
-    // The list predates the engine's restart, so its role is not that of this incarnation.
+    // The list predates the engine's restart, so the listed role and the reported count of orders
+    // are those of different incarnations.
     if (isOtherIncarnation(report, target)) return true;
     if (report.role === role) return true;
     if (!this.#hasAuthority(session)) return false;
