--- a/packages/heatherarch-claims/claim_shard.ts
+++ b/packages/heatherarch-claims/claim_shard.ts
@@ -55,7 +55,7 @@
 }
 
 /** Maximum number of records in one read. */
-const READ_PAGE = 500;
+const MAX_READ_RECORDS = 500;
 
 /** Decides the claims of one shard. */
 export class ClaimShard {
@@ -162,7 +162,7 @@
       this.#options.timeoutMs;
     while (true) {
       const from = this.#fold.offset + 1;
-      const options = { maxRecords: READ_PAGE };
+      const options = { maxRecords: MAX_READ_RECORDS };
       const slice = await this.#options.log.read(this.#stream, from, options);
       const result = classifySlice(from, slice);
       if (result.kind === "gap") {
--- a/packages/heatherarch-forward/fleet/digest_cache.ts
+++ b/packages/heatherarch-forward/fleet/digest_cache.ts
@@ -21,8 +21,8 @@
 /** The digests of the current round. */
 export class DigestCache {
   readonly #options: DigestCacheOptions;
-  #fleet: DigestBody | undefined;
-  #zone: DigestBody | undefined;
+  #fleetDigest: DigestBody | undefined;
+  #zoneDigest: DigestBody | undefined;
 
   constructor(options: DigestCacheOptions) {
     this.#options = options;
@@ -30,28 +30,28 @@
 
   /** Drops the digests at the start of a round and when a heartbeat arrives. */
   invalidate(): void {
-    this.#fleet = undefined;
-    this.#zone = undefined;
+    this.#fleetDigest = undefined;
+    this.#zoneDigest = undefined;
   }
 
   /** Returns the work in progress of the hub's zone. */
   getZoneDigest(nowMs: number): DigestBody {
     const { workTracker, countZoneVms } = this.#options;
-    this.#zone ??= {
+    this.#zoneDigest ??= {
       vms: countZoneVms(),
       work: copyRows(workTracker.sumRows(nowMs, false)),
     };
-    return this.#zone;
+    return this.#zoneDigest;
   }
 
   /** Returns the work in progress of the fleet. */
   getFleetDigest(nowMs: number): DigestBody {
     const { workTracker, countFleetVms } = this.#options;
-    this.#fleet ??= {
+    this.#fleetDigest ??= {
       vms: countFleetVms(),
       work: copyRows(workTracker.sumRows(nowMs, true)),
     };
-    return this.#fleet;
+    return this.#fleetDigest;
   }
 }
 
