--- a/packages/heatherarch-forward/tasks/role_controller.ts
+++ b/packages/heatherarch-forward/tasks/role_controller.ts
@@ -200,15 +200,16 @@
     };
   }
 
-  /** Computes the time to wait for the VMs ranked first. */
+  /** Computes the time to wait for the VMs that are ranked before this one. */
   #computeTurnDelayMs(): number {
     const { vmId, listOrderCandidates, isCoordinator = () => true } =
       this.#options;
     const ownWeight = computeRendezvousWeight(CONTROL_STREAM, vmId);
-    const rankedFirst = listOrderCandidates().filter((id) =>
+    const rankedBefore = listOrderCandidates().filter((id) =>
       computeRendezvousWeight(CONTROL_STREAM, id) > ownWeight
     );
-    return rankedFirst.length * TURN_MS + (isCoordinator() ? 0 : SPARE_TURN_MS);
+    return rankedBefore.length * TURN_MS +
+      (isCoordinator() ? 0 : SPARE_TURN_MS);
   }
 
   #beginSession(): LeaseSession {
@@ -239,20 +240,20 @@
       const sentAtMs = this.#nowMs;
       const from = machine.state.offset + 1;
       const slice = await this.#options.log.read(CONTROL_STREAM, from);
-      const verdict = classifySlice(from, slice);
-      if (verdict.kind === "gap") {
+      const result = classifySlice(from, slice);
+      if (result.kind === "gap") {
         // Expired records are older than any lease, and later claims contain the current state.
         machine.loadState(
-          { ...EMPTY_CONTROL_STATE, offset: verdict.first - 1 },
+          { ...EMPTY_CONTROL_STATE, offset: result.first - 1 },
           this.#nowMs,
         );
         continue;
       }
-      for (const record of verdict.records) {
+      for (const record of result.records) {
         machine.applyRecord(record, this.#nowMs);
       }
       this.#state = machine.state;
-      if (!verdict.isCurrent) continue;
+      if (!result.isCurrent) continue;
       session.readAtMs = sentAtMs;
       return;
     }
@@ -276,7 +277,8 @@
     const { codec, vmId, activeConfig } = this.#options;
     const report = await this.#readReport(target);
     if (report === undefined || report.isChangingRole) return true;
-    // The list predates the engine's restart, so its role is not that of this incarnation.
+    // The list predates the engine's restart, so the listed role and the reported count of orders
+    // are those of different incarnations.
     if (isOtherIncarnation(report, target)) return true;
     if (report.role === role) return true;
     if (!this.#hasAuthority(session)) return false;
