--- a/packages/heatherarch-forward/calls/attempt_result.ts
+++ b/packages/heatherarch-forward/calls/attempt_result.ts
@@ -50,11 +50,11 @@
   readonly stage: string;
   /** Longest wait for the head, milliseconds; if undefined, until the call ends. */
   readonly timeoutMs?: number;
-  /** After the timeout, keep waiting while the target answers other calls. */
+  /** After the timeout, keep waiting while the target responds to other calls. */
   readonly extendsWhileAlive?: boolean;
 }
 
-/** A target that answered any call within this time is considered alive, milliseconds. */
+/** A target that responded to any call within this time is considered alive, milliseconds. */
 const ALIVE_WINDOW_MS = 500;
 /**
  * An engine that refused a request because of its role gets no work for this long, milliseconds. By
--- a/packages/heatherarch-forward/calls/call_context.ts
+++ b/packages/heatherarch-forward/calls/call_context.ts
@@ -102,6 +102,7 @@
     this.dependencies.retryBudget.recordCall(this.service.name, this.nowMs);
   }
 
+  /** Current monotonic time, milliseconds. */
   get nowMs(): number {
     return this.dependencies.clock.readMonotonicMs();
   }
@@ -116,6 +117,7 @@
     return this.call.arrivedAtMs + this.route.aimMs - this.nowMs;
   }
 
+  /** Whether the call has its outcome, after which nothing more is sent. */
   get hasEnded(): boolean {
     return this.#outcome !== undefined;
   }
--- a/packages/heatherarch-forward/calls/client_response.ts
+++ b/packages/heatherarch-forward/calls/client_response.ts
@@ -69,6 +69,7 @@
     this.#response.once("drain", listener);
   }
 
+  /** Writes the last bytes, if any, and completes the response. */
   end(bytes?: Buffer): void {
     if (bytes === undefined) this.#response.end();
     else this.#response.end(bytes);
--- a/packages/heatherarch-forward/calls/generation_handler.ts
+++ b/packages/heatherarch-forward/calls/generation_handler.ts
@@ -80,6 +80,7 @@
     });
   }
 
+  /** Serves the call to its end. */
   async serve(): Promise<void> {
     for (let round = 0; round < MAX_ROUNDS && this.#mayContinue(); round++) {
       if (round > 0 && !await this.#context.mayRetry()) break;
--- a/packages/heatherarch-forward/calls/plain_call_handler.ts
+++ b/packages/heatherarch-forward/calls/plain_call_handler.ts
@@ -49,6 +49,7 @@
     this.#context = context;
   }
 
+  /** Serves the call to its end. */
   async serve(): Promise<void> {
     const context = this.#context;
     let isRetry = false;
@@ -175,7 +176,7 @@
     const { workTracker, drawUnit } = this.#context.dependencies;
     const nowMs = this.#context.nowMs;
     const candidates = listAvailableTargets({
-      run: this.#context,
+      context: this.#context,
       tried: this.#tried,
     })
       .map((target): TargetCandidate => ({
--- a/packages/heatherarch-forward/calls/prompt_prefill.ts
+++ b/packages/heatherarch-forward/calls/prompt_prefill.ts
@@ -5,7 +5,7 @@
  * @module
  */
 import type { CallContext } from "./call_context.ts";
-import { computeWaitLimits } from "../scheduling/caller_timeout.ts";
+import { computeWaitLimits } from "../scheduling/client_timeout.ts";
 import { listAvailableEngines } from "../scheduling/engine_selection.ts";
 import {
   computeEnginePriority,
--- a/packages/heatherarch-forward/calls/response_notices.ts
+++ b/packages/heatherarch-forward/calls/response_notices.ts
@@ -1,5 +1,5 @@
 /**
- * Notices in the response heads of targets: a target is leaving, or asks for a backoff. Any
+ * Notices in the response heads of targets: a target is leaving, or requests a backoff. Any
  * response may carry a notice, whatever the request was for.
  *
  * @module
--- a/packages/heatherarch-forward/calls/target_connections.ts
+++ b/packages/heatherarch-forward/calls/target_connections.ts
@@ -181,6 +181,7 @@
     }
   }
 
+  /** Closes all connections immediately; requests in progress fail. */
   async close(): Promise<void> {
     const pools = [...this.#pools.values()];
     this.#pools.clear();
--- a/packages/heatherarch-forward/calls/target_exchange.ts
+++ b/packages/heatherarch-forward/calls/target_exchange.ts
@@ -96,7 +96,7 @@
     this.ended = new Promise((resolve) => {
       this.#resolveEnded = resolve;
     });
-    // A caller that has given up no longer awaits the head.
+    // A handler that has given up no longer awaits the head.
     this.head.catch(() => undefined);
     const { path, method, headers, body } = request;
     dispatcher.dispatch({
@@ -134,10 +134,12 @@
     this.#finish(new ExchangeError("aborted", reason));
   }
 
+  /** Stops reading the body, for a client that reads more slowly than the target sends. */
   pause(): void {
     this.#controller?.pause();
   }
 
+  /** Continues to read the body after {@linkcode pause}. */
   resume(): void {
     this.#controller?.resume();
   }
--- a/packages/heatherarch-forward/calls/target_list_guard.ts
+++ b/packages/heatherarch-forward/calls/target_list_guard.ts
@@ -35,11 +35,12 @@
 
 /**
  * Longest time for which calls are held, milliseconds, without further stalls. A reachable store
- * answers well within it, and a VM that can't reach the store continues with the list that it has.
+ * responds well within it, and a VM that can't reach the store continues with the list that it has.
  */
 const MAX_HOLD_MS = 300;
 /**
- * Smaller differences between the clocks come from reading them at different moments, milliseconds.
+ * Smaller differences between the wall clock and the monotonic clock come from reading the two at
+ * different moments, milliseconds.
  */
 const MIN_UNCOUNTED_MS = 50;
 /** Interval at which waiting calls check the age of the list, milliseconds. */
@@ -48,7 +49,7 @@
 /** Guards one VM against the use of a stale target list. */
 export class TargetListGuard {
   readonly #options: TargetListGuardOptions;
-  readonly #loopWatch: LoopStallDetector;
+  readonly #stallDetector: LoopStallDetector;
   /**
    * Monotonic time since which calls are held. Each further stall moves it forward by its monotonic
    * length. Undefined while calls are not held.
@@ -57,13 +58,14 @@
   /** Monotonic time at which the process last resumed after a stall. */
   #resumedAtMs = -Infinity;
   /**
-   * A list read before this time is ignored: a suspension that the monotonic clock missed followed.
+   * A list that was read before this time is ignored, because the process was suspended after the
+   * read for a time that the monotonic clock missed.
    */
   #validFromMs = -Infinity;
 
   constructor(options: TargetListGuardOptions) {
     this.#options = options;
-    this.#loopWatch = new LoopStallDetector({
+    this.#stallDetector = new LoopStallDetector({
       getTickIntervalMs: () => options.tickIntervalMs,
       onStall: (stall) => this.#handleStall(stall),
     });
@@ -72,7 +74,7 @@
   /** Must be called in each regular tick of the process. */
   recordTick(): void {
     const { clock } = this.#options;
-    this.#loopWatch.recordTick(clock.readMonotonicMs(), clock.readWallMs());
+    this.#stallDetector.recordTick(clock.readMonotonicMs(), clock.readWallMs());
   }
 
   /** Whether calls are held now. */
--- a/packages/heatherarch-forward/event_log.ts
+++ b/packages/heatherarch-forward/event_log.ts
@@ -67,6 +67,7 @@
     return this.#dropped;
   }
 
+  /** Sets the lowest severity that is written. */
   setLevel(level: LogLevel): void {
     this.#logger.level = level;
   }
--- a/packages/heatherarch-forward/forward_vm.ts
+++ b/packages/heatherarch-forward/forward_vm.ts
@@ -92,6 +92,7 @@
       directory.size > 0;
   }
 
+  /** Starts the listeners and the tasks. Resolves when this VM accepts calls. */
   async start(): Promise<void> {
     const {
       ingress,
@@ -194,11 +195,11 @@
       onChangingRole: (targets) => this.#markChangingRole(targets),
     };
     const callServer = new CallServer({ ...components });
-    const callers = splitAddress(settings.listen.callers);
+    const listenAddress = splitAddress(settings.listen.callers);
     this.#container.register({
       ingress: asValue(
         new Ingress({
-          ...callers,
+          ...listenAddress,
           codec: components.codec,
           server: callServer,
           clock: components.clock,
--- a/packages/heatherarch-forward/mod.ts
+++ b/packages/heatherarch-forward/mod.ts
@@ -10,7 +10,7 @@
 export * from "./tasks/cache_survey.ts";
 export * from "./calls/call_context.ts";
 export * from "./calls/call_server.ts";
-export * from "./scheduling/caller_timeout.ts";
+export * from "./scheduling/client_timeout.ts";
 export * from "./calls/client_response.ts";
 export * from "./calls/generation_handler.ts";
 export * from "./calls/target_list_guard.ts";
--- a/packages/heatherarch-forward/scheduling/caller_timeout.ts
+++ b/packages/heatherarch-forward/scheduling/client_timeout.ts
@@ -1,5 +1,5 @@
 /**
- * Computes how long the caller of a stream waits before it times out, and from when.
+ * Computes how long the client of a stream waits before it times out, and from when.
  *
  * All functions are pure: times are arguments.
  *
@@ -7,22 +7,22 @@
  */
 
 /**
- * Callers abandon a stream after the longer of 2 s and four times its latency objective without an
+ * Clients abandon a stream after the longer of 2 s and four times its latency objective without an
  * event, as specified in the users' page of requests. The margin covers the network path to the
- * caller and the first token.
+ * client and the first token.
  */
-const CALLER_TIMEOUT = { minMs: 2000, aimFactor: 4, marginMs: 250 };
+const CLIENT_TIMEOUT = { minMs: 2000, aimFactor: 4, marginMs: 250 };
 
-/** Time for which a caller waits for the next event of a stream, in milliseconds. */
-export function computeCallerTimeoutMs(aimMs: number): number {
-  const { minMs, aimFactor, marginMs } = CALLER_TIMEOUT;
+/** Time for which a client waits for the next event of a stream, in milliseconds. */
+export function computeClientTimeoutMs(aimMs: number): number {
+  const { minMs, aimFactor, marginMs } = CLIENT_TIMEOUT;
   return Math.max(minMs, aimFactor * aimMs) - marginMs;
 }
 
 /** Options of {@linkcode computeWaitLimits}; times are monotonic milliseconds. */
 export interface WaitOptions {
   readonly arrivedAtMs: number;
-  /** Deadline of the call, set by its caller and its route. */
+  /** Deadline of the call, set by its client and its route. */
   readonly deadlineAtMs: number;
   /** Latency objective of the route. */
   readonly aimMs: number;
@@ -37,7 +37,7 @@
 }
 
 /**
- * Computes the limits of a wait. A caller that has received events restarts its timeout at the last
+ * Computes the limits of a wait. A client that has received events restarts its timeout at the last
  * one, so an interrupted stream is not late just because its call is old.
  */
 export function computeWaitLimits(options: WaitOptions): WaitLimits {
@@ -48,7 +48,7 @@
     interruptedAtMs,
   } = options;
   const waitStartedAtMs = interruptedAtMs ?? arrivedAtMs;
-  const timeoutAtMs = waitStartedAtMs + computeCallerTimeoutMs(aimMs);
+  const timeoutAtMs = waitStartedAtMs + computeClientTimeoutMs(aimMs);
   return {
     waitStartedAtMs,
     timeoutAtMs: Math.min(deadlineAtMs, timeoutAtMs),
--- a/packages/heatherarch-forward/scheduling/config_reads.ts
+++ b/packages/heatherarch-forward/scheduling/config_reads.ts
@@ -36,7 +36,7 @@
 }
 
 /** Fractions of the bound. The rest is left for the response and for its distribution by hubs. */
-const ANSWER_FRACTION = 0.25;
+const RESPONSE_FRACTION = 0.25;
 const TIMEOUT_FRACTION = 0.6;
 const RETRY_FRACTION = 0.125;
 const SPARE_RETRY_FRACTION = 0.25;
@@ -52,7 +52,7 @@
     Math.round(configBoundMs * fraction);
   return {
     waitMs: configWaitMs,
-    answerMs: Math.min(requestTimeoutMs, computeFractionMs(ANSWER_FRACTION)),
+    answerMs: Math.min(requestTimeoutMs, computeFractionMs(RESPONSE_FRACTION)),
     timeoutMs: Math.min(requestTimeoutMs, computeFractionMs(TIMEOUT_FRACTION)),
     retryMs: computeFractionMs(RETRY_FRACTION),
     spareRetryMs: computeFractionMs(SPARE_RETRY_FRACTION),
@@ -68,7 +68,7 @@
  * Longest time from the recovery of the store to the response that delivers a change, in
  * milliseconds, without the time that the store takes to respond.
  */
-export function computeMaxConfigDelayMs(reads: ConfigReadTiming): number {
-  const { waitMs, answerMs, timeoutMs, retryMs } = reads;
+export function computeMaxConfigDelayMs(timing: ConfigReadTiming): number {
+  const { waitMs, answerMs, timeoutMs, retryMs } = timing;
   return Math.max(waitMs + answerMs, timeoutMs + retryMs);
 }
--- a/packages/heatherarch-forward/scheduling/decode_wait.ts
+++ b/packages/heatherarch-forward/scheduling/decode_wait.ts
@@ -2,7 +2,7 @@
  * Predicts when a decode engine becomes available while there is none.
  *
  * The decode engines can be drained or crash together, and other engines need some seconds to
- * take over the role. Callers of streams time out after about two seconds without an event.
+ * take over the role. Clients of streams time out after about two seconds without an event.
  * A call therefore waits only if a decode engine is expected within that time. Any other call is
  * refused at once with a retry delay, before its prompt is prefilled in vain.
  *
@@ -10,7 +10,7 @@
  *
  * @module
  */
-import { computeCallerTimeoutMs } from "./caller_timeout.ts";
+import { computeClientTimeoutMs } from "./client_timeout.ts";
 
 /** Delay until the target list shows a finished role change: the entry is appended, then read. */
 const TARGET_LIST_LAG_MS = 500;
@@ -31,12 +31,12 @@
   return Math.max(0, readyAtMs - nowMs);
 }
 
-/** Whether a caller that has waited for `waitedMs` is still connected when the engine is ready. */
+/** Whether a client that has waited for `waitedMs` is still connected when the engine is ready. */
 export function isWorthWaiting(
   readyInMs: number | undefined,
   waitedMs: number,
   aimMs: number,
 ): boolean {
   if (readyInMs === undefined) return false;
-  return waitedMs + readyInMs <= computeCallerTimeoutMs(aimMs);
+  return waitedMs + readyInMs <= computeClientTimeoutMs(aimMs);
 }
--- a/packages/heatherarch-forward/scheduling/engine_selection.ts
+++ b/packages/heatherarch-forward/scheduling/engine_selection.ts
@@ -12,12 +12,12 @@
 
 /** Lists the engines that may be tried now. Avoided engines are listed only if no other is left. */
 export function listAvailableEngines(
-  run: CallContext,
+  context: CallContext,
   phase: InferencePhase,
   tried: ReadonlySet<string>,
 ): Target[] {
   return listAvailableTargets({
-    run,
+    context,
     tried,
     accepts: (target) => servesPhase(target, phase),
   });
@@ -28,10 +28,10 @@
  * undefined otherwise.
  */
 export function findEngineBackoffMs(
-  run: CallContext,
+  context: CallContext,
   phase: InferencePhase,
 ): number | undefined {
-  return findBackoffMs(run, (target) => servesPhase(target, phase));
+  return findBackoffMs(context, (target) => servesPhase(target, phase));
 }
 
 function servesPhase({ role }: Target, phase: InferencePhase): boolean {
--- a/packages/heatherarch-forward/scheduling/prefill_candidate_cache.ts
+++ b/packages/heatherarch-forward/scheduling/prefill_candidate_cache.ts
@@ -31,39 +31,39 @@
 export class PrefillCandidateCache {
   #snapshot: Snapshot | undefined;
 
-  /** Lists the engines that may prefill the prompt of `run` now, without those in `tried`. */
+  /** Lists the engines that may prefill the prompt of the call now, without those in `tried`. */
   listCandidates(
-    run: CallContext,
+    context: CallContext,
     tried: ReadonlySet<string>,
   ): readonly PrefillCandidate[] {
-    const { candidates } = this.#getSnapshot(run);
+    const { candidates } = this.#getSnapshot(context);
     if (!candidates.some(({ target }) => tried.has(target.id))) {
       return candidates;
     }
-    return buildCandidates(run, tried);
+    return buildCandidates(context, tried);
   }
 
   /** Lists all prefill engines of the service, including those that are not available now. */
-  listPrefillEngines(run: CallContext): readonly Target[] {
-    return this.#getSnapshot(run).prefillEngines;
+  listPrefillEngines(context: CallContext): readonly Target[] {
+    return this.#getSnapshot(context).prefillEngines;
   }
 
-  #getSnapshot(run: CallContext): Snapshot {
-    const { directory, workTracker } = run.dependencies;
-    const { name } = run.service;
+  #getSnapshot(context: CallContext): Snapshot {
+    const { directory, workTracker } = context.dependencies;
+    const { name } = context.service;
     const serving = directory.listServing(name);
     const snapshot = this.#snapshot;
     const isCurrent = snapshot !== undefined && snapshot.service === name &&
       snapshot.version === workTracker.version &&
       snapshot.serving === serving &&
-      run.nowMs - snapshot.atMs <= MAX_AGE_MS;
+      context.nowMs - snapshot.atMs <= MAX_AGE_MS;
     if (isCurrent) return snapshot;
     this.#snapshot = {
       service: name,
-      atMs: run.nowMs,
+      atMs: context.nowMs,
       version: workTracker.version,
       serving,
-      candidates: buildCandidates(run, NO_TARGETS),
+      candidates: buildCandidates(context, NO_TARGETS),
       prefillEngines: serving.filter((target) => target.role === "prefill"),
     };
     return this.#snapshot;
@@ -71,12 +71,12 @@
 }
 
 function buildCandidates(
-  run: CallContext,
+  context: CallContext,
   tried: ReadonlySet<string>,
 ): PrefillCandidate[] {
-  const { workTracker } = run.dependencies;
-  const nowMs = run.nowMs;
-  return listAvailableEngines(run, "reading", tried).map((target) => ({
+  const { workTracker } = context.dependencies;
+  const nowMs = context.nowMs;
+  return listAvailableEngines(context, "reading", tried).map((target) => ({
     target,
     backlogMs: workTracker.getPrefillBacklogMs(target.id, nowMs),
   }));
--- a/packages/heatherarch-forward/scheduling/prefill_queue.ts
+++ b/packages/heatherarch-forward/scheduling/prefill_queue.ts
@@ -8,7 +8,7 @@
  *
  * Calls that can still meet their latency objective go first, ordered by route priority and by the
  * time that they have left. Late calls are placed when no other call waits, and are refused when
- * their callers are about to time out. Large prompts of an underserved size class go before all
+ * their clients are about to time out. Large prompts of an underserved size class go before all
  * others (see `size_fairness.ts`).
  *
  * @module
@@ -44,13 +44,13 @@
   /** Kind of request, within which large prompts get a minimum share. */
   readonly kind: string;
   readonly tokens: number;
-  /** Start of the caller's wait: the arrival, or the time at which a stream was interrupted. */
+  /** Start of the client's wait: the arrival, or the time at which a stream was interrupted. */
   readonly waitStartedAtMs: number;
   /** Latency objective: time from then within which the first token earns full worth. */
   readonly aimMs: number;
-  /** Time at which the caller times out. */
+  /** Time at which the client times out. */
   readonly timeoutAtMs: number;
-  /** Time from the end of the prefill to the first token at the caller. */
+  /** Time from the end of the prefill to the first token at the client. */
   readonly firstTokenDelayMs: number;
   /** Finds the engine that would complete the prefill first; undefined if there is none. */
   findPlacement(): PromptPlacement | undefined;
@@ -106,13 +106,13 @@
  */
 const LANE_PENALTY_MS = 300;
 /**
- * A late call waits for this fraction of its caller's timeout. The rest is too short for the prefill
+ * A late call waits for this fraction of its client's timeout. The rest is too short for the prefill
  * and the first token. A call that is refused earlier is retried within the same burst.
  */
 const LATE_WAIT_FRACTION = 0.85;
 /**
  * A prompt whose prefill takes more than this fraction of its latency objective is seldom on time. It
- * waits until its caller times out, because prompts of its size would otherwise not be served at all
+ * waits until its client times out, because prompts of its size would otherwise not be served at all
  * under load.
  */
 const LARGE_COST_FRACTION = 0.5;
@@ -268,7 +268,7 @@
 
   /**
    * Places late calls. Large prompts go first, then the calls that became late most recently, because
-   * their callers stay longest.
+   * their clients stay longest.
    */
   #placeLate(nowMs: number): void {
     const considered = this.#late.splice(0).reverse()
--- a/packages/heatherarch-forward/scheduling/retry_after.ts
+++ b/packages/heatherarch-forward/scheduling/retry_after.ts
@@ -1,8 +1,8 @@
 /**
- * Computes the retry delay for callers that are refused under load.
+ * Computes the retry delay for clients that are refused under load.
  *
- * An overload lasts for seconds. A caller that waited for two seconds without success and retries
- * after 0.2 s meets the same overload, is refused again, and takes capacity from other callers.
+ * An overload lasts for seconds. A client that waited for two seconds without success and retries
+ * after 0.2 s meets the same overload, is refused again, and takes capacity from other clients.
  * The time that the call waited is how long the overload is known to have lasted. Half of that time
  * is used as the delay, because the overload may end at any moment.
  *
@@ -13,10 +13,10 @@
 const MIN_RETRY_AFTER_MS = 200;
 /** Delay as a fraction of the time that the call waited. */
 const WAITED_FRACTION = 0.5;
-/** Callers that are refused together spread their retries over this fraction of the delay. */
+/** Clients that are refused together spread their retries over this fraction of the delay. */
 const JITTER_FRACTION = 0.5;
 
-/** Time after which a caller should retry, in milliseconds. */
+/** Time after which a client should retry, in milliseconds. */
 export function computeRetryAfterMs(
   /** Time that the call waited before it was refused. */
   waitedMs: number,
--- a/packages/heatherarch-forward/scheduling/size_fairness.ts
+++ b/packages/heatherarch-forward/scheduling/size_fairness.ts
@@ -35,8 +35,8 @@
 }
 
 /**
- * Share that callers are promised. Each try counts as an arrival, so a caller that retries is served
- * more often.
+ * Share that clients are promised. Each attempt counts as an arrival, so a client that retries is
+ * served more often.
  */
 const DEFAULT_MIN_RELATIVE_SHARE = 0.5;
 /** Smallest ranks of a prompt within its kind, from 0 (smallest) to 1 (largest). */
--- a/packages/heatherarch-forward/scheduling/target_selection.ts
+++ b/packages/heatherarch-forward/scheduling/target_selection.ts
@@ -9,7 +9,7 @@
 
 /** Options of {@linkcode listAvailableTargets}. */
 export interface TargetSelectionOptions {
-  readonly run: CallContext;
+  readonly context: CallContext;
   /** Targets that the call has tried already. */
   readonly tried: ReadonlySet<string>;
   /** Whether a target can serve the call; by default every target can. */
@@ -18,11 +18,11 @@
 
 /** Lists the targets that may be tried now. Avoided targets are listed only if no other is left. */
 export function listAvailableTargets(
-  { run, tried, accepts = acceptAny }: TargetSelectionOptions,
+  { context, tried, accepts = acceptAny }: TargetSelectionOptions,
 ): Target[] {
-  const { directory, health, backoffs, connections } = run.dependencies;
-  const { name, maxConnections } = run.service;
-  const nowMs = run.nowMs;
+  const { directory, health, backoffs, connections } = context.dependencies;
+  const { name, maxConnections } = context.service;
+  const nowMs = context.nowMs;
   const available = directory.listServing(name)
     .filter(accepts)
     .filter(({ id }) => !tried.has(id))
@@ -38,12 +38,12 @@
  * backoff; undefined otherwise.
  */
 export function findBackoffMs(
-  run: CallContext,
+  context: CallContext,
   accepts: (target: Target) => boolean = acceptAny,
 ): number | undefined {
-  const { directory, backoffs } = run.dependencies;
-  const nowMs = run.nowMs;
-  const targets = directory.listServing(run.service.name)
+  const { directory, backoffs } = context.dependencies;
+  const nowMs = context.nowMs;
+  const targets = directory.listServing(context.service.name)
     .filter(accepts)
     .filter(({ id }) => !directory.hasRoleChange(id, nowMs));
   if (targets.length === 0) return undefined;
--- a/packages/heatherarch-forward/state/active_config.ts
+++ b/packages/heatherarch-forward/state/active_config.ts
@@ -30,6 +30,7 @@
     return this.#table;
   }
 
+  /** Version in force, or -1 before the first configuration. */
   get version(): number {
     return this.#table?.version ?? -1;
   }
--- a/packages/heatherarch-forward/state/prefill_time_model.ts
+++ b/packages/heatherarch-forward/state/prefill_time_model.ts
@@ -188,6 +188,7 @@
     this.#priorSlowdown *= 1 + (priorStep - 1) * PRIOR_WEIGHT;
   }
 
+  /** Drops what was learned about an engine that has left the fleet. */
   forget(target: string): void {
     this.#slowdowns.delete(target);
     this.#unloadedSlowdowns.delete(target);
--- a/packages/heatherarch-forward/state/route_table.ts
+++ b/packages/heatherarch-forward/state/route_table.ts
@@ -27,6 +27,7 @@
     }
   }
 
+  /** Version of the configuration that this table indexes. */
   get version(): number {
     return this.config.version;
   }
@@ -39,6 +40,7 @@
     return routes?.find((route) => pathOnly.startsWith(route.pathPrefix));
   }
 
+  /** Returns the service of this name, or undefined if the configuration has none. */
   findService(name: string): ServiceSpec | undefined {
     return this.#servicesByName.get(name);
   }
--- a/packages/heatherarch-forward/state/target_backoffs.ts
+++ b/packages/heatherarch-forward/state/target_backoffs.ts
@@ -22,6 +22,7 @@
     return !wasInBackoff;
   }
 
+  /** Whether no request may be sent to the target at `nowMs`. */
   isInBackoff(target: string, nowMs: number): boolean {
     return nowMs < this.getEndMs(target);
   }
@@ -31,6 +32,7 @@
     return this.#endsAtMs.get(target) ?? -Infinity;
   }
 
+  /** Drops the backoff of an incarnation that has ended. */
   forget(target: string): void {
     this.#endsAtMs.delete(target);
   }
--- a/packages/heatherarch-forward/state/target_directory.ts
+++ b/packages/heatherarch-forward/state/target_directory.ts
@@ -152,8 +152,8 @@
    * Applies a peer's copy of the list, read at `atMs` of this VM's clock. The peer has already
    * decided which entries expired in an outage, so no missing target is kept here. A copy that is
    * older than the known state is rejected, as it would undo what a target has announced since. It
-   * may still contain new entries, because its time is that of a request; the caller therefore
-   * requests the whole list.
+   * may still contain new entries, because its time is that of a request, so `FeedSource` requests
+   * the whole list.
    */
   applyFeed(
     entries: readonly KeyedEntry<Target>[],
@@ -196,10 +196,10 @@
   /** Drops missing targets whose grace period has ended and returns their ids. */
   dropExpired(nowMs: number): string[] {
     if (this.#missing.size === 0 || this.#outages.isInGrace(nowMs)) return [];
-    const gone = this.listMissing();
-    for (const id of gone) this.#drop(id);
+    const expired = this.listMissing();
+    for (const id of expired) this.#drop(id);
     this.#rebuildIndex();
-    return gone;
+    return expired;
   }
 
   /** Drops `id`, as its address was found to belong to another incarnation. */
@@ -277,6 +277,7 @@
       .filter((id) => this.hasRoleChange(id, nowMs));
   }
 
+  /** Whether an engine is changing its role, so that it may get no work. */
   hasRoleChange(id: string, nowMs: number): boolean {
     const change = this.#roleChanges.get(id);
     if (change === undefined) return false;
@@ -295,6 +296,7 @@
     return [...this.#missing];
   }
 
+  /** Finds a known target, also one that leaves or is missing from the list. */
   findTarget(id: string): Target | undefined {
     return this.#targets.get(id);
   }
@@ -304,10 +306,12 @@
     return this.#byService.get(service) ?? [];
   }
 
+  /** Lists all known targets, including those that leave or are missing from the list. */
   listAll(): Target[] {
     return [...this.#targets.values()];
   }
 
+  /** Number of all known targets. */
   get size(): number {
     return this.#targets.size;
   }
@@ -317,7 +321,7 @@
     this.#validAtMs = Math.max(this.#validAtMs, requestedAtMs);
   }
 
-  /** Returns whether anything that is relevant to callers changed. */
+  /** Returns whether the directory changed. */
   #applyTarget(listed: Target, nowMs: number): boolean {
     const { id } = listed;
     if (!this.#beginIncarnation(listed)) return false;
--- a/packages/heatherarch-forward/state/target_health.ts
+++ b/packages/heatherarch-forward/state/target_health.ts
@@ -75,6 +75,7 @@
     state.avoidUntilMs = Math.max(state.avoidUntilMs, untilMs);
   }
 
+  /** Whether the target is avoided at `nowMs`. Avoidance is only a preference. */
   isAvoided(target: string, nowMs: number): boolean {
     const state = this.#states.get(target);
     return state !== undefined && state.avoidUntilMs > nowMs;
@@ -91,6 +92,7 @@
     return this.#states.get(target)?.lastResponseAtMs ?? -Infinity;
   }
 
+  /** Drops what was learned about an incarnation that has ended. */
   forget(target: string): void {
     this.#states.delete(target);
   }
--- a/packages/heatherarch-forward/state/work_tracker.ts
+++ b/packages/heatherarch-forward/state/work_tracker.ts
@@ -3,9 +3,9 @@
  * other VMs' work as they last reported it. The module has no clock: each update carries the time.
  *
  * Reports of engines lag by the time of several prompts, and each VM sends only a small part of the
- * work, whereas the sum of what was sent and not yet answered is known at once. An engine with free
- * slots prefills in the order of arrival, regardless of priority, so a prompt waits for all work
- * that was sent before it.
+ * work, whereas the sum of what was sent and has no response yet is known at once. An engine with
+ * free slots prefills in the order of arrival, regardless of priority, so a prompt waits for all
+ * work that was sent before it.
  *
  * @module
  */
@@ -301,7 +301,7 @@
 
 /** Remaining prefill time of a prompt, or the bounded time by which its response is overdue. */
 function computeRemainingMs(entry: PrefillEntry, nowMs: number): number {
-  const { costMs, finishAtMs, responseDueAtMs: responseDueAtMs } = entry;
+  const { costMs, finishAtMs, responseDueAtMs } = entry;
   if (nowMs <= finishAtMs) return Math.min(costMs, finishAtMs - nowMs);
   const overdueMs = Math.max(0, nowMs - responseDueAtMs);
   return Math.min(overdueMs, MAX_OVERDUE_MS);
--- a/packages/heatherarch-forward/tests/unit/caller_timeout_test.ts
+++ b/packages/heatherarch-forward/tests/unit/client_timeout_test.ts
@@ -1,10 +1,10 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { computeCallerTimeoutMs, computeWaitLimits } from "../../mod.ts";
+import { computeClientTimeoutMs, computeWaitLimits } from "../../mod.ts";
 
-test("a caller times out after two seconds or four latency objectives, whichever is longer", () => {
-  assert.equal(computeCallerTimeoutMs(300), 1750);
-  assert.equal(computeCallerTimeoutMs(600), 2150);
+test("a client times out after two seconds or four latency objectives, whichever is longer", () => {
+  assert.equal(computeClientTimeoutMs(300), 1750);
+  assert.equal(computeClientTimeoutMs(600), 2150);
 });
 
 test("a call waits from its arrival, and not beyond its deadline", () => {
--- a/packages/heatherarch-forward/tests/unit/decode_wait_test.ts
+++ b/packages/heatherarch-forward/tests/unit/decode_wait_test.ts
@@ -10,7 +10,7 @@
   assert.equal(predictDecodeReadyMs([], ROLE_CHANGE_MS, 0), undefined);
 });
 
-test("a call waits only if the engine is ready before its caller times out", () => {
+test("a call waits only if the engine is ready before its client times out", () => {
   assert.equal(isWorthWaiting(1500, 0, 300), true);
   assert.equal(isWorthWaiting(1500, 400, 300), false);
   assert.equal(isWorthWaiting(2000, 0, 300), false);
@@ -18,7 +18,7 @@
   assert.equal(isWorthWaiting(undefined, 0, 600), false);
 });
 
-test("a call waits for an overdue engine until its caller times out", () => {
+test("a call waits for an overdue engine until its client times out", () => {
   assert.equal(isWorthWaiting(0, 1700, 300), true);
   assert.equal(isWorthWaiting(0, 1800, 300), false);
 });
--- a/packages/heatherarch-forward/tests/unit/prefill_queue_test.ts
+++ b/packages/heatherarch-forward/tests/unit/prefill_queue_test.ts
@@ -115,7 +115,7 @@
   assert.equal(findLane("late"), LATE_LANE);
 });
 
-test("a late call is refused before its caller times out, and a large one a little later", () => {
+test("a late call is refused before its client times out, and a large one a little later", () => {
   const { engine, enqueue, advance, outcomes } = createQueue();
   engine.backlogMs = 700;
   enqueue("small", 50);
--- a/packages/heatherarch-forward/tests/unit/target_backoffs_test.ts
+++ b/packages/heatherarch-forward/tests/unit/target_backoffs_test.ts
@@ -37,20 +37,23 @@
   const directory = new TargetDirectory();
   directory.applyList([{ key: "t", value: target }], 0);
   const backoffs = new TargetBackoffs();
-  let facts: Partial<ResponseMetadata> = { isLeaving: true, backoffMs: 1000 };
+  let metadata: Partial<ResponseMetadata> = {
+    isLeaving: true,
+    backoffMs: 1000,
+  };
   const notices = new ResponseNotices({
-    codec: { decodeResponse: () => facts } as unknown as CallCodec,
+    codec: { decodeResponse: () => metadata } as unknown as CallCodec,
     directory,
     backoffs,
     clock: { readMonotonicMs: () => 0, readWallMs: () => 0 },
     log: new MemoryEventLog(),
   });
   const head = { status: 503, headers: {}, rawHeaders: [] };
-  facts = { ...facts, answeredBy: "u" };
+  metadata = { ...metadata, answeredBy: "u" };
   notices.apply(target, head);
   assert.equal(directory.isLeaving("t@1"), false);
   assert.equal(backoffs.isInBackoff("t@1", 0), false);
-  facts = { ...facts, answeredBy: "t" };
+  metadata = { ...metadata, answeredBy: "t" };
   notices.apply(target, head);
   assert.equal(directory.isLeaving("t@1"), true);
   assert.equal(backoffs.isInBackoff("t@1", 0), true);
--- a/packages/heatherarch-lab/bench/overload_simulation.ts
+++ b/packages/heatherarch-lab/bench/overload_simulation.ts
@@ -15,7 +15,7 @@
  */
 import { ManualClock, Random } from "heatherarch-core";
 import {
-  computeCallerTimeoutMs,
+  computeClientTimeoutMs,
   computeRetryAfterMs,
   EngineJitter,
   type EngineTraits,
@@ -401,6 +401,6 @@
 function computeTimeout(
   { startedAtMs, request: { kind, arrivedAtMs } }: Attempt,
 ): number {
-  const timeoutMs = computeCallerTimeoutMs(kind.aimMs);
+  const timeoutMs = computeClientTimeoutMs(kind.aimMs);
   return Math.min(startedAtMs + timeoutMs, arrivedAtMs + kind.deadlineMs);
 }
