--- a/packages/heatherarch-forward/calls/attempt_result.ts
+++ b/packages/heatherarch-forward/calls/attempt_result.ts
@@ -1,6 +1,6 @@
 /**
- * Classifies the result of an attempt: whether the target ran it, and what this tells about the
- * target.
+ * Classifies the result of an attempt: whether the target ran the request, and what the result tells
+ * about the target.
  *
  * @module
  */
--- a/packages/heatherarch-forward/forward_vm.ts
+++ b/packages/heatherarch-forward/forward_vm.ts
@@ -177,8 +177,8 @@
       getListAgeMs: () => this.#components.storeReader.getEffectiveListAgeMs(),
       refreshTargetList: () => this.#components.storeReader.refreshList(),
     });
-    for (const [name, part] of Object.entries(dependencies)) {
-      this.#container.register(name, asValue(part));
+    for (const [name, component] of Object.entries(dependencies)) {
+      this.#container.register(name, asValue(component));
     }
   }
 
--- a/packages/heatherarch-forward/model.ts
+++ b/packages/heatherarch-forward/model.ts
@@ -78,8 +78,8 @@
 export type TargetRole = "prefill" | "decode";
 
 /**
- * One incarnation of a target. State and promises are keyed by `id`, so that nothing that was
- * learned about an incarnation applies to the next one after a restart.
+ * One incarnation of a target. What was learned about a target and what the target has promised are
+ * keyed by `id`, so that neither applies to the next incarnation after a restart.
  */
 export interface Target {
   /** Differs for each incarnation. */
--- a/packages/heatherarch-forward/ports.ts
+++ b/packages/heatherarch-forward/ports.ts
@@ -133,7 +133,9 @@
 export interface CallCodec {
   /** Decodes the head of a client's request. Throws a `ServeError` if it is malformed. */
   decodeCall(head: ClientRequestHead): Omit<ForwardedCall, "body">;
+  /** Encodes the request of one attempt. */
   encodeAttempt(call: ForwardedCall, options: AttemptOptions): EncodedRequest;
+  /** Decodes the head of a target's response. */
   decodeResponse(
     status: number,
     headers: IncomingHttpHeaders,
--- a/packages/heatherarch-forward/scheduling/prefill_queue.ts
+++ b/packages/heatherarch-forward/scheduling/prefill_queue.ts
@@ -148,7 +148,7 @@
 
   /** Adds a prompt; returns a function that cancels its wait. */
   enqueue(request: PrefillRequest): () => void {
-    const waiting = this.#wrap(request);
+    const waiting = this.#buildWaitingRequest(request);
     const index = this.#waiting.findIndex((other) => isBefore(waiting, other));
     if (index < 0) this.#waiting.push(waiting);
     else this.#waiting.splice(index, 0, waiting);
@@ -159,8 +159,8 @@
     };
   }
 
-  /** Counts a prompt and its outcome in its size class. */
-  #wrap(request: PrefillRequest): WaitingRequest {
+  /** Counts a prompt in its size class, and its outcome once there is one. */
+  #buildWaitingRequest(request: PrefillRequest): WaitingRequest {
     const { kind, tokens, onOutcome } = request;
     const size = this.#fairness.recordArrival(kind, tokens);
     return {
--- a/packages/heatherarch-forward/tests/unit/prefill_candidate_cache_test.ts
+++ b/packages/heatherarch-forward/tests/unit/prefill_candidate_cache_test.ts
@@ -23,7 +23,7 @@
   ]);
   const workTracker = new WorkTracker();
   const checked: string[] = [];
-  const run = {
+  const context = {
     nowMs: 0,
     service: { name: "s", maxConnections: 10 },
     dependencies: {
@@ -41,9 +41,9 @@
   };
   const cache = new PrefillCandidateCache();
   const listBacklogs = (tried: string[] = []) =>
-    cache.listCandidates(run as unknown as CallContext, new Set(tried))
+    cache.listCandidates(context as unknown as CallContext, new Set(tried))
       .map(({ target, backlogMs }) => `${target.id} ${backlogMs}`);
-  return { cache, workTracker, applyList, run, checked, listBacklogs };
+  return { cache, workTracker, applyList, context, checked, listBacklogs };
 }
 
 test("prompts that are placed together share one snapshot", () => {
@@ -55,7 +55,8 @@
 });
 
 test("own work, work of peers and a new target list take effect at once", () => {
-  const { listBacklogs, workTracker, applyList, run, cache } = createCache();
+  const { listBacklogs, workTracker, applyList, context, cache } =
+    createCache();
   listBacklogs();
   workTracker.beginPrefill("b", { costMs: 40, lane: 0 }, 0);
   assert.deepEqual(listBacklogs(), ["a 0", "b 40", "c 0"]);
@@ -63,10 +64,12 @@
   assert.deepEqual(listBacklogs(), ["a 0", "b 40", "c 30"]);
   applyList([buildEngine("b"), buildEngine("c")]);
   assert.deepEqual(listBacklogs(), ["b 40", "c 30"]);
-  run.nowMs = 10;
+  context.nowMs = 10;
   assert.deepEqual(listBacklogs(), ["b 30", "c 20"]);
   assert.deepEqual(
-    cache.listPrefillEngines(run as unknown as CallContext).map(({ id }) => id),
+    cache.listPrefillEngines(context as unknown as CallContext).map(({ id }) =>
+      id
+    ),
     ["b", "c"],
   );
 });
--- a/packages/heatherarch-forward/tests/unit/scripted_call.ts
+++ b/packages/heatherarch-forward/tests/unit/scripted_call.ts
@@ -149,7 +149,7 @@
         path: "/a/x",
         host: "a.example",
         arrivedAtMs: clock.readMonotonicMs(),
-        patienceMs: 5000,
+        clientTimeoutMs: 5000,
         body: Buffer.alloc(0),
         headers: [],
       } as unknown as CallContext["call"],
--- a/packages/heatherarch-forward/tests/unit/store_outage_detector_test.ts
+++ b/packages/heatherarch-forward/tests/unit/store_outage_detector_test.ts
@@ -94,9 +94,9 @@
   assertGraceEndsAt(outages, 3500, 5500);
 });
 
-// The model of the target list dropped a running target. Its entry had expired in an outage, and
-// the target could not write again because the store failed for another 0.9 s just after its
-// recovery.
+// The simulated fleet of `target_list_proof.ts` dropped a running target. The target's entry had
+// expired in an outage, and the target could not write again because the store failed for another
+// 0.9 s just after its recovery.
 test("an outage soon after another one extends the grace period of expired entries", () => {
   const outages = createDetector();
   outages.recordOwnFailure();
--- a/packages/heatherarch-forward/tests/unit/target_connections_test.ts
+++ b/packages/heatherarch-forward/tests/unit/target_connections_test.ts
@@ -40,8 +40,8 @@
 }
 
 test("work for a blocked target is not sent, and fails as withheld", async () => {
-  let ban: string | undefined = "the target is leaving";
-  const { target, connections, count } = await build(() => ban);
+  let blockReason: string | undefined = "the target is leaving";
+  const { target, connections, count } = await build(() => blockReason);
   await assert.rejects(
     connections.send(target, REQUEST).head,
     (error: ExchangeError) =>
@@ -49,7 +49,7 @@
   );
   assert.equal(connections.hasCapacity(target, 1), true);
   assert.equal(count(), 0);
-  ban = undefined;
+  blockReason = undefined;
   assert.equal((await connections.send(target, REQUEST).head).status, 200);
 });
 
