--- a/packages/heatherarch-forward/tasks/store_reader.ts
+++ b/packages/heatherarch-forward/tasks/store_reader.ts
@@ -235,14 +235,17 @@
     engineJitter.forget(target);
   }
 
-  /** Logs each target that is leaving, or that stays in use although it is no longer listed. */
+  /**
+   * Reports listed targets to the crash detector. Logs each target that is leaving, or that stays
+   * in use although it is no longer listed.
+   */
   #recordTargets(
     entries: readonly KeyedEntry<Target>[],
     source: LeavingSource,
   ): void {
-    const { directory, crashDetector: crashes, metrics } = this.#options;
+    const { directory, crashDetector: detector, metrics } = this.#options;
     for (const { key, value } of entries) {
-      if (value !== undefined) crashes.recordListing(value.id, value.address);
+      if (value !== undefined) detector.recordListing(value.id, value.address);
       if (value?.leaving) this.#logLeaving("targetLeaving", value.id, source);
       if (value === undefined && directory.isMissing(key)) {
         metrics.targetsKept.inc();
