--- a/packages/heatherarch-forward/calls/call_context.ts
+++ b/packages/heatherarch-forward/calls/call_context.ts
@@ -117,7 +117,7 @@
     return this.call.arrivedAtMs + this.route.aimMs - this.nowMs;
   }
 
-  /** Whether the call has its outcome, after which nothing more is sent. */
+  /** Whether the call has ended; no further attempt is sent then. */
   get hasEnded(): boolean {
     return this.#outcome !== undefined;
   }
