--- a/packages/heatherarch-forward/forward_vm.ts
+++ b/packages/heatherarch-forward/forward_vm.ts
@@ -92,6 +92,7 @@
       directory.size > 0;
   }
 
+  /** Starts the listeners and the tasks. Resolves when this VM accepts calls. */
   async start(): Promise<void> {
     const {
       ingress,
@@ -176,8 +177,8 @@
       getListAgeMs: () => this.#components.storeReader.getEffectiveListAgeMs(),
       refreshTargetList: () => this.#components.storeReader.refreshList(),
     });
-    for (const [name, part] of Object.entries(dependencies)) {
-      this.#container.register(name, asValue(part));
+    for (const [name, component] of Object.entries(dependencies)) {
+      this.#container.register(name, asValue(component));
     }
   }
 
@@ -194,11 +195,11 @@
       onChangingRole: (targets) => this.#markChangingRole(targets),
     };
     const callServer = new CallServer({ ...components });
-    const callers = splitAddress(settings.listen.callers);
+    const listenAddress = splitAddress(settings.listen.callers);
     this.#container.register({
       ingress: asValue(
         new Ingress({
-          ...callers,
+          ...listenAddress,
           codec: components.codec,
           server: callServer,
           clock: components.clock,
